--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -5,9 +5,7 @@
 	"slices"
 )
 
-// This file decides what is sent, and when.
-
-// dispatch starts the attempts that budgets, order and guards allow.
+// dispatch starts the attempts that the budgets, the order and each request's conditions allow.
 func (s *Scheduler) dispatch() {
 	s.rechoosePlacements()
 	var ready []*node
@@ -22,8 +20,7 @@
 	}
 }
 
-// dispatchNext starts the attempt that is next for a node. It is false where the node gets nothing more
-// now.
+// dispatchNext starts the next attempt at a node. It returns false if the node is sent nothing more now.
 func (s *Scheduler) dispatchNext(n *node, sh *shard) bool {
 	if n.State != Running || sh.queuedUnits <= 0 || n.silentSince != 0 || s.now < n.backoffUntil {
 		return false
@@ -50,10 +47,10 @@
 	return true
 }
 
-// nodeAccepts reports whether a node may be sent the request that is next for it. The node's own queue
-// knows no order, so requests of a low rank wait here until that queue is short.
+// nodeAccepts reports whether a node may be sent its next request. The node's own queue has no priorities,
+// so requests of a low rank wait here until that queue is short.
 func (s *Scheduler) nodeAccepts(n *node, r *request, rank int) bool {
-	if n.isOutlier() { // whatever the rank: waiting makes a request late, and late ones wait for others
+	if n.isOutlier() { // for any rank: a waiting request becomes late, and late ones wait for others
 		return len(n.pending) == 0
 	}
 	units, count, silent := s.outstanding(n)
@@ -71,15 +68,15 @@
 	return true
 }
 
-// acceptsLate reports whether a node without outstanding requests may be sent one that misses its
+// acceptsLate reports whether a node without outstanding requests may be sent a request that misses its
 // objective.
 func (s *Scheduler) acceptsLate(n *node) bool {
 	return n.lowLatency || s.settings.ServeLate || s.now >= n.LatencyUpdated+staleAfter
 }
 
-// Ready reports whether a request that came now would be sent at once, for callers that can wait before
-// they submit it. It is also true where the node is gone or silent, as waiting brings no capacity, and for
-// one request of each volume while others are queued for the shard, or it would never be sent.
+// Ready reports whether a request that arrived now would be sent at once, for callers that can delay its
+// submission. It also returns true if the node is missing or silent, as waiting frees no capacity, and for
+// one request per volume while others are queued for the shard: otherwise it would never be sent.
 func (s *Scheduler) Ready(now Micros, e Request) bool {
 	s.now = now
 	sh, r := s.shardFor(e.Shard), s.newRequest(e)
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -7,9 +7,7 @@
 	"otterturn/scheduler/quantile"
 )
 
-// This file is the latency controller of a node: the two loops of SlowFast CoDel, and what they are fed.
-
-// observe feeds an outcome to the loops and to the judgement of the node's health.
+// observe passes the outcome of an attempt to the control loops and to the node's health state.
 func (s *Scheduler) observe(n *node, r *request, e AttemptEnded) {
 	switch e.Result {
 	case OK, Errored:
@@ -17,7 +15,7 @@
 	case Expired:
 		n.answered(s.now)
 	case QueueFull:
-		// A full queue takes long to empty: what is sent before is rejected again, or late.
+		// A full queue takes long to drain: requests sent before would be rejected again or be late.
 		n.answered(s.now)
 		n.backoffUntil = s.now + queueFullObjectives*s.minObjective
 		n.Budget = max(n.Budget/2, s.settings.MeanUnits)
@@ -30,7 +28,7 @@
 	}
 }
 
-// answered notes that the node showed that it serves.
+// answered records that the node showed that it is serving.
 func (n *node) answered(now Micros) {
 	n.LastAnswer = now
 	n.silentSince = 0
@@ -47,7 +45,7 @@
 		n.ErrorRate -= n.ErrorRate / errorRateSpan
 	}
 	if n.isOutlier() && e.Result == Errored {
-		// What fails does so quickly: as a latency it drew ever more to a node that serves nothing.
+		// Errors are quick: counted as latencies they would draw ever more requests to a failing node.
 		n.backoffUntil = s.now + s.minObjective/2
 		return
 	}
@@ -59,7 +57,7 @@
 	}
 }
 
-// addAnswer adds an answer to the current intervals of the loops.
+// addAnswer adds an answer to the current fast and slow interval.
 func (n *node) addAnswer(latency, units float64) {
 	n.slowMinLatency = min(latency, cmp.Or(n.slowMinLatency, latency))
 	n.fastMinLatency = min(latency, cmp.Or(n.fastMinLatency, latency))
@@ -68,7 +66,7 @@
 	n.slowAnswers++
 }
 
-// observeTimeout takes an attempt that timed out for lost if later ones were answered, else for slow.
+// observeTimeout treats an attempt that timed out as lost if later ones were answered, otherwise as slow.
 func (s *Scheduler) observeTimeout(n *node, r *request, e AttemptEnded) {
 	if r.overtaken >= lostAfterAnswers {
 		n.lastLoss = s.now
@@ -82,9 +80,9 @@
 	}
 }
 
-// suspectRestart takes a failed connection for the end of the node's process: what answers next may be in
-// slow start before the endpoint list says so. An answer may also be lost, or a connection break, without
-// that: a health check that is due at once will tell.
+// suspectRestart handles a failed connection as the end of the node's process: the next process may be in
+// slow start before the endpoint list reports it. A lost answer or a broken connection can have other
+// causes, so a health check becomes due at once.
 func (s *Scheduler) suspectRestart(n *node, result Result) {
 	switch {
 	case result == Unreachable:
@@ -99,9 +97,9 @@
 	s.resetSlowStart(n)
 }
 
-// latencyControllers are those of the queues that an attempt waits in: the node's, and for a new object
-// that of the pool of all nodes too. One of many fronts meets a node too seldom to see an overload: some
-// node always seems quick, and all fronts overload it.
+// latencyControllers returns the controllers of the queues in which an attempt waits: the node's and, for a
+// new object, also that of the pool of all nodes. One of many fronts sends to a node too rarely to notice
+// an overload: some node always seems fast, and together the fronts overload it.
 func (s *Scheduler) latencyControllers(n *node, r *request) []*node {
 	if r.newObject {
 		return []*node{n, s.placementPool}
@@ -109,10 +107,10 @@
 	return []*node{n}
 }
 
-// updateLatency smooths the latency of answers and time-outs. One request of each of many fronts fills a
-// node, and a budget below one request would need more answers than a front gets. So what is not reserved
-// is throttled, the longer the further the last two latencies were over the target: a slow interval at
-// most.
+// updateLatency smooths the latency of answers and time-outs. With many fronts, one request per front fills
+// a node, and a budget below one request would need more answers than a front gets. So at the minimum
+// budget, requests beyond the reservations are paused: for longer the further the last two latencies exceed
+// the target, for one slow interval at most.
 func (s *Scheduler) updateLatency(n *node, latency float64) {
 	n.SmoothedLatency = cmp.Or(n.SmoothedLatency, latency)
 	n.SmoothedLatency += (latency - n.SmoothedLatency) / latencySpan
@@ -131,16 +129,16 @@
 	}
 }
 
-// normalizeLatency scales a latency to a request of mean size. Else small requests, and retries that the
-// node has cached, set a minimum that no other reaches. A unit's time is a low quantile, the rest is
-// waiting.
+// normalizeLatency scales a latency to a request of mean size. Otherwise small requests, and retries that
+// the node has cached, would set a minimum that no other request reaches. The time per unit is a low
+// quantile, the rest of a latency is waiting time.
 func (n *node) normalizeLatency(latency, units, meanUnits float64) float64 {
 	n.UnitTime = quantile.Low(n.UnitTime, latency/units)
 	waiting := max(0, latency-units*n.UnitTime)
 	return waiting + meanUnits*n.UnitTime
 }
 
-// fastLoop is Queuing Budget Adjusting CoDel.
+// fastLoop runs Queuing Budget Adjusting CoDel.
 func (s *Scheduler) fastLoop(n *node) {
 	if !n.work.Fast.Ended(s.now) {
 		return
@@ -151,8 +149,8 @@
 	s.work.RestartFast(&n.work)
 }
 
-// adjustBudget moves the budget by the lowest latency of the fast interval. All fronts together grow by one
-// mean request.
+// adjustBudget adapts the budget to the lowest latency of the fast interval. An increase amounts to one
+// mean request over all fronts.
 func (s *Scheduler) adjustBudget(n *node) {
 	n.lowLatency = n.fastMinLatency <= n.Target/2
 	switch {
@@ -166,7 +164,7 @@
 	n.budgetExhausted = false
 }
 
-// slowLoop adds a point to the throughput-latency curve; the target is where its slope meets the trade-off.
+// slowLoop adds a point to the throughput-latency curve and sets the target to the latency at curveSlope.
 func (s *Scheduler) slowLoop(n *node) {
 	if !n.work.Slow.Ended(s.now) {
 		return
@@ -179,7 +177,7 @@
 	s.work.RestartSlow(&n.work)
 }
 
-// adjustTarget adds what the node showed over a span, in seconds, to its curve.
+// adjustTarget updates curve and target with the answers of the last span seconds.
 func (s *Scheduler) adjustTarget(n *node, span float64) {
 	point := curve.Point{
 		Throughput: n.slowServed / span,
--- a/scheduler/nodes.go
+++ b/scheduler/nodes.go
@@ -6,9 +6,7 @@
 	"otterturn/scheduler/worklist"
 )
 
-// This file keeps the endpoint list and judges the health of nodes.
-
-// nextReview is when a node is to be reviewed next.
+// nextReview returns when to review a node next.
 func (s *Scheduler) nextReview(n *node) Micros {
 	next := Micros(worklist.Never)
 	if s.settings.HealthChecks && n.silentSince > 0 && n.State == Running {
@@ -23,16 +21,17 @@
 	return min(next, s.now-s.owingFor(n)+s.silenceTimeout(n)+1)
 }
 
-// isOutlier reports whether most of a node's answers are errors. It gets one request at a time, each a
-// while after the last error, and no new objects.
+// isOutlier reports whether most of a node's answers are errors. An outlier is sent one request at a time,
+// a while after its last error, and no new objects.
 func (n *node) isOutlier() bool { return n.ErrorRate > outlierErrorRate }
 
-// silenceTimeout is how long a node may be without any answer before it counts as silent.
+// silenceTimeout returns the time without any answer after which a node counts as silent.
 func (s *Scheduler) silenceTimeout(n *node) Micros {
 	return max(s.minObjective, Micros(4*n.SmoothedLatency))
 }
 
-// owingFor is for how long the node has owed an answer: a node that slows down shows that first.
+// owingFor returns for how long a node has had requests outstanding and answered none. It is the first sign
+// of a node that slows down.
 func (s *Scheduler) owingFor(n *node) Micros {
 	if len(n.pending) == 0 {
 		return 0
@@ -40,28 +39,26 @@
 	return s.now - max(n.pending[0].lastSentAt(), n.LastAnswer)
 }
 
-// lastSentAt is when the last attempt was sent.
+// lastSentAt returns when the last attempt was sent.
 func (r *request) lastSentAt() Micros { return r.attempts[len(r.attempts)-1].sentAt }
 
-// expectedLatency is how long the node usually takes for a request of this size.
+// expectedLatency returns the latency that the node usually has for a request of this size.
 func (s *Scheduler) expectedLatency(n *node, r *request) Micros {
 	return Micros(n.SmoothedLatency + (r.Units-s.settings.MeanUnits)*n.UnitTime)
 }
 
-// isOverdue reports whether a request's attempt has been outstanding for much longer than the node usually
-// takes.
+// isOverdue reports whether a request has been outstanding for much longer than the node usually takes.
 func (s *Scheduler) isOverdue(n *node, r *request) bool {
 	return s.now-r.lastSentAt() > cmp.Or(overdueFactor*s.expectedLatency(n, r), s.minObjective)
 }
 
-// hasRecentLoss reports whether not long ago an attempt ran into its deadline though later ones were
-// answered.
+// hasRecentLoss reports whether an attempt recently timed out although later ones were answered.
 func (s *Scheduler) hasRecentLoss(n *node) bool {
 	return n.lastLoss > 0 && s.now < n.lastLoss+curvePoints*slowInterval
 }
 
-// outstanding is what counts against the budget. Where the node is silent or loses attempts nothing overdue
-// counts: it is lost if it was overtaken, and a sign of silence if not.
+// outstanding returns the units and requests that count against the budget. If the node is silent or loses
+// attempts, overdue requests don't count: one that was overtaken is lost, any other is a sign of silence.
 func (s *Scheduler) outstanding(n *node) (units float64, count int, silent bool) {
 	if !s.hasRecentLoss(n) && s.owingFor(n) <= s.silenceTimeout(n) {
 		return n.outstandingUnits, len(n.pending), false
@@ -78,8 +75,8 @@
 	return units, count, silent
 }
 
-// reviewNode checks a node that failed or may be silent, until it answers, and cancels attempts that were
-// lost while it answers others, if a retry can be in time.
+// reviewNode checks the health of a node that failed or may be silent, until it answers. It cancels lost
+// attempts at a node that answers others, if a retry can be in time.
 func (s *Scheduler) reviewNode(n *node) {
 	_, _, silent := s.outstanding(n)
 	checkDue := s.settings.HealthChecks && n.State == Running && s.now >= n.nextCheck
@@ -94,12 +91,12 @@
 	}
 }
 
-// isLost reports whether a request's attempt is taken for lost.
+// isLost reports whether a request's attempt counts as lost.
 func (s *Scheduler) isLost(n *node, r *request) bool {
 	return s.hasRecentLoss(n) && r.overtaken >= lostAfterAnswers && s.isOverdue(n, r)
 }
 
-// mayCancel reports whether a request's attempt may be cancelled, and a retry be answered in time.
+// mayCancel reports whether a request's attempt may be cancelled and a retry can be answered in time.
 func (s *Scheduler) mayCancel(n *node, r *request) bool {
 	if !s.settings.CancelAttempts || r.cancelled || r.finished || r.class.Idempotency == NotIdempotent {
 		return false
@@ -108,7 +105,7 @@
 	return inTime && s.mayRetry(r) && s.retryBudget.Allows(s.now)
 }
 
-// checkHealth asks for a health check of a node, unless one is running.
+// checkHealth starts a health check of a node, unless one is running.
 func (s *Scheduler) checkHealth(n *node) {
 	if n.checkRunning {
 		return
@@ -120,7 +117,7 @@
 	s.actions = append(s.actions, CheckHealth{Node: n.Node})
 }
 
-// healthChecked takes in the result of a health check.
+// healthChecked handles the result of a health check.
 func (s *Scheduler) healthChecked(e HealthChecked) {
 	n := s.nodesByName[e.Node]
 	if n == nil {
@@ -131,7 +128,7 @@
 	if e.OK && n.lastCheckSent < n.SuspectedRestart { // sent before the last failure
 		return
 	}
-	// A process that died can't answer what was sent as it broke.
+	// A process that has ended can't answer a check that was sent as its connection broke.
 	sentAtBreak := n.lastCheckSent <= n.SuspectedRestart+fastInterval
 	if e.OK && n.brokenAt > 0 && sentAtBreak && s.now < n.lastCheckSent+s.minObjective {
 		n.SuspectedRestart = n.suspectedBefore
@@ -148,7 +145,7 @@
 	}
 }
 
-// boundLatency bounds the usual latency by the number of requests that wait at the node.
+// boundLatency bounds the smoothed latency by the number of requests that wait at the node.
 func (s *Scheduler) boundLatency(n *node, queue float64) {
 	each := n.UnitTime * s.settings.MeanUnits
 	n.SmoothedLatency = min(n.SmoothedLatency, each*(1+queue))
@@ -158,9 +155,9 @@
 	}
 }
 
-// checkFirst reports whether a health check goes ahead of a request: where slow answers are not rare, or
-// the node was slow, and nothing was heard of it for a slow interval. Otherwise each of many fronts would
-// find out by a slow request of its own that a node is overloaded, and never that it is free.
+// checkFirst reports whether a health check precedes a request: slow answers are not rare or the node was
+// slow, and there was no news of the node for a slow interval. Otherwise each of many fronts would find out
+// by a slow request of its own that a node is overloaded, and never that it has recovered.
 func (s *Scheduler) checkFirst(n *node) bool {
 	slow := s.slowShare > 1.0/slowShareSpan || n.SmoothedLatency > float64(s.minObjective)
 	unheard := s.now > max(n.LatencyUpdated, n.lastCheckResult)+slowInterval
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -2,18 +2,17 @@
 
 import "cmp"
 
-// This file is the mClock order of what is queued, with the guards of each request.
-
-// Ranks in which queued requests are sent.
+// Ranks in the order in which queued requests are sent.
 const (
-	rankReserved = iota // a reservation tag is due
-	rankWeight          // by weight tag
-	rankLate            // the objective can't be met any more
+	rankReserved = iota // the reservation tag is due
+	rankWeight          // ordered by weight tag
+	rankLate            // the latency objective can't be met any more
 	rankNone
 )
 
-// nextRequest is mClock: the earliest due reservation tag, else the smallest weight tag. Requests that miss
-// their objective come after all others. None is larger than maxUnits.
+// nextRequest implements mClock: it returns the request with the earliest due reservation tag, otherwise
+// the one with the smallest weight tag. Requests that miss their objective come after all others, and
+// requests larger than maxUnits are skipped.
 func (s *Scheduler) nextRequest(n *node, sh *shard, maxUnits float64) (best *request, bestRank int) {
 	bestRank, bestTag := rankNone, 0.0
 	for f := range sh.busyFlows.All {
@@ -49,22 +48,23 @@
 	return v.plan.Reservation > 0 && v.reservationTag+s.reservationReserve(r) <= float64(s.now)
 }
 
-// reservationReserve is how much of a reservation's store waits for requests of a higher priority, as time.
+// reservationReserve returns the part of a volume's unused reservation that is kept for requests of higher
+// priority, as a time.
 func (s *Scheduler) reservationReserve(r *request) float64 {
 	return s.lowerPriority(r) / 2 * (float64(second) + s.settings.MaxUnits/s.reservationRate(r.volume))
 }
 
-// lowerPriority is by how much a request's priority is below the highest one, from 0 to 1.
+// lowerPriority returns by how much a request's priority is below the highest one, from 0 to 1.
 func (s *Scheduler) lowerPriority(r *request) float64 { return 1 - r.class.Priority/s.maxPriority }
 
-// servedBefore is the order within a flow: the higher priority, then the later objective. In the order of
-// arrival an overloaded flow would serve all at the edge of their objectives.
+// servedBefore orders the requests of a flow: by higher priority, then by later objective. In order of
+// arrival, an overloaded flow would answer all requests just as their objectives end.
 func servedBefore(a, b *request) bool {
 	byPriority := cmp.Compare(b.class.Priority, a.class.Priority)
 	return cmp.Or(byPriority, cmp.Compare(b.objectiveAt, a.objectiveAt)) < 0
 }
 
-// flowHead is the next request of a flow that may start, one that misses its objective only if all do.
+// flowHead returns the flow's next request that may start. It misses its objective only if all of them do.
 func (s *Scheduler) flowHead(n *node, f *flow, maxUnits float64) (best *request, bestLate bool) {
 	bestLate = true
 	for _, r := range f.queued {
@@ -77,12 +77,12 @@
 	return best, bestLate
 }
 
-// missesObjective reports whether an attempt that started now would be answered too late.
+// missesObjective reports whether an attempt that starts now would be answered after the objective.
 func (s *Scheduler) missesObjective(n *node, r *request) bool {
 	return s.now+s.expectedLatency(n, r) > r.objectiveAt
 }
 
-// mayStart asks the guards of a request whether an attempt at a node may start now.
+// mayStart reports whether an attempt of a request may start at a node now.
 func (s *Scheduler) mayStart(n *node, r *request) bool {
 	outOfTime := s.now >= r.deadline-s.sendMargin()
 	overBudget := len(r.attempts) > 0 && !s.retryBudget.Allows(s.now)
@@ -98,8 +98,8 @@
 	return true
 }
 
-// withinLimit reports whether the limit's bucket has the units of a request. One that runs low keeps tokens
-// for requests of a higher priority.
+// withinLimit reports whether the limit's token bucket holds the units of a request. A low bucket keeps
+// tokens for requests of higher priority.
 func (s *Scheduler) withinLimit(r *request) bool {
 	v := r.volume
 	if v.plan.Limit <= 0 || r.tokensDrawn {
@@ -109,7 +109,7 @@
 	return v.bucket.Allows(s.now, r.Units, keep)
 }
 
-// deduplicatedAt reports whether a retry at a node is dropped there if an earlier attempt ran.
+// deduplicatedAt reports whether a node would drop a retry if an earlier attempt ran, where that matters.
 func (r *request) deduplicatedAt(n *node) bool {
 	if r.mayHaveRun == nil || r.class.Idempotency != IdempotentByKey {
 		return true
@@ -124,7 +124,7 @@
 	return true
 }
 
-// exceedsBudget reports whether a request passes the budget beside what is outstanding.
+// exceedsBudget reports whether a request and the outstanding ones together exceed the budget.
 func (n *node) exceedsBudget(r *request) bool {
 	return n.outstandingUnits > 0 && n.outstandingUnits+r.Units > n.Budget
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -6,10 +6,8 @@
 	"slices"
 )
 
-// This file decides where new objects go, whose shard is this front's choice.
-
-// choosePlacement returns the shard for a new object, that of the node with the best score, -1 if no node
-// accepts one.
+// choosePlacement returns the shard for a new object: that of the node with the best score, or -1 if no
+// node accepts one.
 func (s *Scheduler) choosePlacement(r *request) int {
 	best, shard := math.Inf(1), -1
 	for i := range min(len(s.nodes), placementSample) {
@@ -27,22 +25,22 @@
 	return shard
 }
 
-// placementScore is lower for a node whose budget has more room left and whose answers come sooner.
+// placementScore is lower for a node that has more of its budget left and answers sooner.
 func (s *Scheduler) placementScore(n *node, r *request) float64 {
 	load := n.outstandingUnits + s.shardFor(n.Shard).queuedUnits
 	score := (load + r.Units) / n.Budget * (1 + placementNoise*s.rng.Float64())
 	latency := cmp.Or(n.SmoothedLatency, s.placementPool.SmoothedLatency, float64(s.minObjective))
 	score *= max(latency, float64(s.owingFor(n)))
-	if s.now > n.LastAnswer+staleAfter { // nor is a connection to it kept
+	if s.now > n.LastAnswer+staleAfter { // no connection to it is kept open either
 		score *= staleNodePenalty
 	}
-	if s.inSlowStart(n) { // as slow as it may be
+	if s.inSlowStart(n) { // assumes its maximum slowdown
 		score *= s.slowStart.Slowdown(s.slowStartAge(n))
 	}
 	return score
 }
 
-// rechoosePlacements finds another shard for new objects that are queued where no node accepts them.
+// rechoosePlacements chooses a shard again for new objects that are queued because no node accepted them.
 func (s *Scheduler) rechoosePlacements() {
 	for f := range s.shardFor(-1).busyFlows.All {
 		for _, r := range slices.Clone(f.queued) {
--- a/scheduler/rejection.go
+++ b/scheduler/rejection.go
@@ -5,11 +5,9 @@
 	"slices"
 )
 
-// This file decides which requests are given up, when, and which first.
-
-// rejectHopeless answers at once what will not be sent again or cannot be answered in time. Other requests
-// wait until the last step that is sure to be in time; one that was never sent waits for half of its time,
-// as its client may come again.
+// rejectHopeless rejects queued requests that may not be sent again or can't be answered in time. Others
+// wait until the last step that certainly precedes their deadline. A request that was never sent waits for
+// half of its time, so that its client has time to retry.
 func (s *Scheduler) rejectHopeless() {
 	spare := timerTicks*s.settings.Tick + s.sendMargin()
 	for sh := range s.busyShards.All {
@@ -26,8 +24,8 @@
 	}
 }
 
-// shedLoad rejects what is worth least while more requests are open than MaxOpen: each takes one of its
-// client's few connections.
+// shedLoad rejects the least valuable requests while more than MaxOpen are open: each open request occupies
+// one of its client's few connections.
 func (s *Scheduler) shedLoad() {
 	for s.settings.MaxOpen > 0 && len(s.requests) > s.settings.MaxOpen {
 		sh, r := s.leastValuable()
@@ -38,9 +36,9 @@
 	}
 }
 
-// leastValuable returns the request, of those never sent, that earns least: one that misses its objective,
-// then one beyond its volume's reservation, each time from the flow with the longest backlog for its
-// weight.
+// leastValuable returns the request to shed first, among those never sent: one that misses its objective,
+// then one beyond its volume's reservation. Among equals it is in the flow with the longest backlog
+// relative to its weight, and there the last one to be served.
 func (s *Scheduler) leastValuable() (where *shard, worst *request) {
 	worstRank, worstBacklog := rankReserved, 0.0
 	for sh := range s.busyShards.All {
@@ -63,7 +61,7 @@
 	return where, worst
 }
 
-// sheddingRank is the rank in which a request is expected to leave, behind all that is queued of its flow.
+// sheddingRank returns the rank that a request will have once all queued requests of its flow were sent.
 func (s *Scheduler) sheddingRank(sh *shard, r *request, flowUnits float64) int {
 	rate := s.reservationRate(r.volume)
 	switch {
@@ -75,8 +73,8 @@
 	return rankReserved
 }
 
-// estimateAnswer is the earliest time of a queued request's answer. A node that is gone or silent is
-// expected to stay so for as long again.
+// estimateAnswer returns the earliest time at which a queued request can be answered. A missing or silent
+// node is expected to stay so for as long as it has been.
 func (s *Scheduler) estimateAnswer(sh *shard, r *request) Micros {
 	n := sh.activeNode
 	switch {
@@ -101,8 +99,8 @@
 	return answerAt
 }
 
-// finish gives the final answer: a rejection only where a retry by the client is harmless, with the time
-// until the request may be served.
+// finish gives the final answer: a Reject only if a retry by the client is safe, with the expected time
+// until the request can be served.
 func (s *Scheduler) finish(r *request, wait Micros, reason Reason) {
 	neverRan := r.mayHaveRun == nil && r.outstanding == 0
 	class := r.class
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -2,9 +2,8 @@
 
 import "slices"
 
-// This file is the life of a request: admitted, attempted, retried or finished.
-
-// admit takes a client's request: it is queued until the loops, the order and the guards let it start.
+// admit queues a client's request until the control loops, the order and the request's conditions let it
+// start.
 func (s *Scheduler) admit(e Request) {
 	knownClass := e.Class >= 0 && e.Class < len(s.settings.Classes)
 	knownPlan := e.Plan >= 0 && e.Plan < len(s.settings.Plans)
@@ -26,8 +25,8 @@
 	s.enqueue(r)
 }
 
-// newRequest returns the state of a request that comes now. Its objective ends with its client's time at
-// the latest: work for clients that have gone would crowd out the rest.
+// newRequest returns the state of a request that arrives now. Its objective ends no later than its
+// deadline: work for clients that have left would displace other requests.
 func (s *Scheduler) newRequest(e Request) *request {
 	class := &s.settings.Classes[e.Class]
 	return &request{
@@ -40,8 +39,8 @@
 	}
 }
 
-// recognizeRetry gives a client's own retry the objective of the request that was rejected before: both end
-// together.
+// recognizeRetry gives a client's retry of a rejected request the objective of the first request. A retry
+// has the same identity and the same deadline.
 func (s *Scheduler) recognizeRetry(r *request) {
 	first, found := s.rejected.Get(r.retryIdentity())
 	if !found {
@@ -53,16 +52,16 @@
 	}
 }
 
-// retryIdentity is what a client's retry has in common with its first request.
+// retryIdentity returns the fields that a client's retry shares with its first request.
 func (r *request) retryIdentity() Request {
 	return Request{Class: r.Class, Volume: r.Volume, Key: r.Key, Units: r.Units}
 }
 
-// sendMargin is how long before its deadline a request is not sent any more.
+// sendMargin is the time before its deadline from which a request is not sent any more.
 func (s *Scheduler) sendMargin() Micros { return 2 * s.settings.Tick }
 
-// attemptEnded ends an attempt: the node's loops learn from it, and the request is over or gets another
-// chance.
+// attemptEnded handles the outcome of an attempt: the node's control loops learn from it, and the request
+// is finished or queued again.
 func (s *Scheduler) attemptEnded(e AttemptEnded) {
 	r := s.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
@@ -85,8 +84,8 @@
 	}
 }
 
-// removePending takes a request off those outstanding at a node. An answer overtakes all that were sent
-// before it.
+// removePending removes a request from those outstanding at a node. An answer overtakes all requests that
+// were sent before it.
 func (s *Scheduler) removePending(n *node, r *request, result Result) {
 	i := slices.Index(n.pending, r)
 	if i < 0 {
@@ -104,7 +103,7 @@
 	r.outstanding--
 }
 
-// recordExecution notes what an attempt's result tells about whether the request ran.
+// recordExecution records what the result of an attempt reveals about whether the request ran.
 func (s *Scheduler) recordExecution(r *request, a attempt, result Result) {
 	if result.mayHaveRun() && r.mayHaveRun == nil {
 		r.mayHaveRun = &a
@@ -122,14 +121,14 @@
 	}
 }
 
-// mayRetry reports whether the request may ever be sent again.
+// mayRetry reports whether the request may be sent again, now or later.
 func (s *Scheduler) mayRetry(r *request) bool {
 	attemptsLeft := r.class.maxAttempts <= 0 || len(r.attempts) < r.class.maxAttempts
 	inWindow := r.mayHaveRun == nil || s.now < r.retryUntil-s.sendMargin()
 	return attemptsLeft && inWindow
 }
 
-// closeRequest forgets a request once nothing of it is outstanding. Until then its key stays taken.
+// closeRequest removes a request once it has no outstanding attempt. Until then it blocks its key.
 func (s *Scheduler) closeRequest(r *request) {
 	s.dequeue(r)
 	r.finished = true
@@ -142,7 +141,7 @@
 	v.openRequests--
 	v.idleSince = s.now
 	if v.openRequests == 0 {
-		v.uncountedUnits = 0 // without a remainder of rounding
+		v.uncountedUnits = 0 // clears rounding errors
 	}
 	if r.class.InOrder {
 		s.keyQueues.Remove(r.Key, r, s.now, 2*len(s.requests))
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,38 +1,38 @@
 // Package scheduler decides when each request of a front's volumes is sent to the storage node that holds
-// its data. It combines the queuing budgets of SlowFast CoDel with the order of mClock. It owns the state
-// of nodes, volumes and open requests; it does no I/O, reads no clock, and draws randomness from its seed
-// alone.
+// its data. It combines the queuing budgets of SlowFast CoDel with the request order of mClock. It owns the
+// state of nodes, volumes and open requests, performs no I/O, reads no clock, and draws all randomness from
+// its seed.
 //
-// Step takes events and returns actions. The files that decide are named under policy in
+// Step takes events and returns actions. The files of the decision module are listed under policy in
 // deploy/balancer.toml.
 package scheduler
 
 // Constants of the design, the same for every deployment.
 const (
-	fastInterval        Micros = 200_000   // the fast loop adjusts the budget
-	slowInterval        Micros = 2_000_000 // the slow loop adjusts the target
+	fastInterval        Micros = 200_000   // interval of the fast loop, which adjusts the budget
+	slowInterval        Micros = 2_000_000 // interval of the slow loop, which adjusts the target
 	second              Micros = 1_000_000
-	staleAfter                 = 4 * slowInterval // what was measured longer ago tells little
-	maxBudgetRequests          = 32               // bound of a budget, in mean requests
-	initialBudget              = 4                // budget of an unknown node, in mean requests
-	curvePoints                = 16               // slow intervals that the latency curve remembers
-	curveSlope                 = 0.1              // relative slope of the curve at the target
-	lostAfterAnswers           = 2                // later attempts answered: lost
-	overdueFactor              = 4                // times the expected latency: overdue
-	queueFullObjectives        = 2                // shortest objectives: pause after a full queue
-	slowShareSpan              = 16               // answers over which the share of slow ones is smoothed
+	staleAfter                 = 4 * slowInterval // age from which measurements count as outdated
+	maxBudgetRequests          = 32               // maximum budget, in requests of mean size
+	initialBudget              = 4                // budget of an unknown node, in requests of mean size
+	curvePoints                = 16               // slow intervals that the latency curve covers
+	curveSlope                 = 0.1              // relative slope of the curve at the target latency
+	lostAfterAnswers           = 2                // answered later attempts that make an attempt lost
+	overdueFactor              = 4                // multiple of the expected latency: overdue after that
+	queueFullObjectives        = 2                // pause after a full queue, in shortest objectives
+	slowShareSpan              = 16               // answers over which the share of slow answers is smoothed
 	errorRateSpan              = 6                // answers over which the error rate is smoothed
 	latencySpan                = 8                // answers over which the latency is smoothed
 	outlierErrorRate           = 0.5              // a node with a higher error rate is an outlier
-	staleNodePenalty           = 1.5              // factor on the score of a node that did not answer of late
-	placementSample            = 64               // nodes looked at for a new object, drawn at random
-	placementNoise             = 0.01             // spreads new objects over nodes that look alike
+	staleNodePenalty           = 1.5              // score factor for a node without a recent answer
+	placementSample            = 64               // maximum number of nodes compared for a new object
+	placementNoise             = 0.01             // relative noise that spreads objects over equal nodes
 	timerTicks                 = 5                // ticks until the next step while requests are queued
-	minWeight                  = 1e-9             // of a plan, against a division by 0
+	minWeight                  = 1e-9             // minimum weight of a plan, prevents a division by 0
 )
 
-// Step handles the events since the last step and returns the actions to perform now, in their order. Times
-// must not go back.
+// Step handles the events since the last step and returns the actions to perform now, in order. The time
+// must not go backwards.
 func (s *Scheduler) Step(now Micros, events []Event) []Action {
 	s.now = now
 	s.actions = nil
@@ -86,7 +86,8 @@
 	}
 }
 
-// armTimer asks for another step while something is queued, as it may become due with time alone.
+// armTimer schedules another step while requests or capacity requests are queued, as time alone may make
+// them due.
 func (s *Scheduler) armTimer() {
 	waiting := s.busyShards.Len() > 0 || s.capacityPending()
 	if waiting && !s.timerSet {
