--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -2,54 +2,55 @@
 
 import "otterturn/scheduler/slowstart"
 
-// Action is something that the scheduler wants done. Actions are carried out in the order given.
+// Action is something that the scheduler wants done. The caller carries out actions in the order given.
 type Action interface{ action() }
 
-// StartAttempt sends a request to a node. AttemptEnded is to follow. Attempts of a request are numbered from 0 in the order
-// in which they start.
+// StartAttempt sends a request to a node. An AttemptEnded must follow. The attempts of a request are numbered from 0 in
+// the order in which they start.
 type StartAttempt struct {
 	ID      string // of the request
 	Node    string
-	BeginBy Micros // the first byte must not be sent later; 0 for no bound beside the request's deadline
+	BeginBy Micros // the first byte must not be sent later; 0 if only the request's deadline applies
 }
 
-// Reject is a final answer: the client may harmlessly retry.
+// Reject is a final answer to a client that may safely retry.
 type Reject struct {
 	ID         string
-	RetryAfter Micros // the client should stay away for so long, 0 for no advice
+	RetryAfter Micros // time after which the client should retry, 0 for no advice
 	Reason     Reason
 }
 
-// Fail is a final answer that promises nothing: the request may have run.
+// Fail is a final answer to a client for whom a retry may be unsafe: the request may have run.
 type Fail struct {
 	ID     string
 	Reason Reason
 }
 
-// Reason is why a request was given up, for logs.
+// Reason tells why a request was given up. It is meant for logs.
 type Reason string
 
-// The kinds of Reason. Their texts are in logs, and in recorded digests.
+// The kinds of Reason. Their texts appear in logs and in recorded digests.
 const (
 	InvalidRequest      Reason = "unusable"    // its class or plan is unknown
 	NotRetryable        Reason = "no repeat"   // the attempt failed, and no retry is allowed or in time
-	DeadlineUnreachable Reason = "not in time" // no answer is expected before the client leaves, or while it can still retry
-	OverCapacity        Reason = "no room"     // too many requests are open, and this one is worth least
+	DeadlineUnreachable Reason = "not in time" // no answer is expected before the client leaves or in time for its retry
+	OverCapacity        Reason = "no room"     // too many requests are open, and this one is the least valuable
 )
 
-// CancelAttempt ends the wait for an attempt.
+// CancelAttempt cancels an outstanding attempt. An AttemptEnded must follow.
 type CancelAttempt struct {
 	ID      string
 	Attempt int
 }
 
-// CheckHealth asks for a health check of a node. HealthChecked is to follow.
+// CheckHealth starts a health check of a node. A HealthChecked must follow.
 type CheckHealth struct{ Node string }
 
-// SaveState asks for a record of what was learned, as a volume's lease runs low. StateSaved is to follow.
+// SaveState saves the learned state, because a volume's lease is running low. A StateSaved must follow.
 type SaveState struct{}
 
-// RequestCapacity asks the front of a number for capacity at a node in slow start, where it arrives as CapacityRequested.
+// RequestCapacity asks the front with index To for capacity at a node in slow start. It arrives there as
+// CapacityRequested.
 type RequestCapacity struct {
 	To        int
 	Node      string
@@ -57,7 +58,7 @@
 	slowstart.CapacityRequest
 }
 
-// GrantCapacity answers the front of a number, where it arrives as CapacityGranted.
+// GrantCapacity grants capacity to the front with index To. It arrives there as CapacityGranted.
 type GrantCapacity struct {
 	To         int
 	Node       string
@@ -65,7 +66,7 @@
 	ValidUntil Micros
 }
 
-// SetTimer asks for a TimerFired at a time. It takes the place of an earlier one.
+// SetTimer schedules a TimerFired and replaces an earlier SetTimer.
 type SetTimer struct{ At Micros }
 
 func (StartAttempt) action()    {}
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -2,9 +2,7 @@
 
 import "slices"
 
-// This file keeps the endpoint list.
-
-// endpointsChanged takes over news of the endpoint list. A node that is missing from a full list was removed.
+// endpointsChanged applies a change of the endpoint list. A node that is missing from a full list was removed.
 func (s *Scheduler) endpointsChanged(e EndpointsChanged) {
 	if e.Full {
 		for _, n := range s.nodes {
@@ -16,7 +14,7 @@
 	}
 	s.assignShards()
 	s.nodes = slices.DeleteFunc(s.nodes, func(n *node) bool {
-		// What was sent during slow start counts until its end, also where the node leaves the list and comes back.
+		// Units sent during slow start count until its end, even if the node leaves the list and comes back.
 		forget := n.State == Removed && len(n.pending) == 0 && !s.inSlowStart(n)
 		if forget {
 			delete(s.nodesByName, n.Node)
@@ -45,7 +43,7 @@
 	n.Endpoint = endpoint
 }
 
-// newNode returns a node that nothing is known of.
+// newNode returns the state of an unknown node.
 func (s *Scheduler) newNode() *node {
 	n := &node{NodeStats: s.NewNodeStats(), slowStart: s.slowStart.NewGuard()}
 	n.lowLatency = true
@@ -53,7 +51,7 @@
 	return n
 }
 
-// assignShards tells each shard its running nodes.
+// assignShards updates the running nodes of each shard.
 func (s *Scheduler) assignShards() {
 	for _, sh := range s.shards {
 		sh.nodes = nil
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -2,11 +2,11 @@
 
 import "otterturn/scheduler/slowstart"
 
-// Event is something that the scheduler learns. Recorded events are test data: the names in cbor tags are those under which
-// fields were recorded, and stay when a field is renamed.
+// Event is an input of the scheduler. Recorded events are test data: the names in cbor tags are those in the recordings
+// and stay when a field is renamed.
 type Event interface{ event() }
 
-// NodeState is what the endpoint list says of a node.
+// NodeState is a node's state in the endpoint list.
 type NodeState int
 
 // The kinds of NodeState.
@@ -22,32 +22,32 @@
 	Zone      int
 	Shard     int
 	State     NodeState
-	StartedAt Micros `cbor:"Since"` // last start of its process, 0 for long ago
+	StartedAt Micros `cbor:"Since"` // last start of its process, 0 if that was long ago
 }
 
-// EndpointsChanged is news of the endpoint list. A full list names every node there is.
+// EndpointsChanged is a change of the endpoint list. A full list contains all existing nodes.
 type EndpointsChanged struct {
 	Full      bool
 	Endpoints []Endpoint `cbor:"List"`
 }
 
-// Request is a client's request; one final answer is owed for it.
+// Request is a client's request. It gets exactly one final answer.
 type Request struct {
 	ID       string
 	Class    int // index into Settings.Classes
 	Plan     int // index into Settings.Plans
 	Volume   string
-	Key      string  // the data read or written
+	Key      string  // identifies the data read or written
 	Units    float64 // size
-	Shard    int     // where the data lies, -1 for a new object
-	Fronts   int     `cbor:"Hosts"` // through which the volume's requests come
-	TimeLeft Micros  `cbor:"Left"`  // until the client gives up
+	Shard    int     // shard that holds the data, -1 for a new object
+	Fronts   int     `cbor:"Hosts"` // number of fronts that receive the volume's requests
+	TimeLeft Micros  `cbor:"Left"`  // time until the client gives up
 }
 
-// Result is how an attempt ended.
+// Result is the outcome of an attempt.
 type Result int
 
-// The kinds of Result. QueueFull, Unreachable, NotStarted and Expired prove that the attempt never ran.
+// The kinds of Result. After QueueFull, Unreachable, NotStarted and Expired it is certain that the attempt never ran.
 const (
 	OK Result = iota
 	Errored
@@ -57,10 +57,10 @@
 	Reset
 	Cancelled
 	NotStarted
-	Expired // the node found the request's deadline over, which tells nothing of the node
+	Expired // the node found the request's deadline passed, which reveals nothing about its health
 )
 
-// String is the result's name in logs.
+// String returns the result's name in logs.
 func (r Result) String() string {
 	return [...]string{"answered", "errored", "turned away", "silent", "unreachable", "broken", "taken back", "moot", "expired"}[r]
 }
@@ -68,23 +68,23 @@
 // isAnswer reports whether the node answered the attempt.
 func (r Result) isAnswer() bool { return r == OK || r == Errored }
 
-// mayHaveRun reports whether an attempt that did not succeed may have run, or may run yet.
+// mayHaveRun reports whether an attempt that did not succeed may have run or may still run.
 func (r Result) mayHaveRun() bool {
 	return r == Errored || r == TimedOut || r == Reset || r == Cancelled
 }
 
-// AttemptEnded ends one attempt.
+// AttemptEnded reports the outcome of an attempt.
 type AttemptEnded struct {
 	ID              string // of the request
 	Attempt         int
 	Result          Result
-	Latency         Micros  // since the attempt started
-	Final           bool    // nothing more is owed for the request
-	Alive           bool    // after a Reset: the node was found running right behind it
-	ServedElsewhere float64 `cbor:"Elsewhere"` // units that the node served the volume through other fronts since its last answer
+	Latency         Micros  // time since the attempt started
+	Final           bool    // the request needs no other answer
+	Alive           bool    // after a Reset: the node was found running immediately afterwards
+	ServedElsewhere float64 `cbor:"Elsewhere"` // units served to the volume through other fronts since the node's last answer
 }
 
-// ClientLeft tells that a request's client has gone; nothing more is owed for it.
+// ClientLeft reports that a request's client has gone. The request needs no answer any more.
 type ClientLeft struct{ ID string }
 
 // OpenLimitChanged changes Settings.MaxOpen.
@@ -96,25 +96,25 @@
 type HealthChecked struct {
 	Node  string
 	OK    bool
-	Queue float64 // requests waiting at the node by its load report, below 0 where it told none
+	Queue float64 // requests waiting at the node according to its load report, below 0 without a report
 }
 
 // StateSaved is the result of the last SaveState.
 type StateSaved struct {
 	Readable bool `cbor:"There"` // the record may be read back from now on
-	Latest   bool `cbor:"Sure"`  // and no earlier one may
+	Latest   bool `cbor:"Sure"`  // no earlier record may be read back any more
 }
 
-// CapacityRequested is another front's RequestCapacity, or its load report alone.
+// CapacityRequested is another front's RequestCapacity. Without units it is only a load report.
 type CapacityRequested struct {
 	From      int
 	Node      string
-	StartedAt Micros `cbor:"Since"` // the node's last start, as far as that front knows
+	StartedAt Micros `cbor:"Since"` // the node's last start, as known to that front
 	slowstart.CapacityRequest
 }
 
-// CapacityGranted is another front's GrantCapacity: units that may be sent to a node in slow start, on top of what it
-// answers.
+// CapacityGranted is another front's GrantCapacity: units that may be sent to a node in slow start in addition to those
+// that it answers.
 type CapacityGranted struct {
 	From       int
 	Node       string
@@ -122,14 +122,14 @@
 	ValidUntil Micros `cbor:"Until"`
 }
 
-// NodeSilent tells that other fronts found a node silent, as of a start and a time.
+// NodeSilent reports that other fronts found a node silent.
 type NodeSilent struct {
 	Node       string
-	StartedAt  Micros // the node's last start, as far as they know
-	ObservedAt Micros // an answer that this front had later counts for more
+	StartedAt  Micros // the node's last start, as known to them
+	ObservedAt Micros // a later answer to this front takes precedence
 }
 
-// TimerFired tells that the time of the last SetTimer has come.
+// TimerFired reports that the time of the last SetTimer has come.
 type TimerFired struct{}
 
 func (EndpointsChanged) event()  {}
--- a/scheduler/handover.go
+++ b/scheduler/handover.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// negligibleRate is what a limit lets flow in, in units a second, where another process draws from it: as good as nothing.
+// negligibleRate replaces the refill rate of a limit, in units per second, while another process draws from the limit.
 const negligibleRate = 1e-6
 
-// handoverState is what a process keeps of another process of the same front.
+// handoverState is the state that concerns another process of the same front.
 type handoverState struct {
 	noGrantsBefore Micros // no capacity is granted before: the other process may have granted it
-	suspendedPlans []Plan // the plans in force again once the other process has ended, nil while this one decides
-	limitsShared   bool   // another process of this front decided since startedAt, and may have drawn from any limit
+	suspendedPlans []Plan // plans to restore once the other process has ended, nil if this process decides
+	limitsShared   bool   // another process of this front has decided since startedAt and may have drawn from any limit
 }
 
-// initialLevel is what the limit's bucket of a volume that is new here holds at first, in units, over all fronts: half the
-// slack, unless another process of this front may have drawn that already.
+// initialLevel returns the initial level of the limit's bucket of a new volume, in units over all fronts: half the slack,
+// unless another process of this front may have drawn that already.
 func (s *Scheduler) initialLevel(plan *Plan) float64 {
 	if s.limitsShared {
 		return 0
@@ -21,10 +21,10 @@
 	return plan.Slack / 2
 }
 
-// Yield gives what this front may promise to another process of the same front, which decides from now on, and returns what
-// that one is to TakeOver. What is left here is enough for the requests that are queued, as far as there is as much; nothing
-// flows into limits any more, no capacity is granted, and other fronts are not asked. So what both send together is what one
-// might have sent.
+// Yield hands this front's budgets over to another process of the same front, which decides from now on, and returns the
+// arguments for its TakeOver. This process keeps the units that its queued requests need, if there are as many. Its
+// limits are not refilled any more, it grants no capacity and asks no other front for capacity. So both processes
+// together send no more than one could have sent.
 func (s *Scheduler) Yield(now Micros) (l Learned, startedAt Micros) {
 	s.now = max(s.now, now)
 	l = Learned{At: s.now}
@@ -46,7 +46,7 @@
 	return l, s.startedAt
 }
 
-// undrawnUnits is what open requests will draw yet, by volume.
+// undrawnUnits returns the units that open requests have yet to draw, by volume.
 func (s *Scheduler) undrawnUnits() map[*volume]float64 {
 	units := map[*volume]float64{}
 	for _, r := range s.requests {
@@ -57,7 +57,7 @@
 	return units
 }
 
-// yieldVolume returns what a volume has used, and keeps so many units of its bucket.
+// yieldVolume returns the usage of a volume and keeps the needed units in its bucket.
 func (s *Scheduler) yieldVolume(v *volume, needed float64) VolumeUsage {
 	s.refill(v)
 	usage := v.usage()
@@ -70,10 +70,11 @@
 	return usage
 }
 
-// invertFrontIndex makes this front's index that of none, or undoes it: who has none grants no capacity.
+// invertFrontIndex replaces this front's index by one that no front has, or restores it. A front without an index grants
+// no capacity.
 func (s *Scheduler) invertFrontIndex() { s.settings.FrontIndex = -1 - s.settings.FrontIndex }
 
-// stopRefills has nothing flow into limits.
+// stopRefills reduces the refill rate of all limits to a negligible one.
 func (s *Scheduler) stopRefills() {
 	s.suspendedPlans = s.settings.Plans
 	s.settings.Plans = slices.Clone(s.suspendedPlans)
@@ -86,9 +87,9 @@
 	s.relinkPlans()
 }
 
-// Resume takes back what Yield gave, as the other process has ended: its levels too where it never decided anything, else
-// what flows in from now on. The other process may have drawn from volumes that this one has not met: then their buckets are
-// empty as of now.
+// Resume reverses Yield once the other process has ended. If that process never made a decision, unused holds what Yield
+// returned, and the levels are restored too. Otherwise limits are only refilled from now on, and buckets of volumes that
+// are new here start empty: the other process may have drawn from them.
 func (s *Scheduler) Resume(now Micros, unused Learned, peerMessages bool) {
 	if s.suspendedPlans == nil {
 		return
@@ -115,7 +116,7 @@
 	}
 }
 
-// relinkPlans has all volumes go by the settings' plans.
+// relinkPlans points all volumes to the plans of the present settings.
 func (s *Scheduler) relinkPlans() {
 	for i := range s.volumes.Len() {
 		v := s.volumes.At(i)
@@ -123,8 +124,8 @@
 	}
 }
 
-// TakeOver takes over what another process of this front yields, ahead of the first request: what it learned, and what it
-// left of limits, in full. A volume that it does not name has drawn nothing. Plans are those of this process.
+// TakeOver takes over what another process of this front yields, before the first request: what it learned and the full
+// remainder of its limits. A volume that is missing there has drawn nothing. The plans are those of this process.
 func (s *Scheduler) TakeOver(now Micros, l Learned, startedAt Micros) {
 	s.ImportLearned(now, l)
 	s.startedAt = min(startedAt, s.now)
--- a/scheduler/learned.go
+++ b/scheduler/learned.go
@@ -6,9 +6,9 @@
 	"otterturn/scheduler/tokenbucket"
 )
 
-// ExportLearned returns what is known, in parts of up to limit entries, so that a caller can let events in between: the part
-// from an index on, 0 at first, and the next index, 0 where nothing follows. Volumes and nodes that come or go meanwhile may
-// be missing, or named twice; a volume that is missing may draw no more than its lease.
+// ExportLearned returns the learned state in parts of up to limit entries, so that a caller can handle events in between.
+// It returns the part that starts at an index, 0 at first, and the next index, 0 after the last part. Volumes and nodes
+// that come or go meanwhile may be missing or occur twice. A missing volume may draw no more than its lease.
 func (s *Scheduler) ExportLearned(now Micros, from, limit int) (part Learned, next int) {
 	s.now = max(s.now, now)
 	part = Learned{At: s.now}
@@ -30,19 +30,19 @@
 	return part, end
 }
 
-// learned returns a copy of what is known of a node.
+// learned returns a copy of the learned state of a node.
 func (n *node) learned() LearnedNode {
 	out := LearnedNode{n.Endpoint, n.NodeStats}
 	out.Curve = slices.Clone(out.Curve)
 	return out
 }
 
-// usage returns what a volume has used, without its bucket.
+// usage returns the usage of a volume, without its bucket.
 func (v *volume) usage() VolumeUsage {
 	return VolumeUsage{Volume: v.name, Plan: v.planIndex, Fronts: v.fronts, ReservationTag: v.reservationTag}
 }
 
-// appendUsage adds what a volume has used, unless it would come back as it is from nothing.
+// appendUsage appends the usage of a volume, unless a new volume would have the same state.
 func (s *Scheduler) appendUsage(out []VolumeUsage, v *volume) []VolumeUsage {
 	s.refill(v)
 	if s.volumeIdle(v, s.now) {
@@ -55,12 +55,12 @@
 	return append(out, usage)
 }
 
-// lease is what a volume may draw ahead of the next record, in units: a largest request at least.
+// lease returns the units that a volume may draw before the next record: at least one request of maximum size.
 func (s *Scheduler) lease(v *volume) float64 {
 	return v.limitRate()*float64(s.settings.Lease) + s.settings.MaxUnits
 }
 
-// appendLead adds a flow's weight tag, if it is ahead of the shard's virtual time and counts yet.
+// appendLead appends the lead of a flow's weight tag over the shard's virtual time, if it has one that still counts.
 func (f *flow) appendLead(out []FlowLead, now Micros) []FlowLead {
 	ahead := f.weightTag - f.shard.virtualTime
 	if ahead <= 0 || now > f.lastSentAt+curvePoints*slowInterval {
@@ -70,15 +70,15 @@
 	return append(out, lead)
 }
 
-// stateSaved takes in the result of the last record.
+// stateSaved handles the result of the last SaveState.
 func (s *Scheduler) stateSaved(e StateSaved) {
 	for i := range s.volumes.Len() {
 		s.volumes.At(i).bucket.RecordSaved(e.Readable, e.Latest)
 	}
 }
 
-// Forget drops what was learned of a node or of a volume, as an operator wishes; no name is for none. What a volume drew from
-// its limit can't be forgotten, or it could draw it again: its bucket is empty then.
+// Forget drops what was learned of a node or a volume, at an operator's request. An empty name stands for none. The
+// limit's bucket of the volume is emptied: otherwise the volume could draw again what it has drawn already.
 func (s *Scheduler) Forget(node, volume string) {
 	if n := s.nodesByName[node]; n != nil {
 		s.work.Queue(&n.work)
@@ -99,9 +99,9 @@
 	}
 }
 
-// ImportLearned takes over what a former process learned, ahead of the first request. Nodes have to be in the endpoint list
-// by then, with the same start; what is said of others is passed over. A budget is taken over as it is: the caller sees to it
-// that it opens no node wider than an unknown one's.
+// ImportLearned takes over what a former process learned, before the first request. Nodes must be in the endpoint list
+// with the same start, others are ignored. Budgets are taken over unchanged: the caller must make sure that no node gets
+// a larger budget than an unknown one.
 func (s *Scheduler) ImportLearned(now Micros, l Learned) {
 	s.now = max(s.now, now)
 	s.startedAt = max(s.startedAt, now)
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -1,6 +1,7 @@
 package scheduler
 
-// AvoidedNodes returns how many nodes are on the endpoint list and get nothing new now, by the list or by what they showed.
+// AvoidedNodes returns the number of nodes in the endpoint list that are sent no new requests now, because of their
+// listed state or their behavior.
 func (s *Scheduler) AvoidedNodes(now Micros) (count int) {
 	for _, n := range s.nodes {
 		backsOff := n.silentSince > 0 || now < n.backoffUntil || n.isOutlier()
@@ -11,8 +12,8 @@
 	return count
 }
 
-// NodeFor returns the node to which a request would be sent now, "" for none, and its shard. A long request goes there ahead
-// of its end, on which alone the scheduler decides.
+// NodeFor returns the node to which a request would be sent now, "" for none, and its shard. Long requests are streamed
+// there before they are complete. The scheduler decides on a request only once it is complete.
 func (s *Scheduler) NodeFor(now Micros, e Request) (node string, shard int) {
 	s.now = max(s.now, now)
 	shard = e.Shard
--- a/scheduler/queues.go
+++ b/scheduler/queues.go
@@ -2,9 +2,7 @@
 
 import "slices"
 
-// This file keeps what is queued, by shard and volume.
-
-// enqueue queues a request for its shard. A new object goes where the budgets say there is room.
+// enqueue queues a request for its shard. For a new object it chooses the shard by the free budgets.
 func (s *Scheduler) enqueue(r *request) {
 	if r.newObject && r.mayHaveRun == nil {
 		r.Shard = s.choosePlacement(r)
@@ -24,7 +22,7 @@
 	s.busyShards.Add(sh.number, sh)
 }
 
-// dequeue takes a request off its queue, if it is in one.
+// dequeue removes a request from its queue, if it is in one.
 func (s *Scheduler) dequeue(r *request) {
 	f := r.flow
 	if f == nil {
@@ -43,7 +41,7 @@
 	r.flow = nil
 }
 
-// queuedUnits is the sum over the flow's queue.
+// queuedUnits returns the size of all queued requests of the flow.
 func (f *flow) queuedUnits() (units float64) {
 	for _, r := range f.queued {
 		units += r.Units
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Micros is a time or a duration in microseconds. Times come from the caller's clock.
+// Micros is a time or a duration in microseconds. Times are those of the caller's clock.
 type Micros int64
 
 // Idempotency tells what a class allows after an attempt that may have run.
@@ -14,11 +14,11 @@
 // The kinds of Idempotency.
 const (
 	Idempotent      Idempotency = iota // may run any number of times
-	IdempotentByKey                    // repetitions are dropped within a group of nodes, for a while
+	IdempotentByKey                    // repetitions are dropped within a group of nodes, during a window
 	NotIdempotent                      // must not run twice
 )
 
-// DedupScope names the nodes that drop the repetitions of a request with an idempotency key together.
+// DedupScope is the group of nodes that drop repetitions of a request with an idempotency key together.
 type DedupScope int
 
 // The kinds of DedupScope.
@@ -28,66 +28,66 @@
 	SameShard
 )
 
-// The names in the cbor tags below are those of stored fingerprints and recordings: they stay when a field is renamed.
+// The names in the cbor tags below are those of stored fingerprints and recordings. They stay when a field is renamed.
 
 // Class describes one kind of request.
 type Class struct {
-	LatencyObjective Micros      `cbor:"Aim"`    // an answer within this time earns full worth
-	Idempotency      Idempotency `cbor:"Repeat"` // what may be done after an attempt that may have run
-	DedupScope       DedupScope  `cbor:"Group"`  // for IdempotentByKey: where repetitions are dropped
-	DedupWindow      Micros      `cbor:"Window"` // for IdempotentByKey: for how long, from the first attempt that may have run
-	InOrder          bool        // requests with the same key run one at a time, in turn
-	Priority         float64     `cbor:"Worth"` // weight of a request
-	maxAttempts      int         // that a request may have, 0 for no bound
+	LatencyObjective Micros      `cbor:"Aim"`    // an answer within this time has its full value
+	Idempotency      Idempotency `cbor:"Repeat"` // allowed repetition after an attempt that may have run
+	DedupScope       DedupScope  `cbor:"Group"`  // for IdempotentByKey: the nodes that deduplicate together
+	DedupWindow      Micros      `cbor:"Window"` // for IdempotentByKey: time of deduplication, from the first attempt that may have run
+	InOrder          bool        // requests with the same key run one at a time, in order of arrival
+	Priority         float64     `cbor:"Worth"` // value of an answered request, relative to other classes
+	maxAttempts      int         // maximum number of attempts of a request, 0 for no bound
 }
 
-// Plan is the service that a volume has bought. Its figures count over all fronts and nodes.
+// Plan is the service that a volume has bought. Its figures apply to all fronts and nodes together.
 type Plan struct {
-	Reservation float64 // units a second that are reserved, 0 for none
-	Weight      float64 // share of what is left beyond the reservations
-	Limit       float64 // units a second at which the limit's token bucket fills, 0 for no limit
-	Burst       float64 // units that the bucket holds
-	Slack       float64 // units by which the bucket of all fronts may be overdrawn
+	Reservation float64 // reserved units per second, 0 for none
+	Weight      float64 // relative share of the capacity beyond the reservations
+	Limit       float64 // units per second at which the limit's token bucket fills, 0 for no limit
+	Burst       float64 // maximum level of the bucket, in units
+	Slack       float64 // units by which all fronts together may overdraw the bucket
 }
 
-// Settings are the figures that a Scheduler gets at its start.
+// Settings configure a Scheduler.
 type Settings struct {
-	Fronts       int    `cbor:"Hosts"`  // in all
-	FrontIndex   int    `cbor:"Number"` // of this one among them, from 0
+	Fronts       int    `cbor:"Hosts"`  // number of all fronts
+	FrontIndex   int    `cbor:"Number"` // index of this front among them, from 0
 	PeerMessages bool   `cbor:"Peers"`  // fronts may send each other messages, which may be lost
 	Tick         Micros // shortest time between two steps
 	Classes      []Class
 	Plans        []Plan
 
 	MeanUnits           float64 // mean size of a request
-	MaxUnits            float64 `cbor:"MostUnits"` // largest size of a request
-	ServedElsewhereTold bool    `cbor:"Elsewhere"` // answers tell what a node served through other fronts
+	MaxUnits            float64 `cbor:"MostUnits"` // maximum size of a request
+	ServedElsewhereTold bool    `cbor:"Elsewhere"` // answers report the units that a node served through other fronts
 
-	MaxOpen        int  // requests open at once, past which those that earn least are rejected, 0 for no bound
-	MaxAttempts    int  `cbor:"MaxTries"` // that a request may have, 0 for no bound
+	MaxOpen        int  // maximum number of open requests: beyond it the least valuable are rejected; 0 for no bound
+	MaxAttempts    int  `cbor:"MaxTries"` // maximum number of attempts of a request, 0 for no bound
 	HealthChecks   bool `cbor:"Probing"`  // health checks are allowed
 	CancelAttempts bool `cbor:"Cancel"`   // attempts may be cancelled
 
-	ServeLate bool `cbor:"LateWanted"` // late answers are worth having still: such requests leave where nothing is outstanding
+	ServeLate bool `cbor:"LateWanted"` // late answers still have a value: late requests are sent to nodes without outstanding ones
 
-	RetryAfter    bool   // clients are told when to come back
-	MaxRetryAfter Micros // the longest that they heed
+	RetryAfter    bool   // clients are told when to retry
+	MaxRetryAfter Micros // longest time that clients heed
 
-	InitialCapacity  float64 `cbor:"ColdFrom"`     // share of its capacity with which a node starts
-	SlowStart        Micros  `cbor:"Ramp"`         // after this a node has its full capacity at the latest
-	OverloadMultiple float64 `cbor:"FallMultiple"` // a starting node that is sent this multiple of its capacity
-	OverloadSpan     Micros  `cbor:"FallSpan"`     // for this time fails
-	SlowStartUnits   float64 `cbor:"ColdUnits"`    // units within OverloadSpan, over all fronts, that a starting node always bears
-	KeyPause         Micros  `cbor:"KeyRest"`      // of a key after an attempt that may still run
+	InitialCapacity  float64 `cbor:"ColdFrom"`     // share of its capacity that a node has when it starts
+	SlowStart        Micros  `cbor:"Ramp"`         // time after which a started node has its full capacity at the latest
+	OverloadMultiple float64 `cbor:"FallMultiple"` // a starting node fails if it is sent this multiple of its capacity
+	OverloadSpan     Micros  `cbor:"FallSpan"`     // for this time
+	SlowStartUnits   float64 `cbor:"ColdUnits"`    // units within OverloadSpan, over all fronts, that a starting node always withstands
+	KeyPause         Micros  `cbor:"KeyRest"`      // pause of a key after an attempt that may still run
 	RetryBudgetSpan  Micros  `cbor:"RetrySpan"`    // window of the retry budget, 0 for no budget
-	RetryBudgetMin   float64 `cbor:"RetrySpare"`   // retries within the window, however few requests came
-	RetryBudgetShare float64 `cbor:"RetryShare"`   // retries within the window for each request that came in it
+	RetryBudgetMin   float64 `cbor:"RetrySpare"`   // retries within the window that are always allowed
+	RetryBudgetShare float64 `cbor:"RetryShare"`   // allowed retries per request that arrived in the window
 
-	Lease          Micros // what a limit lets flow in so long may be drawn ahead of the next record, 0 for no records
-	RecordLifetime Micros `cbor:"LeaseLast"` // so long after it was made a record may be read back
+	Lease          Micros // a volume may draw the units of so much time before the next record, 0 for no records
+	RecordLifetime Micros `cbor:"LeaseLast"` // time for which a record may be read back after it was made
 }
 
-// validate completes the settings. The error names the field that makes them unusable.
+// validate completes the settings. The error names the invalid field.
 func (set *Settings) validate() error {
 	set.Fronts = max(set.Fronts, 1)
 	if !set.RetryAfter {
--- a/scheduler/setup.go
+++ b/scheduler/setup.go
@@ -14,11 +14,10 @@
 	"otterturn/scheduler/worklist"
 )
 
-// noRetryBound is longer than any request waits.
+// noRetryBound exceeds the time that any request waits.
 const noRetryBound Micros = 1 << 50
 
-// New returns a scheduler for one front. The seed drives all its random choices. The error names the setting that is
-// wrong.
+// New returns a scheduler for one front. The seed drives all its random choices. The error names the invalid setting.
 func New(settings Settings, seed int64) (*Scheduler, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -53,8 +52,8 @@
 	return s, nil
 }
 
-// configure takes over settings. Each class keeps the number of attempts of its time, so that a request that is open keeps
-// what held as it came.
+// configure applies settings. Each class keeps its own maximum number of attempts, so that an open request keeps the one
+// that applied when it arrived.
 func (s *Scheduler) configure(settings Settings) {
 	settings.Classes = slices.Clone(settings.Classes)
 	for i := range settings.Classes {
@@ -75,14 +74,14 @@
 	s.slowStart.MeasurementDoubt = s.minObjective
 }
 
-// retryBudgetChanges reports whether settings ask for another retry budget than the present one.
+// retryBudgetChanges reports whether the settings need a new retry budget.
 func (s *Scheduler) retryBudgetChanges(settings Settings) bool {
 	unconfigured := len(s.settings.Classes) == 0
 	return unconfigured || settings.RetryBudgetSpan != s.settings.RetryBudgetSpan ||
 		settings.RetryBudgetMin != s.settings.RetryBudgetMin || settings.RetryBudgetShare != s.settings.RetryBudgetShare
 }
 
-// retryWindow is for how long after an attempt that may have run another one may begin.
+// retryWindow returns for how long after an attempt that may have run another one may start.
 func (c *Class) retryWindow() Micros {
 	switch c.Idempotency {
 	case Idempotent:
@@ -93,9 +92,9 @@
 	return 0
 }
 
-// Reconfigure takes over other classes, plans and attempts, and figures of requests, whole or not at all. Classes and plans
-// keep their indexes: what is new comes behind. Requests that are open keep their class as it was. What concerns other
-// fronts, the clock and slow start stays as it was at the start.
+// Reconfigure applies other classes, plans, attempts and request sizes, completely or not at all. Classes and plans keep
+// their indexes, new ones are appended. Open requests keep their class as it was. Settings of other fronts, the clock and
+// slow start keep their initial values.
 func (s *Scheduler) Reconfigure(settings Settings) error {
 	old := s.settings
 	settings.Fronts, settings.FrontIndex, settings.PeerMessages = old.Fronts, old.FrontIndex, old.PeerMessages
@@ -107,7 +106,7 @@
 		return err
 	}
 	if len(settings.Classes) < len(old.Classes) || len(settings.Plans) < len(old.Plans) {
-		return fmt.Errorf("settings: %d classes and %d plans, fewer than the %d and %d that are open",
+		return fmt.Errorf("settings: %d classes and %d plans, but the present %d classes and %d plans must not be removed",
 			len(settings.Classes), len(settings.Plans), len(old.Classes), len(old.Plans))
 	}
 	s.configure(settings)
--- a/scheduler/silence.go
+++ b/scheduler/silence.go
@@ -1,9 +1,10 @@
 package scheduler
 
-// nodeSilent takes in that other fronts found a node silent: nothing is sent to it until a health check is answered, which is
-// wanted at once. A younger answer to this front, and the endpoint list, count for more. What answers next may be a new
-// process, which is in slow start before the list says so: other fronts saw whether it was refused or silent, this one did
-// not, so it is guarded as after a broken connection. Without health checks nothing would end the silence.
+// nodeSilent handles the report that other fronts found a node silent. Nothing is sent to it until it answers a health
+// check, which is due at once. A later answer to this front and a newer start in the endpoint list take precedence. The
+// next answer may come from a new process, which is in slow start before the list says so. Other fronts saw whether the
+// node refused connections or was silent, this front did not, so it guards the node as after a broken connection. The
+// report is ignored without health checks, as nothing would end the silence.
 func (s *Scheduler) nodeSilent(e NodeSilent) {
 	n := s.nodesByName[e.Node]
 	if n == nil || !s.settings.HealthChecks || n.StartedAt != e.StartedAt || n.silentSince > 0 {
@@ -16,6 +17,6 @@
 	n.silentSince = s.now
 	n.SuspectedRestart = s.now
 	n.nextCheck = s.now
-	n.lastSend = max(n.lastSend, e.ObservedAt) // checks go by how long the silence lasts, also where this front sent nothing
+	n.lastSend = max(n.lastSend, e.ObservedAt) // the interval of checks follows from the time of silence, even if this front sent nothing
 	s.resetSlowStart(n)
 }
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -6,24 +6,24 @@
 	"otterturn/scheduler/slowstart"
 )
 
-// allocator grants capacity at one node in slow start, where this front is its granter, see package slowstart.
+// allocator grants capacity at one node in slow start for which this front is the granter, see package slowstart.
 type allocator struct {
 	node string
 	*slowstart.Allocator[Micros]
 }
 
-// inSlowStart reports whether a node may still be short of its full capacity.
+// inSlowStart reports whether a node may still have less than its full capacity.
 func (s *Scheduler) inSlowStart(n *node) bool {
 	startedAt := max(n.StartedAt, n.SuspectedRestart)
 	return startedAt > 0 && s.now < startedAt+s.settings.SlowStart
 }
 
-// slowStartAge is how long a node in slow start has been up.
+// slowStartAge returns how long a node in slow start has been up.
 func (s *Scheduler) slowStartAge(n *node) Micros {
 	return s.now - max(n.StartedAt, n.SuspectedRestart)
 }
 
-// slowStartAllows reports whether a node that may be in slow start can take a request more.
+// slowStartAllows reports whether a node that may be in slow start can be sent another request.
 func (s *Scheduler) slowStartAllows(n *node, r *request) bool {
 	if !s.inSlowStart(n) {
 		n.slowStart.Reset()
@@ -56,8 +56,8 @@
 	s.actions = append(s.actions, RequestCapacity{To: granter, Node: n.Node, StartedAt: n.StartedAt, CapacityRequest: wanted})
 }
 
-// slowStartAnswered takes in an answer of a node in slow start, and reports it to the granter: one of many fronts meets the
-// node seldom, and what it saw would be told only with its next request.
+// slowStartAnswered handles an answer of a node in slow start and reports it to the granter. One of many fronts sends to
+// the node rarely: without the report, the granter would hear of the answer only with this front's next request.
 func (s *Scheduler) slowStartAnswered(n *node, r *request, latency Micros) {
 	n.slowStart.Answered(s.now, r.Key, r.Units, latency)
 	granter, _ := s.slowStart.Granter(n.Node, s.now)
@@ -67,7 +67,7 @@
 	}
 }
 
-// resetSlowStart forgets what a node showed of its speed, where it may have started again.
+// resetSlowStart drops what is known of a node's speed because it may have restarted.
 func (s *Scheduler) resetSlowStart(n *node) {
 	n.slowStart.Reset()
 	for _, a := range s.allocators {
@@ -77,8 +77,8 @@
 	}
 }
 
-// capacityRequested has a front wait for capacity at a node, or takes in its load report. A node that this front has not been
-// told of gets no grants from here, and a report of a start that this front does not know counts for none.
+// capacityRequested queues a front's request for capacity at a node, or handles its load report. A node that is not in
+// this front's endpoint list gets no grants from here, and a report on an unknown start of the node is ignored.
 func (s *Scheduler) capacityRequested(e CapacityRequested) {
 	n := s.nodesByName[e.Node]
 	if e.From < 0 || e.From >= s.settings.Fronts || n == nil {
@@ -95,7 +95,6 @@
 	a.Request(s.now, e.From, e.CapacityRequest)
 }
 
-// allocatorFor finds or creates the allocator of a node.
 func (s *Scheduler) allocatorFor(node string) allocator {
 	i := slices.IndexFunc(s.allocators, func(a allocator) bool { return a.node == node })
 	if i < 0 {
@@ -105,7 +104,8 @@
 	return s.allocators[i]
 }
 
-// grantCapacity grants what may be sent to nodes in slow start. One that this front takes for warm may have restarted unseen.
+// grantCapacity grants capacity at nodes in slow start. A node that this front considers warm may have restarted
+// unnoticed, so requests for it are granted too.
 func (s *Scheduler) grantCapacity() {
 	active := s.allocators[:0]
 	for _, a := range s.allocators {
@@ -122,7 +122,7 @@
 func (s *Scheduler) grantAt(n *node, a allocator) {
 	granter, mayGrant := s.slowStart.Granter(a.node, s.now)
 	if granter != s.settings.FrontIndex {
-		a.DropRequests() // those who wait have to ask another front by now
+		a.DropRequests() // the waiting fronts must ask another granter now
 	}
 	formerGrantsUntil := max(s.startedAt, s.noGrantsBefore) + s.slowStart.GrantLifetime()
 	if !mayGrant || s.now <= formerGrantsUntil {
@@ -141,7 +141,7 @@
 	}
 }
 
-// capacityGranted takes in a grant. It counts only from the granter of the time at which it was made.
+// capacityGranted handles a grant. It is valid only if its sender was the granter when it was made.
 func (s *Scheduler) capacityGranted(e CapacityGranted) {
 	n := s.nodesByName[e.Node]
 	if n == nil || e.Units <= 0 || !s.slowStart.MayHaveGranted(e.Node, e.From, s.now, e.ValidUntil) {
@@ -151,7 +151,7 @@
 	n.slowStart.Granted(s.now, e.Units, e.ValidUntil)
 }
 
-// capacityPending reports whether a front waits for capacity that this one grants.
+// capacityPending reports whether a front waits for capacity that this front grants.
 func (s *Scheduler) capacityPending() bool {
 	return slices.ContainsFunc(s.allocators, func(a allocator) bool { return a.Pending() })
 }
--- a/scheduler/sweep.go
+++ b/scheduler/sweep.go
@@ -1,14 +1,12 @@
 package scheduler
 
-// This file forgets volumes and flows that are idle.
-
-// Bounds of a sweep: more entries are looked at in a step than may come in it.
+// A step examines at most sweepBase entries plus sweepPerEvent per event: more than a step can create.
 const (
 	sweepBase     = 8
 	sweepPerEvent = 4
 )
 
-// sweep forgets expired volumes, flows and rejected requests, some in each step.
+// sweep removes expired volumes, flows and rejected requests, a bounded number in each step.
 func (s *Scheduler) sweep(events int) {
 	if s.now >= s.sweptAt+slowInterval {
 		s.sweptAt = s.now
@@ -19,19 +17,19 @@
 	s.rejected.Sweep(limit, func(r *request) bool { return r.deadline < s.now })
 }
 
-// flowExpired reports whether a flow's weight tag counts no more.
+// flowExpired reports whether a flow's weight tag is too old to matter.
 func (s *Scheduler) flowExpired(f *flow) bool {
 	empty := len(f.queued) == 0 && f.emptySince < s.now && f.emptySince <= s.sweptAt
 	return empty && s.sweptAt > f.lastSentAt+curvePoints*slowInterval
 }
 
-// volumeExpired reports whether a volume was idle as of the last time that counts, and nothing was asked of it since.
+// volumeExpired reports whether a volume was idle at sweptAt and has not been used since.
 func (s *Scheduler) volumeExpired(v *volume) bool {
 	unused := v.openRequests == 0 && v.idleSince <= s.sweptAt && v.bucket.At <= s.sweptAt
 	return unused && !v.bucket.IsBound(s.sweptAt) && s.volumeIdle(v, s.sweptAt)
 }
 
-// volumeIdle reports whether a volume would come back as it is from nothing: its bucket is full and its reservation tag old.
+// volumeIdle reports whether a new volume would have the same state: the bucket is full and the reservation tag is old.
 func (s *Scheduler) volumeIdle(v *volume, at Micros) bool {
 	if v.openRequests > 0 {
 		return false
