--- a/scheduler/cost_test.go
+++ b/scheduler/cost_test.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// load is one host's scheduler at a size, with requests that each are sent and answered at once.
+// load drives one front's scheduler with a given number of nodes and volumes. Each of its requests is sent and answered
+// at once, or after outstanding later requests.
 type load struct {
 	s                     *Scheduler
 	now                   Micros
 	nodes, volumes, asked int
-	open                  []string // sent, in turn; out of them so many stay out
+	open                  []string // started requests in order; up to outstanding of them stay unanswered
 	out                   int
 }
 
@@ -35,7 +36,7 @@
 	return l
 }
 
-// one is a request, and the answer to the oldest one.
+// one handles a new request and the answer to the oldest one.
 func (l *load) one() {
 	l.now += 1000
 	id := strconv.Itoa(l.asked)
@@ -52,8 +53,8 @@
 	}
 }
 
-// A step with one request and one answer, by the size of the fleet and the number of volumes: idle, and with 200 requests
-// out. 'make step-cost' prints it.
+// BenchmarkStep measures a step with one request and one answer, by the number of nodes and volumes: without outstanding
+// requests and with 200. 'make step-cost' prints the results.
 func BenchmarkStep(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000, 10_000} {
 		for _, volumes := range []int{100, 10_000, 100_000} {
@@ -70,11 +71,11 @@
 	}
 }
 
-// Within one run, a step costs about as much before 10,000 nodes as before 10.
+// Within one run, a step costs about as much with 10,000 nodes as with 10.
 func TestCostDoesNotGrowWithTheFleet(t *testing.T) {
 	small, large := newLoad(t, 10, 1000, 0), newLoad(t, 10_000, 1000, 0)
 	cost := func(l *load) (best time.Duration) {
-		for range 9 { // in turn, and the best: a busy machine slows both down
+		for range 9 { // the two loads alternate and the minimum counts, as a busy machine slows both down
 			began := time.Now()
 			for range 2000 {
 				l.one()
@@ -86,35 +87,35 @@
 		return best
 	}
 	few, many := cost(small), cost(large)
-	t.Logf("%v a step before 10 nodes, %v before 10,000", few/2000, many/2000)
-	if many > 4*few { // twice is measured, and the walk over all cost 500 times
-		t.Errorf("2,000 steps took %v before 10 nodes and %v before 10,000", few, many)
+	t.Logf("%v per step with 10 nodes, %v with 10,000", few/2000, many/2000)
+	if many > 4*few { // a factor of 2 was measured; a scan of all nodes in each step cost a factor of 500
+		t.Errorf("2,000 steps took %v with 10 nodes and %v with 10,000, want at most 4 times as long", few, many)
 	}
 }
 
-// Ever new volumes leave nothing behind: they are forgotten at the pace at which they come.
+// An endless series of new volumes must not use ever more memory: they are removed as fast as they arrive.
 func TestManyVolumesLeaveNothingBehind(t *testing.T) {
 	l := newLoad(t, 10, 1, 0)
-	l.volumes = 1 << 40 // each its own
+	l.volumes = 1 << 40 // a new volume for each request
 	most := 0
 	for range 60_000 {
 		l.one()
 		most = max(most, l.s.volumes.Len())
 	}
-	// A thousand come in a second. One counts until its reservation's store is full again, and a flow for 32 s.
+	// 1,000 volumes arrive per second. A volume is kept until its reservation has accumulated again, a flow for 32 s.
 	if flows := l.s.flows.Len(); most > 10_000 || flows > 50_000 {
-		t.Errorf("%d volumes and %d flows of 60,000 were kept", most, flows)
+		t.Errorf("up to %d volumes and finally %d flows of 60,000 are kept, want at most 10,000 and 50,000", most, flows)
 	}
 	for range 200_000 {
 		l.now += 1000
 		l.s.Step(l.now, nil)
 	}
 	if left := l.s.volumes.Len() + l.s.flows.Len(); left > 5 {
-		t.Errorf("%d stay", left)
+		t.Errorf("%d volumes and flows are kept after 200 s without requests, want at most 5", left)
 	}
 }
 
-// A list of 10,000 nodes in the place of 10,000 others.
+// BenchmarkListReplacedWhole replaces an endpoint list of 10,000 nodes by one of 10,000 others.
 func BenchmarkListReplacedWhole(b *testing.B) {
 	s, err := New(testSettings(), 1)
 	if err != nil {
@@ -133,7 +134,7 @@
 	}
 }
 
-// What is kept of a node, of an idle volume with a flow, and of a request that is held, in bytes.
+// BenchmarkBytes measures the memory, in bytes, of a node, of an idle volume with a flow and of a queued request.
 func BenchmarkBytes(b *testing.B) {
 	for _, c := range []struct {
 		what string
--- a/scheduler/digest_actions_test.go
+++ b/scheduler/digest_actions_test.go
@@ -35,7 +35,7 @@
 		w.add(kindAlarm, a.At)
 		w.alarmAt = a.At
 	default:
-		w.t.Fatalf("an action of type %T", a)
+		w.t.Fatalf("unknown action type %T", a)
 	}
 }
 
@@ -44,11 +44,12 @@
 	fmt.Fprintln(w.digest, append([]any{kind, int64(w.now)}, values...)...)
 }
 
-// start has an attempt end some time later, most of them well; one node of four is slow.
+// start schedules the end of an attempt. Five of six attempts succeed, and nodes whose names end in a multiple of 4 are
+// slow.
 func (w *digestWorld) start(a scheduler.StartAttempt) {
 	r := w.requests[a.ID]
 	if r == nil {
-		w.t.Fatalf("%s is sent without being owed an answer", a.ID)
+		w.t.Fatalf("%s is sent although it is not open", a.ID)
 	}
 	latency := scheduler.Micros(3000 + w.rng.IntN(60_000))
 	if slow := a.Node[len(a.Node)-1]%4 == 0; slow {
@@ -71,7 +72,7 @@
 	r.attempts++
 }
 
-// cancel ends an attempt that the scheduler gave up.
+// cancel ends an attempt that the scheduler cancelled.
 func (w *digestWorld) cancel(c scheduler.CancelAttempt) {
 	for i := range w.attempts {
 		if a := &w.attempts[i]; a.id == c.ID && a.number == c.Attempt {
--- a/scheduler/digest_test.go
+++ b/scheduler/digest_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// digestEvents is how many events the schedule of TestActionsDigest has.
+// digestEvents is the number of events in the schedule of TestActionsDigest.
 const digestEvents = 100_000
 
-// actionsDigest is the digest of the scheduler's actions over that schedule. It changes only where a decision is meant to
-// change; the commit that changes it says why.
+// actionsDigest is the digest of the scheduler's actions for that schedule. It may change only with an intended change of
+// a decision, which the commit that changes the digest explains.
 const actionsDigest = "88cb3e526a9695d3"
 
-// TestActionsDigest holds the scheduler to the same actions for the same events: refactoring must not change a decision.
+// TestActionsDigest checks that the same events lead to the same actions: refactoring must not change a decision.
 func TestActionsDigest(t *testing.T) {
 	w := newDigestWorld(t)
 	for w.events < digestEvents {
@@ -23,7 +23,7 @@
 	}
 	for kind := range digestKinds {
 		if w.kinds[kind] == 0 {
-			t.Errorf("the schedule brings no action of kind %d", kind)
+			t.Errorf("no action of kind %d occurred", kind)
 		}
 	}
 }
--- a/scheduler/digest_world_test.go
+++ b/scheduler/digest_world_test.go
@@ -13,7 +13,7 @@
 	"otterturn/scheduler/slowstart"
 )
 
-// openAttempt is an attempt that the scheduler started and that has not ended.
+// openAttempt is an attempt that has not ended.
 type openAttempt struct {
 	id     string
 	number int
@@ -23,7 +23,7 @@
 	result scheduler.Result
 }
 
-// openRequest is a request that the scheduler has and has not answered.
+// openRequest is a request without a final answer.
 type openRequest struct {
 	deadline scheduler.Micros
 	attempts int
@@ -48,7 +48,7 @@
 	kinds   [digestKinds]int
 }
 
-// Kinds of actions in the digest. Their numbers are part of it.
+// Kinds of actions in the digest. Their numbers are part of the digest.
 const (
 	kindSend = iota
 	kindRefuse
@@ -103,7 +103,7 @@
 	return w
 }
 
-// advance lets some time pass and brings what is due then, with something new beside it.
+// advance lets some time pass and handles the events that are due then and a random one.
 func (w *digestWorld) advance() {
 	w.now += scheduler.Micros(1 + w.rng.IntN(4000))
 	var events []scheduler.Event
@@ -117,7 +117,7 @@
 	w.step(events...)
 }
 
-// endedAttempts are the outcomes that are due.
+// endedAttempts returns the outcomes that are due.
 func (w *digestWorld) endedAttempts() (events []scheduler.Event) {
 	w.attempts = slices.DeleteFunc(w.attempts, func(a openAttempt) bool {
 		if a.endsAt > w.now {
@@ -148,7 +148,7 @@
 	return events
 }
 
-// something is an event at random: mostly a request.
+// something returns a random event, in most cases a request.
 func (w *digestWorld) something() []scheduler.Event {
 	switch n := w.rng.IntN(1000); {
 	case n < 700:
@@ -191,7 +191,7 @@
 	return r
 }
 
-// departure is a client that leaves.
+// departure returns the event of a client that leaves.
 func (w *digestWorld) departure() []scheduler.Event {
 	if len(w.requests) == 0 {
 		return nil
@@ -206,7 +206,7 @@
 	return []scheduler.Event{scheduler.ClientLeft{ID: id}}
 }
 
-// changedNode drains a node, starts it again, or takes it from the list and brings it back.
+// changedNode drains, restarts, removes or re-adds a random node.
 func (w *digestWorld) changedNode() scheduler.Event {
 	n := &w.nodes[w.rng.IntN(len(w.nodes))]
 	switch {
@@ -222,7 +222,7 @@
 
 func (w *digestWorld) anyNode() string { return w.nodes[w.rng.IntN(len(w.nodes))].Node }
 
-// learned reads what the scheduler knows, which also prepares the limits' records.
+// learned exports the learned state, which also prepares the records of the limits.
 func (w *digestWorld) learned() {
 	for from := 0; ; {
 		var l scheduler.Learned
--- a/scheduler/example_test.go
+++ b/scheduler/example_test.go
@@ -6,7 +6,7 @@
 	"otterturn/scheduler"
 )
 
-// A caller's loop: events go in with the time, actions come out to be carried out.
+// Example shows a caller's loop: it passes events with their time and carries out the returned actions.
 func Example() {
 	s, err := scheduler.New(scheduler.Settings{
 		Fronts: 1, Tick: 1000, MeanUnits: 2, MaxUnits: 8,
@@ -25,7 +25,7 @@
 	}{
 		{1_000, []scheduler.Event{scheduler.EndpointsChanged{Full: true, Endpoints: []scheduler.Endpoint{node}}, read}},
 		{21_000, []scheduler.Event{scheduler.AttemptEnded{ID: "read-1", Latency: 20_000, Final: true}}},
-		{22_000, []scheduler.Event{scheduler.Request{ID: "read-2", Volume: "vol-1", Units: 2, Fronts: 1}}}, // no time left
+		{22_000, []scheduler.Event{scheduler.Request{ID: "read-2", Volume: "vol-1", Units: 2, Fronts: 1}}}, // the client's time is over
 	}
 	for _, b := range batches {
 		for _, action := range s.Step(b.now, b.events) {
@@ -33,12 +33,12 @@
 			case scheduler.StartAttempt:
 				fmt.Println("send", a.ID, "to", a.Node)
 			case scheduler.Reject:
-				fmt.Println("refuse", a.ID)
+				fmt.Println("reject", a.ID)
 			case scheduler.Fail, scheduler.CancelAttempt, scheduler.CheckHealth, scheduler.SetTimer:
 			}
 		}
 	}
 	// Output:
 	// send read-1 to node-a
-	// refuse read-2
+	// reject read-2
 }
--- a/scheduler/fuzz_peer_test.go
+++ b/scheduler/fuzz_peer_test.go
@@ -4,16 +4,17 @@
 	"pgregory.net/rapid"
 )
 
-// peer plays everything around a scheduler by the rules of the interface, at random, and holds it to what it promises.
+// peer simulates the surroundings of a scheduler: it sends random events that are valid, and checks the actions against
+// the guarantees of the interface.
 type peer struct {
 	t     *rapid.T
 	s     *Scheduler
 	now   Micros
 	known []Endpoint
 	open  map[string]*asked
-	ids   []string // of open, in turn, so that a draw repeats
+	ids   []string // keys of open in order of arrival, so that draws are reproducible
 	sent  int
-	spent map[string]float64 // units, by volume of a limited plan
+	spent map[string]float64 // units drawn, by volume, of plans with a limit
 	alarm Micros
 	probe []string
 	began Micros
@@ -26,7 +27,7 @@
 	out      bool
 	node     string
 	ran      bool
-	final    bool // answered, while an attempt is out
+	final    bool // the final answer was given while an attempt is outstanding
 }
 
 func (p *peer) step(events ...Event) {
@@ -38,22 +39,22 @@
 			case r == nil || r.final:
 				p.t.Fatalf("%s is sent after its final answer", a.ID)
 			case r.out:
-				p.t.Fatalf("%s is sent while an attempt is out", a.ID)
+				p.t.Fatalf("%s is sent while an attempt is outstanding", a.ID)
 			case r.ran && p.s.settings.Classes[r.Class].Idempotency == NotIdempotent:
-				p.t.Fatalf("%s is sent again, it may have run", a.ID)
+				p.t.Fatalf("%s is sent again although it may have run", a.ID)
 			case p.state(a.Node) != Running:
-				p.t.Fatalf("%s is sent to %s, which does not run", a.ID, a.Node)
+				p.t.Fatalf("%s is sent to %s, which is not running", a.ID, a.Node)
 			}
 			if r.attempts == 0 && p.s.settings.Plans[r.Plan].Limit > 0 {
 				p.spent[r.Volume] += r.Units
 				plan := p.s.settings.Plans[r.Plan]
 				if most := plan.Burst + plan.Limit*float64(p.now-p.began)/1e6; p.spent[r.Volume] > most+1e-6 {
-					p.t.Fatalf("%s drew %v units, its limit let %v flow in", r.Volume, p.spent[r.Volume], most)
+					p.t.Fatalf("%s drew %v units, its limit allows %v", r.Volume, p.spent[r.Volume], most)
 				}
 			}
 			r.out, r.node, r.attempts = true, a.Node, r.attempts+1
 			if n := len(p.s.nodesByName[a.Node].pending); n > maxBudgetRequests {
-				p.t.Fatalf("%d requests are out at %s", n, a.Node)
+				p.t.Fatalf("%d requests are outstanding at %s", n, a.Node)
 			}
 		case Reject:
 			p.end(a.ID)
@@ -61,7 +62,7 @@
 			p.end(a.ID)
 		case CancelAttempt:
 			if r := p.open[a.ID]; r == nil || !r.out || a.Attempt != r.attempts-1 {
-				p.t.Fatalf("%s: attempt %d is taken back, which is not out", a.ID, a.Attempt)
+				p.t.Fatalf("%s: attempt %d is cancelled, but not outstanding", a.ID, a.Attempt)
 			}
 		case CheckHealth:
 			p.probe = append(p.probe, a.Node)
@@ -72,7 +73,7 @@
 	late := (timerTicks + 2) * p.s.settings.Tick
 	for id, r := range p.open {
 		if !r.out && !r.final && p.now > r.deadline+late {
-			p.t.Fatalf("%s is held %v us after its deadline", id, p.now-r.deadline)
+			p.t.Fatalf("%s has no answer %v us after its deadline", id, p.now-r.deadline)
 		}
 	}
 }
@@ -86,11 +87,11 @@
 	return Removed
 }
 
-// end is a final answer of the scheduler's.
+// end handles a final answer of the scheduler.
 func (p *peer) end(id string) {
 	r := p.open[id]
 	if r == nil || r.final {
-		p.t.Fatalf("%s has a second final answer", id)
+		p.t.Fatalf("%s got a final answer while none was owed", id)
 	}
 	p.forget(id)
 }
@@ -109,7 +110,7 @@
 	}
 }
 
-// outs are the requests with an attempt out, in turn.
+// outs returns the requests with an outstanding attempt, in order of arrival.
 func (p *peer) outs() (ids []string) {
 	for _, id := range p.ids {
 		if p.open[id].out {
@@ -136,7 +137,7 @@
 	p.step(o)
 }
 
-// wait lets time pass: an alarm that is set comes, and attempts end at their deadline.
+// wait lets time pass: the timer fires, and attempts end at their request's deadline.
 func (p *peer) wait(span Micros) {
 	for until := p.now + span; p.now < until; {
 		next := until
--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -9,12 +9,13 @@
 	"otterturn/scheduler/slowstart"
 )
 
-// any legal stream of events keeps the promises, and leaves nothing behind once all is over.
+// promises checks that any valid sequence of events keeps the guarantees of the interface, and that no state remains in
+// the end.
 func promises(t *rapid.T) {
 	set := testSettings()
-	set.PeerMessages, set.Fronts = rapid.Bool().Draw(t, "peers"), rapid.SampledFrom([]int{1, 2, 5}).Draw(t, "hosts")
-	set.CancelAttempts, set.MaxOpen = rapid.Bool().Draw(t, "cancel"), rapid.SampledFrom([]int{0, 8, 40}).Draw(t, "most open")
-	if rapid.Bool().Draw(t, "allowance") {
+	set.PeerMessages, set.Fronts = rapid.Bool().Draw(t, "peer messages"), rapid.SampledFrom([]int{1, 2, 5}).Draw(t, "fronts")
+	set.CancelAttempts, set.MaxOpen = rapid.Bool().Draw(t, "cancel"), rapid.SampledFrom([]int{0, 8, 40}).Draw(t, "max open")
+	if rapid.Bool().Draw(t, "retry budget") {
 		set.RetryBudgetSpan, set.RetryBudgetMin, set.RetryBudgetShare = 5_000_000, 2, 0.2
 	}
 	s, err := New(set, rapid.Int64().Draw(t, "seed"))
@@ -27,7 +28,7 @@
 		p.known = nil
 		for i := range rapid.IntRange(0, 5).Draw(t, "nodes") {
 			l := Endpoint{Node: fmt.Sprint("n", i), Shard: i % 4, Zone: i % 2, State: rapid.SampledFrom([]NodeState{Running, Running, Draining}).Draw(t, "state")}
-			if rapid.IntRange(0, 3).Draw(t, "starts") == 0 {
+			if rapid.IntRange(0, 3).Draw(t, "started") == 0 {
 				l.StartedAt = p.now
 			}
 			p.known = append(p.known, l)
@@ -36,75 +37,75 @@
 	}
 	list(t)
 	t.Repeat(map[string]func(*rapid.T){
-		"list": list,
-		"ask": func(t *rapid.T) {
+		"endpoint list": list,
+		"request": func(t *rapid.T) {
 			p.sent++
 			r := &asked{Request: Request{
 				ID: fmt.Sprint("r", p.sent), Class: rapid.IntRange(0, len(set.Classes)-1).Draw(t, "class"),
 				Plan: rapid.IntRange(0, len(set.Plans)-1).Draw(t, "plan"), Key: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key"),
 				Units: float64(rapid.IntRange(1, int(set.MaxUnits)).Draw(t, "units")), Shard: rapid.IntRange(-1, 4).Draw(t, "shard"),
-				Fronts: 1, TimeLeft: Micros(rapid.IntRange(1000, 3_000_000).Draw(t, "left")),
+				Fronts: 1, TimeLeft: Micros(rapid.IntRange(1000, 3_000_000).Draw(t, "time left")),
 			}}
 			r.Volume = fmt.Sprint("v", r.Plan, rapid.IntRange(0, 2).Draw(t, "volume"))
 			r.deadline = p.now + r.TimeLeft
 			p.open[r.ID], p.ids = r, append(p.ids, r.ID)
 			p.step(r.Request)
 		},
-		"answer": func(t *rapid.T) {
+		"attempt ends": func(t *rapid.T) {
 			if outs := p.outs(); len(outs) > 0 {
 				p.answer(rapid.SampledFrom(outs).Draw(t, "which"), Result(rapid.IntRange(0, 7).Draw(t, "result")))
 			}
 		},
-		"leave": func(t *rapid.T) {
+		"client leaves": func(t *rapid.T) {
 			if len(p.ids) > 0 {
 				id := rapid.SampledFrom(p.ids).Draw(t, "which")
 				p.forget(id)
 				p.step(ClientLeft{ID: id})
 			}
 		},
-		"probed": func(t *rapid.T) {
+		"health check ends": func(t *rapid.T) {
 			if len(p.probe) > 0 {
 				node := p.probe[0]
 				p.probe = p.probe[1:]
-				p.step(HealthChecked{Node: node, OK: rapid.Bool().Draw(t, "alive"), Queue: float64(rapid.IntRange(-1, 9).Draw(t, "queue"))})
+				p.step(HealthChecked{Node: node, OK: rapid.Bool().Draw(t, "ok"), Queue: float64(rapid.IntRange(-1, 9).Draw(t, "queue"))})
 			}
 		},
-		"asked": func(t *rapid.T) {
+		"capacity requested": func(t *rapid.T) {
 			p.step(CapacityRequested{
 				From: rapid.IntRange(-1, 9).Draw(t, "from"), Node: fmt.Sprint("n", rapid.IntRange(0, 6).Draw(t, "node")),
 				CapacityRequest: slowstart.CapacityRequest{Units: float64(rapid.IntRange(0, 9).Draw(t, "units")), MinUnits: 1, Report: slowstart.LoadReport{Units: 5, Time: 1}},
 			})
 		},
-		"granted": func(t *rapid.T) {
+		"capacity granted": func(t *rapid.T) {
 			p.step(CapacityGranted{
 				From: rapid.IntRange(0, 4).Draw(t, "from"), Node: fmt.Sprint("n", rapid.IntRange(0, 6).Draw(t, "node")),
-				Units: rapid.Float64Range(0, 9).Draw(t, "units"), ValidUntil: p.now + Micros(rapid.IntRange(-1000, 200_000).Draw(t, "lasts")),
+				Units: rapid.Float64Range(0, 9).Draw(t, "units"), ValidUntil: p.now + Micros(rapid.IntRange(-1000, 200_000).Draw(t, "validity")),
 			})
 		},
-		"wait": func(t *rapid.T) { p.wait(Micros(rapid.IntRange(1, 700_000).Draw(t, "wait"))) },
+		"time passes": func(t *rapid.T) { p.wait(Micros(rapid.IntRange(1, 700_000).Draw(t, "wait"))) },
 	})
 	for _, id := range p.outs() {
 		p.answer(id, NotStarted)
 	}
 	p.wait(4_000_000)
 	if len(p.open) > 0 {
-		t.Fatalf("%d requests have no answer", len(p.open))
+		t.Fatalf("%d requests have no final answer", len(p.open))
 	}
 	for range 40 {
 		p.wait(2_000_000)
 	}
 	if left := len(s.requests) + s.volumes.Len() + s.flows.Len() + s.rejected.Len() + s.busyShards.Len() + len(s.allocators); left > 0 {
-		t.Fatalf("%d requests, %d volumes, %d flows, %d refused, %d shards with something held and %d allocators stay", len(s.requests), s.volumes.Len(),
+		t.Fatalf("%d requests, %d volumes, %d flows, %d rejected requests, %d shards with queued requests and %d allocators remain", len(s.requests), s.volumes.Len(),
 			s.flows.Len(), s.rejected.Len(), s.busyShards.Len(), len(s.allocators))
 	}
 	for _, n := range s.nodes {
 		if len(n.pending) > 0 || n.outstandingUnits != 0 {
-			t.Fatalf("%s: %d requests and %v units stay out", n.Node, len(n.pending), n.outstandingUnits)
+			t.Fatalf("%s: %d requests and %v units remain outstanding", n.Node, len(n.pending), n.outstandingUnits)
 		}
 	}
 }
 
 func TestStepKeepsItsPromises(t *testing.T) { rapid.Check(t, promises) }
 
-// 'go test -fuzz FuzzStep ./rules' looks for streams that break a promise.
+// FuzzStep searches for sequences of events that violate a guarantee: go test -fuzz FuzzStep ./scheduler
 func FuzzStep(f *testing.F) { f.Fuzz(rapid.MakeFuzz(promises)) }
--- a/scheduler/handover_test.go
+++ b/scheduler/handover_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// What two processes of a host send together of a limited volume is what one might have sent, whenever the predecessor
-// yields, whatever it holds then, and if the successor ends again, before it sent anything or later.
+// Two processes of a front together send no more requests of a limited volume than one process could have sent: at any
+// time of the handover, with any queued requests, and if the successor ends again before or after it has sent something.
 func TestTwoProcessesDrawAsOne(t *testing.T) {
 	const rate, burst, slack, units = 10.0, 36.0, 6.0, 2.0
 	set := Settings{
@@ -26,7 +26,7 @@
 		now := Micros(1_000_000)
 		list := EndpointsChanged{Full: true, Endpoints: []Endpoint{{Node: "n"}}}
 		sent, n := 0.0, 0
-		level, at := slack/2, now // of the bucket that both have together, which may start with as much
+		level, at := slack/2, now // level of the common bucket of both processes; half the slack is the allowed initial level
 		step := func(s *Scheduler, events ...Event) {
 			for _, a := range s.Step(now, events) {
 				if send, ok := a.(StartAttempt); ok {
@@ -34,7 +34,7 @@
 					level = min(burst, level+rate*float64(now-at)/float64(second)) - units
 					at = now
 					if level < -slack {
-						t.Fatalf("%v units sent at %d, the bucket stands at %v", sent, now, level)
+						t.Fatalf("after %v units at %d the level of the bucket is %v", sent, now, level)
 					}
 					s.Step(now, []Event{AttemptEnded{ID: send.ID, Result: OK, Final: true, Latency: 1000}})
 				}
@@ -53,12 +53,12 @@
 		used := false
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += Micros(rapid.IntRange(1, 400_000).Draw(t, "pause"))
-			switch rapid.IntRange(0, 4).Draw(t, "what") {
+			switch rapid.IntRange(0, 4).Draw(t, "operation") {
 			case 0, 1:
-				ask(predecessor, rapid.IntRange(1, 10).Draw(t, "at the predecessor"))
+				ask(predecessor, rapid.IntRange(1, 10).Draw(t, "requests to the predecessor"))
 			case 2:
 				if successor != nil {
-					ask(successor, rapid.IntRange(1, 10).Draw(t, "at the successor"))
+					ask(successor, rapid.IntRange(1, 10).Draw(t, "requests to the successor"))
 					used = true
 				}
 			case 3:
@@ -86,7 +86,8 @@
 	})
 }
 
-// A request that is open keeps the attempts that it came with; one that comes later has those of the new settings.
+// An open request keeps the maximum number of attempts that applied when it arrived. A later request has that of the new
+// settings.
 func TestOpenRequestsKeepTheirClass(t *testing.T) {
 	set := Settings{
 		Fronts: 1, Tick: 1000, MeanUnits: 2, MaxUnits: 6, MaxAttempts: 2, Classes: []Class{{LatencyObjective: 300_000, Priority: 1}},
@@ -115,12 +116,12 @@
 	}
 	set.MaxAttempts = 1
 	if got := tries("old", func() { s.Reconfigure(set) }); got != 2 {
-		t.Errorf("a request that was open had %d attempts", got)
+		t.Errorf("an open request had %d attempts, want 2", got)
 	}
 	if got := tries("new", func() {}); got != 1 {
-		t.Errorf("a later one had %d", got)
+		t.Errorf("a later request had %d attempts, want 1", got)
 	}
 	if err := s.Reconfigure(Settings{}); err == nil {
-		t.Error("settings of nothing were taken")
+		t.Error("empty settings were accepted")
 	}
 }
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -7,7 +7,7 @@
 
 const ms Micros = 1000
 
-// testSettings are round figures of no deployment.
+// testSettings returns round figures that no deployment uses.
 func testSettings() Settings {
 	return Settings{
 		Fronts: 2, Tick: ms,
@@ -35,7 +35,7 @@
 	t   *testing.T
 	s   *Scheduler
 	now Micros
-	// tries counts the sends of each request, at each node the sends still out.
+	// number of started attempts by request
 	tries map[string]int
 	last  []Action
 }
@@ -68,7 +68,7 @@
 	return h.step(events...)
 }
 
-// idle lets time pass with a wake-up every few milliseconds and gathers the actions.
+// idle lets time pass, fires the timer every 5 ms and returns all actions.
 func (h *host) idle(d Micros) (all []Action) {
 	for end := h.now + d; h.now < end; {
 		all = append(all, h.after(5*ms, TimerFired{})...)
@@ -112,6 +112,6 @@
 func (h *host) wantSends(actions []Action, want ...string) {
 	h.t.Helper()
 	if got := sends(actions); !reflect.DeepEqual(got, want) {
-		h.t.Errorf("sends %v, want %v", got, want)
+		h.t.Errorf("started %v, want %v", got, want)
 	}
 }
--- a/scheduler/late_test.go
+++ b/scheduler/late_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// One attempt ran into a deadline of 4 s. The node answers all that comes since, and probes, which tell no queue: it has to
-// be sent something again within 10 s.
+// An attempt timed out after 4 s. Since then the node has answered all requests and health checks, without a load report.
+// It must be sent another request within 10 s.
 func TestNodeIsTriedAgainBehindALongTimeOut(t *testing.T) {
 	h := newHost(t, testSettings())
-	for i := range 100 { // 5 s, of which the last answers are slower than the first: the node is not calm
+	for i := range 100 { // 5 s; the last answers are slower than the first, so that lowLatency is false
 		id, latency := fmt.Sprint("before-", i), 5*ms
 		if i > 50 {
 			latency = 20 * ms
@@ -28,10 +28,10 @@
 			return
 		}
 	}
-	t.Error("nothing was sent within 10 s to a node that answers")
+	t.Error("no request was sent within 10 s to a node that answers")
 }
 
-// answerProbes lets time pass in which each probe is answered at once.
+// answerProbes lets time pass and answers each health check at once.
 func answerProbes(h *host, span Micros) {
 	for end := h.now + span; h.now < end; {
 		var events []Event
--- a/scheduler/learned_test.go
+++ b/scheduler/learned_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// recalled is a host that starts with what another one learned, before nodes as they are listed now.
+// recalled returns a front that starts with the state that another one learned and with the given endpoint list.
 func recalled(t *testing.T, l Learned, list ...Endpoint) *host {
 	h := newHost(t, testSettings())
 	h.s.now, h.now = l.At, l.At
@@ -15,7 +15,7 @@
 	return h
 }
 
-// What goes out comes in as it was, whichever parts it is taken in.
+// Exported state that is imported and exported again is unchanged, in parts of any size.
 func TestLearnedComesBackAsItWas(t *testing.T) {
 	h := newHost(t, testSettings())
 	for i := range 60 {
@@ -25,7 +25,7 @@
 	}
 	whole, next := h.s.ExportLearned(h.now, 0, math.MaxInt32)
 	if next != 0 || len(whole.Nodes) < 2 || len(whole.Volumes) < 10 || len(whole.Flows) == 0 {
-		t.Fatalf("%d nodes, %d accounts, %d leads, next %d", len(whole.Nodes), len(whole.Volumes), len(whole.Flows), next)
+		t.Fatalf("%d nodes, %d volumes, %d flows, next index %d", len(whole.Nodes), len(whole.Volumes), len(whole.Flows), next)
 	}
 	var list []Endpoint
 	for _, k := range whole.Nodes {
@@ -46,32 +46,32 @@
 	}
 	for i, a := range parts.Volumes {
 		if w := whole.Volumes[i]; a.Volume != w.Volume || a.Plan != w.Plan || a.ReservationTag != w.ReservationTag || a.Fronts != w.Fronts {
-			t.Errorf("account %+v, want %+v", a, w)
+			t.Errorf("volume %+v, want %+v", a, w)
 		}
 	}
 	whole.Nodes[0].Curve = append(whole.Nodes[0].Curve[:0], whole.Nodes[0].Curve...)
 	if n := again.s.nodesByName[whole.Nodes[0].Node]; len(n.Curve) > 0 && &n.Curve[0] == &whole.Nodes[0].Curve[0] {
-		t.Error("the scheduler shares memory with what it was told")
+		t.Error("the scheduler shares memory with the imported state")
 	}
 }
 
-// A front restarts in the middle of a deploy of the nodes: one of them has started anew meanwhile, one has gone, one
-// is new. What was learned of the first must not open it wide: it is cold.
+// A front restarts during a deployment of the nodes: one node has restarted meanwhile, one was removed and one is new.
+// What was learned of the restarted node must not admit more requests than slow start does.
 func TestRestartAmidADeploy(t *testing.T) {
 	now := Micros(1_000_000_000)
 	l := Learned{At: now}
 	for _, name := range []string{"a", "b", "gone"} {
 		l.Nodes = append(l.Nodes, LearnedNode{Endpoint{Node: name, Shard: len(l.Nodes)}, NodeStats{Budget: 8, Target: 90e3, SmoothedLatency: 9e3, UnitTime: 3e3}})
 	}
-	l.Flows = []FlowLead{{Volume: "v", Plan: 99, Shard: 0, Units: 5}} // of a plan that is not there any more
+	l.Flows = []FlowLead{{Volume: "v", Plan: 99, Shard: 0, Units: 5}} // this plan does not exist any more
 	l.Volumes = []VolumeUsage{{Volume: "v", Plan: -1}}
 	h := recalled(t, l, Endpoint{Node: "a"}, Endpoint{Node: "b", Shard: 1, StartedAt: now - 1000*ms}, Endpoint{Node: "new", Shard: 2, StartedAt: now})
 	if n := h.s.nodesByName["a"]; n.SmoothedLatency != 9e3 || h.s.inSlowStart(n) {
-		t.Errorf("the node that stayed: %+v", n.NodeStats)
+		t.Errorf("state of the node that did not restart: %+v", n.NodeStats)
 	}
 	for _, name := range []string{"b", "new"} {
 		if n := h.s.nodesByName[name]; n.SmoothedLatency != 0 || !h.s.inSlowStart(n) {
-			t.Errorf("%s: usual latency %v, cold %v; want nothing but the cold guard", name, n.SmoothedLatency, h.s.inSlowStart(n))
+			t.Errorf("%s: smoothed latency %v, in slow start %v; want 0 and true", name, n.SmoothedLatency, h.s.inSlowStart(n))
 		}
 	}
 	var sent int
@@ -80,10 +80,10 @@
 		sent += len(sends(h.step(req(id, func(r *Request) { r.Shard, r.Units = 1, 2 }))))
 	}
 	if most := int(h.s.settings.SlowStartUnits) / 2; sent > most {
-		t.Errorf("%d requests of 2 units sent at once to the node that came up, it bears %d", sent, most)
+		t.Errorf("%d requests of 2 units sent at once to the restarted node, want at most %d", sent, most)
 	}
 	if h.s.volumes.Len() > 41 || h.s.nodesByName["gone"] != nil {
-		t.Error("what is not there any more came back")
+		t.Error("state of a removed node, or of a volume whose plan is missing, was imported")
 	}
 }
 
@@ -97,14 +97,14 @@
 	h.s.Forget("", "v")
 	h.s.Forget("nobody", "nothing")
 	if n := h.s.nodesByName["a"]; n.isOutlier() || n.SmoothedLatency != 0 || !h.s.inSlowStart(n) {
-		t.Errorf("forgotten: %+v", n.NodeStats)
+		t.Errorf("state of the forgotten node: %+v", n.NodeStats)
 	}
 	if v.bucket.Level != 0 || v.reservationTag != 0 {
-		t.Errorf("forgotten: %+v, want an empty store", v)
+		t.Errorf("forgotten volume: %+v, want an empty bucket", v)
 	}
 }
 
-// Until its record is on disk, nothing is drawn from a store that was recalled; then no more than the lease.
+// Nothing is drawn from an imported bucket until its next record is on disk, and then no more than the lease.
 func TestRecalledLimitWaitsForItsRecord(t *testing.T) {
 	set := testSettings()
 	set.Lease, set.RecordLifetime = 200*ms, 60_000*ms
@@ -123,8 +123,8 @@
 			record = a
 		}
 	}
-	if record.Bucket.Lease != 10 || record.Bucket.Level < 18 { // 200 ms at 10 a second, and a largest request
-		t.Fatalf("the record is %+v", record)
+	if record.Bucket.Lease != 10 || record.Bucket.Level < 18 { // 200 ms at 10 units per second, and one request of maximum size
+		t.Fatalf("record %+v, want a lease of 10 and a level of at least 18", record)
 	}
 	h.wantSends(h.after(ms, StateSaved{Readable: true, Latest: true}), "early")
 	h.step(h.end("early", OK, 5*ms))
@@ -136,7 +136,7 @@
 		low = low || is
 	}
 	if !low {
-		t.Error("the lease is used up, and no record is asked for")
+		t.Error("the lease runs low, but SaveState is missing")
 	}
 	h.step(h.end("next", OK, 5*ms))
 	h.wantSends(ask("beyond"))
--- a/scheduler/nodes_test.go
+++ b/scheduler/nodes_test.go
@@ -18,8 +18,8 @@
 	h.wantSends(h.step(req("x", nil)))
 }
 
-// A node that the list says has started lives. While each of many hosts probed it first, a zone's return cost a probe
-// for each host and node, and requests waited for the answers.
+// A node that has restarted according to the endpoint list needs no health check. When each of many fronts checked it
+// first, the return of a zone cost one check per front and node, and requests waited for the results.
 func TestNodeThatStartedAnewIsNotProbedFirst(t *testing.T) {
 	set := testSettings()
 	set.SlowStart = 0
@@ -30,7 +30,7 @@
 	h.wantSends(h.after(ms, EndpointsChanged{Endpoints: []Endpoint{{Node: "a", StartedAt: h.now}}}), "x")
 }
 
-// A full queue takes seconds to empty: what is sent meanwhile is turned away again or answered late.
+// A full queue takes seconds to drain: requests sent meanwhile are rejected again or answered late.
 func TestNodeThatTurnsAwayIsLeftAlone(t *testing.T) {
 	h := newHost(t, testSettings())
 	h.step(req("x", nil))
@@ -39,58 +39,59 @@
 	h.wantSends(h.idle(200*ms), "x")
 }
 
-// A lost answer comes as a reset too. A node that answers a probe sent at the reset has not restarted.
+// A lost answer is reported as a reset too. A node that answers a health check sent at the time of the reset has not
+// restarted.
 func TestResetIsNoColdStartWhereAProbeIsAnswered(t *testing.T) {
 	cases := []struct {
 		name  string
 		first Result
-		delay Micros // of the last failure after the probe
+		delay Micros // of another failure after the check was sent, below 0 for none
 		warm  bool
-	}{{"answered", Reset, -1, true}, {"never connected", Unreachable, -1, false}, {"sent before", Reset, 50 * ms, false}}
+	}{{"check answered", Reset, -1, true}, {"unreachable", Unreachable, -1, false}, {"check sent before", Reset, 50 * ms, false}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHost(t, testSettings())
 			h.step(req("x", nil), req("y", func(r *Request) { r.Units = 1 }))
 			a := h.after(10*ms, h.end("x", c.first, 10*ms), ClientLeft{ID: "x"})
 			if !slices.Contains(a, Action(CheckHealth{"a"})) {
-				t.Fatalf("no probe at the failure: %v", a)
+				t.Fatalf("no health check after the failure: %v", a)
 			}
 			if c.delay > 0 {
 				h.after(c.delay, h.end("y", Reset, c.delay), ClientLeft{ID: "y"})
 			}
 			h.after(5*ms, HealthChecked{Node: "a", OK: true})
 			if n := h.s.nodesByName["a"]; h.s.inSlowStart(n) == c.warm {
-				t.Errorf("cold: %v", !c.warm)
+				t.Errorf("in slow start: %v", !c.warm)
 			}
 		})
 	}
 }
 
-// Each of many hosts would find out that a node is jammed by a slow request of its own.
+// Without the health check, each of many fronts would detect an overloaded node only by a slow request of its own.
 func TestAProbeGoesAheadWhereSlowAnswersAreNotSeldom(t *testing.T) {
 	for _, c := range []struct {
 		latency Micros // of the other node's answers
 		queue   float64
-		ahead   bool // a probe goes first
-		sent    bool // the request, once the probe is answered
+		ahead   bool // a health check is sent first
+		sent    bool // the request is sent after the health check was answered
 	}{{20 * ms, 0, false, true}, {900 * ms, 0, true, true}, {900 * ms, 30, true, false}} {
 		h := newHost(t, testSettings())
 		h.step(req("x", nil))
 		h.after(40*ms, h.end("x", OK, 40*ms))
 		h.idle(3 * second)
-		h.s.nodesByName["a"].lowLatency = false // late requests stay
+		h.s.nodesByName["a"].lowLatency = false // late requests stay queued
 		other := func(r *Request) { r.Shard = 1 }
 		h.step(req("w0", other), req("w1", other))
 		h.after(c.latency, h.end("w0", OK, c.latency), h.end("w1", OK, c.latency))
 		a := h.step(req("y", nil))
 		if got := slices.Contains(a, Action(CheckHealth{"a"})); got != c.ahead {
-			t.Errorf("%+v: a probe ahead: %v", c, got)
+			t.Errorf("%+v: health check first: %v", c, got)
 		}
 		if c.ahead {
 			h.after(2*ms, HealthChecked{Node: "a", OK: true, Queue: c.queue})
 		}
 		if got := h.tries["y"] == 1; got != c.sent {
-			t.Errorf("%+v: sent %v", c, got)
+			t.Errorf("%+v: request sent: %v", c, got)
 		}
 	}
 }
@@ -104,9 +105,9 @@
 	h.wantSends(h.step(req("z", nil)))
 }
 
-// A connection that falls silent under the only attempt at a node looked like a silent node until the
-// deadline: with nothing sent past it, nothing could ever overtake it. An answered probe lets one trial go,
-// its answer the rest.
+// When a connection broke silently during the only attempt at a node, the node seemed silent until the deadline: nothing
+// else was sent, so no later answer could prove the attempt lost. An answered health check permits one request, and its
+// answer permits the others.
 func TestNodeThatIsNotSilentIsFoundOut(t *testing.T) {
 	h := newHost(t, testSettings())
 	h.step(req("x", nil))
@@ -119,7 +120,7 @@
 	h.wantSends(h.after(20*ms, h.end("y", OK, 20*ms)), "z", "w")
 	h.after(20*ms, h.end("z", OK, 20*ms), h.end("w", OK, 20*ms))
 
-	n := h.s.nodesByName["a"] // once attempts were lost, what leaves singly or late leaves beside a lost one too
+	n := h.s.nodesByName["a"] // after a loss, requests that need an idle node are sent although a lost attempt is outstanding
 	n.lastLoss, n.lowLatency = h.now, false
 	h.s.work.RestartFast(&n.work)
 	h.wantSends(h.step(req("u", nil)), "u")
@@ -136,7 +137,7 @@
 	h.wantSends(h.step(EndpointsChanged{Endpoints: []Endpoint{running("c", 0)}}), "x")
 }
 
-// A cold node that leaves the list and comes back has not got its room anew.
+// A node in slow start that leaves the list and comes back must not get its capacity a second time.
 func TestColdNodeThatComesBackToTheList(t *testing.T) {
 	h := newHost(t, testSettings())
 	cold := running("c", 2)
@@ -149,12 +150,12 @@
 	gone.State = Removed
 	h.step(EndpointsChanged{Endpoints: []Endpoint{gone}}, EndpointsChanged{Endpoints: []Endpoint{cold}})
 	if room := h.s.nodesByName["c"].slowStart.Capacity(h.now); room != 1 {
-		t.Errorf("room for %v units, though 2 of 3 were used", room)
+		t.Errorf("capacity for %v units, want 1, as 2 of 3 were used", room)
 	}
 }
 
-// Nodes close connections under requests for reasons of their own. Each such reset had the node taken for one
-// that had died and came back cold, for the whole time of the ramp.
+// Nodes also close connections for reasons of their own. Each such reset made the front treat the node as restarted, and
+// so as cold, for the whole slow start.
 func TestResetOfANodeThatLives(t *testing.T) {
 	for _, alive := range []bool{true, false} {
 		h := newHost(t, testSettings())
@@ -163,7 +164,7 @@
 		broke.Alive = alive
 		sent := slices.Contains(sends(h.step(broke)), "x")
 		if cold := h.s.inSlowStart(h.s.nodesByName["a"]); sent != alive || cold == alive {
-			t.Errorf("alive %v: sent again %v, cold %v", alive, sent, cold)
+			t.Errorf("alive %v: retried %v, in slow start %v", alive, sent, cold)
 		}
 	}
 }
--- a/scheduler/order_test.go
+++ b/scheduler/order_test.go
@@ -12,11 +12,11 @@
 	h.wantSends(h.step(req("x", keyed), req("y", keyed), req("z", nil)), "x", "z")
 	h.wantSends(h.after(10*ms, h.end("x", OK, 10*ms)), "y")
 	h.step(req("u", keyed))
-	// The request that has the turn may go again at once; the next waits for the rest.
+	// The request at the head of its key's queue may be retried at once. The next one waits for the pause of the key.
 	h.wantSends(h.after(10*ms, h.end("y", Cancelled, 10*ms)), "y")
 	h.wantSends(h.after(10*ms, h.end("y", OK, 10*ms)))
 	if a := sends(h.idle(150 * ms)); len(a) != 0 {
-		t.Errorf("sent before the rest: %v", a)
+		t.Errorf("started during the pause of the key: %v", a)
 	}
 	h.wantSends(h.idle(60*ms), "u")
 }
@@ -29,7 +29,7 @@
 	h.step(req("x", keyed), req("y", keyed))
 	h.wantSends(h.after(10*ms, ClientLeft{ID: "x"}))
 	if a := sends(h.idle(250 * ms)); len(a) != 0 {
-		t.Errorf("sends %v", a)
+		t.Errorf("started %v", a)
 	}
 	o := h.end("x", OK, 270*ms)
 	h.wantSends(append(h.after(10*ms, o), h.idle(300*ms)...), "y")
@@ -58,18 +58,18 @@
 	h := newHost(t, testSettings())
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Draining}}})
 	h.step(req("x", nil), req("y", nil))
-	h.after(500*ms, req("z", nil)) // the aims of x and y have passed
+	h.after(500*ms, req("z", nil)) // the objectives of x and y have passed
 	h.wantSends(h.step(EndpointsChanged{Endpoints: []Endpoint{running("a", 0)}}), "z")
 	n := h.s.nodesByName["a"]
 	h.after(20*ms, h.end("z", OK, 20*ms))
-	h.wantSends(h.last, "x") // late ones leave one at a time
+	h.wantSends(h.last, "x") // late requests are sent one at a time
 	h.after(20*ms, h.end("x", OK, 20*ms), ClientLeft{ID: "y"})
 	n.fastMinLatency = 2 * n.Target
 	h.idle(200 * ms)
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Draining}}})
 	h.step(req("u", nil))
 	h.idle(500 * ms)
-	h.wantSends(h.step(EndpointsChanged{Endpoints: []Endpoint{running("a", 0)}})) // not calm
+	h.wantSends(h.step(EndpointsChanged{Endpoints: []Endpoint{running("a", 0)}})) // lowLatency is false
 }
 
 func TestWorkBeyondReservationsLeavesSinglyWhileNotCalm(t *testing.T) {
@@ -87,7 +87,7 @@
 	h.wantSends(h.step(req("fresh", nil), req("short", func(r *Request) { r.TimeLeft = 50 * ms })), "fresh")
 	h.after(100*ms, h.end("fresh", OK, 100*ms))
 	if a := sends(h.last); len(a) != 0 {
-		t.Errorf("sends %v", a)
+		t.Errorf("started %v", a)
 	}
 }
 
@@ -132,6 +132,6 @@
 	}
 	heavy := strings.Count(strings.Join(order[:40], " "), "heavy")
 	if heavy < 28 || heavy > 31 {
-		t.Errorf("%d of 40 from the volume with three times the weight: %v", heavy, order)
+		t.Errorf("%d of 40 requests are from the volume with three times the weight, want 28 to 31: %v", heavy, order)
 	}
 }
--- a/scheduler/quotas_test.go
+++ b/scheduler/quotas_test.go
@@ -17,18 +17,19 @@
 			h.after(ms, h.end(x, OK, ms))
 		}
 		h.now += 4 * ms
-		// This host's part: half of 10 units a second, from an empty bucket.
+		// This front's part is half of 10 units per second, from an empty bucket.
 		if most := 5 * float64(h.now-start) / float64(second); units > most {
-			t.Fatalf("%v units after %v, at most %v", units, h.now-start, most)
+			t.Fatalf("%v units after %v µs, want at most %v", units, h.now-start, most)
 		}
 	}
 	if units < 40 {
-		t.Errorf("only %v units in 10 s", units)
+		t.Errorf("%v units in 10 s, want at least 40", units)
 	}
 }
 
-// A host that starts knows nothing of what its former self drew. Empty, its bucket kept the first requests of every
-// volume waiting past their aim; what it has instead is a part of the slack, also if all hosts start anew twice.
+// A front that starts does not know what its former process drew. An empty bucket delayed the first requests of every
+// volume beyond their objective. Instead the bucket starts with a part of the slack, which holds even if all fronts
+// restart twice.
 func TestLimitStartsWithinTheSlack(t *testing.T) {
 	set := testSettings()
 	set.Plans[3].Slack = 6
@@ -40,7 +41,7 @@
 			hosts[i].now, hosts[i].s.now, hosts[i].s.startedAt = now, now, now
 		}
 		for step := range 20_000 {
-			if start < 2 && step > 20 { // it is killed again
+			if start < 2 && step > 20 { // the front is killed again
 				break
 			}
 			now, level = now+ms, min(20, level+0.01)
@@ -49,7 +50,7 @@
 				id := fmt.Sprint("r", start, "-", step)
 				out := sends(h.step(req(id, func(r *Request) { r.Plan, r.Volume, r.Fronts, r.Units = 3, "v", 2, 1 })))
 				if step == 0 && len(out) == 0 {
-					t.Error("nothing leaves at the start")
+					t.Error("no request is sent at the start")
 				}
 				for _, x := range out {
 					level--
@@ -57,14 +58,14 @@
 				}
 			}
 			if level < -6 {
-				t.Fatalf("start %d: the store of all hosts is %.2f units below 0", start, -level)
+				t.Fatalf("start %d: the bucket of all fronts is overdrawn by %.2f units", start, -level)
 			}
 		}
 	}
 }
 
-// Requests that were sent to nodes that are cut off have drawn their units, and no node has counted them. While they
-// were held for another attempt the bucket filled again: once the cut was over they all arrived beside a whole burst.
+// Requests sent to nodes that are cut off have drawn their units, but no node has counted them. While they were queued
+// for a retry, the bucket filled again: after the cut, all of them arrived in addition to a whole burst.
 func TestLimitHoldsBehindACut(t *testing.T) {
 	for _, result := range []Result{Unreachable, TimedOut} {
 		set := testSettings()
@@ -85,7 +86,7 @@
 					counted[x], level = true, level-1
 				}
 				if level < -1 {
-					t.Fatalf("%v: %.1f units below the limit's store, %v after the start", result, -level, h.now)
+					t.Fatalf("%v: the limit's bucket is overdrawn by %.1f units at %v", result, -level, h.now)
 				}
 				back = append(back, h.end(x, OK, ms))
 			}
@@ -100,7 +101,7 @@
 			h.after(5*ms, append(back, TimerFired{})...)
 		}
 		if len(counted) < 50 {
-			t.Errorf("%v: only %d requests in 15 s", result, len(counted))
+			t.Errorf("%v: %d requests in 15 s, want at least 50", result, len(counted))
 		}
 	}
 }
@@ -113,7 +114,7 @@
 		return func(r *Request) { r.Class, r.Plan, r.Volume, r.TimeLeft = class, 3, "v", 20*second }
 	}
 	h.step(req("x", limited(0)))
-	h.idle(350 * ms) // 3.5 units, of which a part of 20 keeps 7.5 from the class worth a quarter
+	h.idle(350 * ms) // a level of 3.5 units; a class of a quarter of the priority leaves 7.5 of 20 in the bucket
 	h.wantSends(h.step(req("y", limited(4))), "y")
 	h.after(5*ms, h.end("y", OK, 5*ms))
 	h.wantSends(h.idle(700 * ms))
@@ -135,7 +136,7 @@
 			objectiveAt: h.now + second, deadline: h.now + 2*second,
 		}}
 		if _, rank := h.s.nextRequest(h.s.nodesByName["a"], &sh, math.Inf(1)); rank != want {
-			t.Errorf("class %d leaves at rank %d, want %d", class, rank, want)
+			t.Errorf("class %d has rank %d, want %d", class, rank, want)
 		}
 	}
 }
@@ -150,10 +151,11 @@
 		o := h.end("x", OK, 10*ms)
 		o.ServedElsewhere = 1000
 		h.after(10*ms, o)
-		// The even part is 50 units a second; told, the volume has had its second and more of the whole 100.
+		// The even part is 50 units per second. If the units served elsewhere are reported, the volume has had more than
+		// one second of the whole 100.
 		v, _ := h.s.volumes.Get("v")
 		if due := v.reservationTag+1 <= float64(h.now); due == told {
-			t.Errorf("told %v: tag due %v", told, due)
+			t.Errorf("units reported %v: reservation tag due %v", told, due)
 		}
 	}
 }
--- a/scheduler/repeats_test.go
+++ b/scheduler/repeats_test.go
@@ -11,15 +11,15 @@
 		class   int
 		result  Result
 		again   bool
-		refused bool // of a request that is not sent again
+		refused bool // final answer of a request that is not retried
 	}{
-		{"safe after a reset", 0, Reset, true, false},
-		{"keyed after an error", 1, Errored, true, false},
-		{"unsafe after an error", 2, Errored, false, false},
-		{"unsafe after a reset", 2, Reset, false, false},
-		{"unsafe turned away", 2, QueueFull, true, false},
-		{"unsafe never connected", 2, Unreachable, true, false},
-		{"unsafe moot", 2, NotStarted, true, false},
+		{"idempotent after a reset", 0, Reset, true, false},
+		{"idempotent by key after an error", 1, Errored, true, false},
+		{"not idempotent after an error", 2, Errored, false, false},
+		{"not idempotent after a reset", 2, Reset, false, false},
+		{"not idempotent after a full queue", 2, QueueFull, true, false},
+		{"not idempotent, node unreachable", 2, Unreachable, true, false},
+		{"not idempotent, not started", 2, NotStarted, true, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -31,10 +31,10 @@
 			refused, failed := finals(a)
 			a = append(a, h.after(1000*ms, HealthChecked{Node: "a", OK: true})...)
 			if got := len(sends(a)) > 0; got != c.again {
-				t.Errorf("sent again: %v", got)
+				t.Errorf("retried: %v", got)
 			}
 			if got := len(failed) > 0; got == c.again || len(refused) > 0 {
-				t.Errorf("refused %v, failed %v", refused, failed)
+				t.Errorf("rejected %v, failed %v", refused, failed)
 			}
 		})
 	}
@@ -46,7 +46,7 @@
 	_, failed := finals(h.after(1000*ms, h.end("x", Errored, 1000*ms)))
 	refused, _ := finals(h.step(h.end("y", Errored, 1000*ms)))
 	if !reflect.DeepEqual(failed, []string{"x"}) || !reflect.DeepEqual(refused, []string{"y"}) {
-		t.Errorf("failed %v, refused %v", failed, refused)
+		t.Errorf("failed %v, rejected %v", failed, refused)
 	}
 }
 
@@ -57,7 +57,7 @@
 	h.wantSends(h.after(10*ms, h.end("x", Errored, 10*ms)), "x")
 	refused, _ := finals(h.after(10*ms, h.end("x", Errored, 10*ms)))
 	if !reflect.DeepEqual(refused, []string{"x"}) {
-		t.Errorf("refused %v", refused)
+		t.Errorf("rejected %v", refused)
 	}
 }
 
@@ -69,7 +69,7 @@
 	h.wantSends(h.after(10*ms, h.end("x", Errored, 10*ms)), "x")
 	h.wantSends(h.after(10*ms, h.end("x", Errored, 10*ms)))
 	if a := sends(h.idle(900 * ms)); len(a) != 0 {
-		t.Errorf("sends %v", a)
+		t.Errorf("started %v", a)
 	}
 	h.wantSends(h.idle(200*ms), "x")
 }
@@ -78,11 +78,11 @@
 	h := newHost(t, testSettings())
 	h.step(req("x", nil))
 	if a := sends(h.idle(1900 * ms)); len(a) != 0 {
-		t.Errorf("sends %v", a)
+		t.Errorf("started %v", a)
 	}
 }
 
-// lossyHost has seen one attempt run into its deadline though two later ones were answered.
+// lossyHost returns a front at which an attempt timed out although two later ones were answered.
 func lossyHost(t *testing.T) *host {
 	set := testSettings()
 	set.CancelAttempts = true
@@ -94,7 +94,7 @@
 	return h
 }
 
-// A lost attempt was waited for once its request would be late, though late it may still earn.
+// A lost attempt was not cancelled once a retry would miss the objective, although a late answer may still have a value.
 func TestAttemptLostAtALossyNodeIsRepeated(t *testing.T) {
 	for _, out := range []Micros{120 * ms, 1000 * ms} {
 		h := lossyHost(t)
@@ -107,7 +107,7 @@
 			}
 		}
 		if !reflect.DeepEqual(cancels, []Action{CancelAttempt{ID: "u", Attempt: 0}}) {
-			t.Errorf("cancels %v", cancels)
+			t.Errorf("cancelled %v, want u", cancels)
 		}
 		h.wantSends(h.after(ms, h.end("u", Cancelled, out)), "u")
 	}
@@ -121,7 +121,7 @@
 	h.after(20*ms, h.end("v", OK, 20*ms), h.end("w", OK, 20*ms))
 	for _, a := range h.idle(1000 * ms) {
 		if _, ok := a.(CancelAttempt); ok {
-			t.Errorf("cancelled: %v", a)
+			t.Errorf("an attempt was cancelled: %v", a)
 		}
 	}
 }
--- a/scheduler/replay_test.go
+++ b/scheduler/replay_test.go
@@ -9,8 +9,9 @@
 	"otterturn/scheduler"
 )
 
-// The decisions are those of the scheduler that walked all nodes and flows in every step: what it decided on rough days
-// was recorded, and is decided again, step by step. OTTERTURN_RECORD=1 records anew, once decisions change on purpose.
+// The recordings contain the events of days with failures and the decisions of a scheduler that scanned all nodes and
+// flows in every step. The present scheduler must make the same decisions in each step. OTTERTURN_RECORD=1 records again,
+// after an intended change of decisions.
 func TestDecidesAsRecorded(t *testing.T) {
 	for name := range record.Streams {
 		t.Run(name, func(t *testing.T) {
@@ -45,10 +46,10 @@
 				t.Fatal(err)
 			}
 			if step, actions := s.Replay(to); step >= 0 {
-				t.Errorf("step %d of %d, at %d: after %+v it decides %v", step, len(s.Steps), s.Steps[step].Now, s.Steps[step].Events, actions)
+				t.Errorf("step %d of %d, at %d: other actions than recorded after %+v: %v", step, len(s.Steps), s.Steps[step].Now, s.Steps[step].Events, actions)
 			}
 			if len(s.Steps) < 1000 {
-				t.Errorf("only %d steps", len(s.Steps))
+				t.Errorf("recording has %d steps, want at least 1000", len(s.Steps))
 			}
 		})
 	}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -25,7 +25,7 @@
 		return all
 	}
 	if a, b := script(), script(); !reflect.DeepEqual(a, b) {
-		t.Error("the same events led to other actions")
+		t.Error("the same events led to different actions")
 	}
 }
 
@@ -42,7 +42,7 @@
 			h.after(10*ms, o)
 		}
 		if left := len(h.s.requests); left > 0 {
-			t.Errorf("%d requests left", left)
+			t.Errorf("%d requests remain", left)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 	h.step(AttemptEnded{ID: "?"}, ClientLeft{ID: "?"}, HealthChecked{Node: "?"}, TimerFired{})
 	refused, _ := finals(h.step(req("x", func(r *Request) { r.Class = 9 })))
 	if !reflect.DeepEqual(refused, []string{"x"}) {
-		t.Errorf("refused %v", refused)
+		t.Errorf("rejected %v", refused)
 	}
 	h.wantSends(h.step(req("y", func(r *Request) { r.Units, r.Fronts = 0, 0 })), "y")
 	h.step(h.end("y", OK, ms), h.end("y", OK, ms))
@@ -73,12 +73,12 @@
 		set := testSettings()
 		edit(&set)
 		if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v", field, err)
+			t.Errorf("%s: error %v, want one that names the field", field, err)
 		}
 	}
 }
 
-// The operators run no longer module, so its files are named and counted where they are built.
+// The operators accept no decision module of more than 1,000 lines. Its files are those that the deploy file names.
 func TestSizeOfTheModule(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -97,20 +97,20 @@
 				lines++
 			}
 			if n := utf8.RuneCountInString(strings.ReplaceAll(l, "\t", "    ")); n > 110 {
-				t.Errorf("%s, line %d has %d characters", name, i+1, n)
+				t.Errorf("%s:%d has %d characters, want at most 110", name, i+1, n)
 			}
 		}
 	}
 	if lines > 1000 {
-		t.Errorf("%d lines that are not blank", lines)
+		t.Errorf("the module has %d non-blank lines, want at most 1000", lines)
 	}
 }
 
-// Ever new volumes were all kept for good. What is idle goes, but a limit's store not before it is full
-// again: its volume would come back with more than is left.
+// All volumes used to be kept forever. Idle ones are removed, but one with a limit only when its bucket is full again: it
+// would come back with a higher level than it had.
 func TestIdleVolumesAreForgotten(t *testing.T) {
 	h := newHost(t, testSettings())
-	h.idle(5 * second) // the stores of the limit, 10 units a second up to 20, are full
+	h.idle(5 * second) // the buckets of the limit, 10 units per second up to 20, are full
 	for i := range 100 {
 		id := fmt.Sprint(i)
 		h.step(req(id, func(r *Request) { r.Plan = i % 3 }))
@@ -123,10 +123,10 @@
 	}
 	h.wantSends(h.idle(slowInterval))
 	if v, has := h.s.volumes.Get("limited"); !has || v.bucket.Level >= 20 {
-		t.Errorf("the store that is not full: %+v", v)
+		t.Errorf("volume whose bucket is not full: %+v", v)
 	}
 	h.idle(40 * second)
 	if n, flows := h.s.volumes.Len(), h.s.flows.Len(); n+flows > 0 {
-		t.Errorf("%d volumes and %d flows stay", n, flows)
+		t.Errorf("%d volumes and %d flows remain", n, flows)
 	}
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -10,8 +10,8 @@
 	"otterturn/scheduler/slowstart"
 )
 
-// checkCold offers small requests at a cold node for a while, answers each after the delay (never for 0), and
-// checks that within any fall span the sends stay within the answers plus the part. It returns the units
+// checkCold offers small requests to a node in slow start for a while and answers each after the delay (never if it is
+// 0). It checks that the units sent within any overload span exceed those answered by part at most, and returns the units
 // sent.
 func checkCold(h *host, d, delay Micros, part float64) (units int) {
 	h.t.Helper()
@@ -41,7 +41,7 @@
 				}
 			}
 			if sum > part {
-				h.t.Fatalf("%v units more than answered within a fall span, at most %v", sum, part)
+				h.t.Fatalf("%v units more than answered within an overload span, want at most %v", sum, part)
 			}
 		}
 		h.now += 4 * ms
@@ -49,7 +49,8 @@
 	return units
 }
 
-// coldPart is what two hosts may be granted within a span, 8 units less a third, grown by the guaranteed ramp of 6 s.
+// coldPart is the maximum that two fronts may be granted within an overload span: 8 units less a third, multiplied by the
+// guaranteed growth of the capacity within 6 s.
 const coldPart = 8.0 * 2 / 3 * (1 + 3*0.6)
 
 func coldHost(t *testing.T) *host { return coldHostOf(t, testSettings()) }
@@ -64,13 +65,13 @@
 
 func TestColdNodeThatDoesNotAnswerGetsItsPart(t *testing.T) {
 	if units := checkCold(coldHost(t), 6*second, 0, coldPart); units < 4 {
-		t.Errorf("only %d units", units)
+		t.Errorf("%d units, want at least 4", units)
 	}
 }
 
 func TestColdNodeGetsWhatItAnswers(t *testing.T) {
 	if units := checkCold(coldHost(t), 6*second, 50*ms, coldPart); units < 40 {
-		t.Errorf("only %d units", units)
+		t.Errorf("%d units, want at least 40", units)
 	}
 }
 
@@ -84,12 +85,13 @@
 	}
 }
 
-// A host that has just begun has no demand to judge by. Its chance to send to a cold node was near one then, and so was
-// that of hundreds of others. It sends nothing there that it was not granted, however often its clients come again.
+// A front that has just started knows nothing of its own demand. With a random admission, the chance to send to a node in
+// slow start was near 1 then, for hundreds of fronts at once. So it sends nothing that it was not granted, however often
+// its clients retry.
 func TestHostThatJustBeganAsksBeforeItSendsToAColdNode(t *testing.T) {
 	set := testSettings()
 	set.Fronts, set.PeerMessages = 300, true
-	set.FrontIndex = -1 // never the granter
+	set.FrontIndex = -1 // this front is never the granter
 	h := coldHostOf(t, set)
 	asks := []Action{}
 	for i := range 20 {
@@ -100,18 +102,18 @@
 	}
 	granter, _ := h.s.slowStart.Granter("a", h.now)
 	if want := []Action{RequestCapacity{To: granter, Node: "a", StartedAt: h.s.nodesByName["a"].StartedAt, CapacityRequest: slowstart.CapacityRequest{Units: 2, MinUnits: 2}}}; !reflect.DeepEqual(asks, want) {
-		t.Errorf("asks %v in half a second, want %v", asks, want)
+		t.Errorf("capacity requests %v in half a second, want %v", asks, want)
 	}
 	until := h.now + 100*ms
 	if _, may := h.s.slowStart.Granter("a", until-100*ms); !may {
-		t.Fatal("no granter may grant at the time of this test")
+		t.Fatal("no front may grant capacity at the time of this test")
 	}
 	h.wantSends(h.step(CapacityGranted{From: granter + 1, Node: "a", Units: 2, ValidUntil: until}))
 	h.wantSends(h.step(CapacityGranted{From: granter, Node: "a", Units: 2, ValidUntil: until}), "x19")
 }
 
-// One of many hosts meets a cold node seldom: what it saw there helps the others only if the granter hears of it
-// at once. What was seen of another start of the node counts for none.
+// One of many fronts sends to a node in slow start rarely: its measurements help the others only if the granter gets them
+// at once. Measurements of another start of the node are ignored.
 func TestGranterHearsOfEachAnswerOfAColdNode(t *testing.T) {
 	set := testSettings()
 	set.Fronts, set.PeerMessages, set.FrontIndex = 300, true, -1
@@ -126,23 +128,24 @@
 	told := slices.DeleteFunc(h.after(50*ms, AttemptEnded{ID: "x", Result: OK, Latency: 50 * ms, Final: true}),
 		func(a Action) bool { _, is := a.(RequestCapacity); return !is })
 	if len(told) != 1 || told[0].(RequestCapacity).To != granter || told[0].(RequestCapacity).StartedAt != since || told[0].(RequestCapacity).Units != 0 || told[0].(RequestCapacity).Report.Units != 2 {
-		t.Errorf("told %+v", told)
+		t.Errorf("capacity requests %+v, want one report to the granter", told)
 	}
 	h.s.capacityRequested(CapacityRequested{From: 1, Node: "a", StartedAt: since - 1, CapacityRequest: slowstart.CapacityRequest{Report: slowstart.LoadReport{Units: 9, Time: 0.1}}})
 	if !h.s.allocators[0].Idle(h.now) {
-		t.Error("what was seen of an earlier start counts")
+		t.Error("a report on an earlier start is not ignored")
 	}
 	h.s.capacityRequested(CapacityRequested{From: 1, Node: "a", StartedAt: since, CapacityRequest: slowstart.CapacityRequest{Report: slowstart.LoadReport{Units: 9, Time: 0.1}}})
 	if h.s.allocators[0].Idle(h.now) {
-		t.Error("what was seen of this start is forgotten at once")
+		t.Error("a report on the present start is lost")
 	}
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", StartedAt: h.now}}})
 	if len(h.s.allocators) > 0 {
-		t.Error("what was seen counts for the next start")
+		t.Error("reports of the former start remain after a restart")
 	}
 }
 
-// Hosts that share a cold node, each with a part far below a request, together bring it to its capacity.
+// Many fronts share a node in slow start, each with a part far below one request. Together they must use its capacity as
+// it grows.
 func TestColdNodeGrowsByItsAnswersAmongManyHosts(t *testing.T) {
 	set := testSettings()
 	set.Fronts, set.PeerMessages = 100, true
@@ -156,8 +159,8 @@
 		h.step(EndpointsChanged{Endpoints: []Endpoint{l}})
 		hosts = append(hosts, h)
 	}
-	// The node serves 20 units a second at its start, of which it always bears 8 and three times as much in
-	// all, and warms no faster than guaranteed. All that the hosts ask for is at this one node of three.
+	// The node serves 20 units per second at its start. It always withstands 8 units, and three times its capacity in
+	// all, and its capacity grows no faster than guaranteed. All requests are for this one node of three.
 	serves := func(i int) float64 { return 20 * (1 + 0.3*float64(i)/200) }
 	credit := 0.0
 	type entry struct {
@@ -166,7 +169,7 @@
 	}
 	var queue []entry
 	var sent []Micros
-	notes := map[int][]Event{} // on their way to hosts
+	notes := map[int][]Event{} // messages in transit, by receiving front
 	for i := range 1600 {
 		credit = min(1, credit+serves(i)/200)
 		served := credit < 1
@@ -202,10 +205,10 @@
 			}
 		}
 		if float64(last) > 3*serves(i) {
-			t.Fatalf("%d units within a fall span, %.0f break the node", last, 3*serves(i))
+			t.Fatalf("%d units within an overload span, the node fails at %.0f", last, 3*serves(i))
 		}
 	}
-	if len(sent) < 140 { // 159, of them 8 in each span by grants
-		t.Errorf("only %d units in 8 s", len(sent))
+	if len(sent) < 140 { // 159 were measured, 8 of them in each span by grants
+		t.Errorf("%d units in 8 s, want at least 140", len(sent))
 	}
 }
