--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -76,14 +76,14 @@
 	InitialCapacity  float64 `cbor:"ColdFrom"`     // share of its capacity that a node has when it starts
 	SlowStart        Micros  `cbor:"Ramp"`         // time after which a started node has its full capacity at the latest
 	OverloadMultiple float64 `cbor:"FallMultiple"` // a starting node fails if it is sent this multiple of its capacity
-	OverloadSpan     Micros  `cbor:"FallSpan"`     // for this time
+	OverloadSpan     Micros  `cbor:"FallSpan"`     // if that lasts for this time
 	SlowStartUnits   float64 `cbor:"ColdUnits"`    // units within OverloadSpan, over all fronts, that a starting node always withstands
 	KeyPause         Micros  `cbor:"KeyRest"`      // pause of a key after an attempt that may still run
 	RetryBudgetSpan  Micros  `cbor:"RetrySpan"`    // window of the retry budget, 0 for no budget
 	RetryBudgetMin   float64 `cbor:"RetrySpare"`   // retries within the window that are always allowed
 	RetryBudgetShare float64 `cbor:"RetryShare"`   // allowed retries per request that arrived in the window
 
-	Lease          Micros // a volume may draw the units of so much time before the next record, 0 for no records
+	Lease          Micros // a volume may draw what its limit adds in this time before the next record, 0 for no records
 	RecordLifetime Micros `cbor:"LeaseLast"` // time for which a record may be read back after it was made
 }
 
--- a/scheduler/silence.go
+++ b/scheduler/silence.go
@@ -17,6 +17,6 @@
 	n.silentSince = s.now
 	n.SuspectedRestart = s.now
 	n.nextCheck = s.now
-	n.lastSend = max(n.lastSend, e.ObservedAt) // the interval of checks follows from the time of silence, even if this front sent nothing
+	n.lastSend = max(n.lastSend, e.ObservedAt) // the longer the silence, the rarer the checks, even if this front sent nothing
 	s.resetSlowStart(n)
 }
