--- a/scheduler/digest_actions_test.go
+++ b/scheduler/digest_actions_test.go
@@ -8,45 +8,45 @@
 )
 
 // perform adds an action to the digest and carries it out.
-func (w *digestWorld) perform(a scheduler.Action) {
+func (w *digestSimulation) perform(a scheduler.Action) {
 	switch a := a.(type) {
 	case scheduler.StartAttempt:
-		w.add(kindSend, a.ID, a.Node, a.BeginBy)
+		w.add(kindStartAttempt, a.ID, a.Node, a.BeginBy)
 		w.start(a)
 	case scheduler.Reject:
-		w.add(kindRefuse, a.ID, a.RetryAfter, string(a.Reason))
+		w.add(kindReject, a.ID, a.RetryAfter, string(a.Reason))
 		delete(w.requests, a.ID)
 	case scheduler.Fail:
 		w.add(kindFail, a.ID, string(a.Reason))
 		delete(w.requests, a.ID)
 	case scheduler.CancelAttempt:
-		w.add(kindCancel, a.ID, a.Attempt)
+		w.add(kindCancelAttempt, a.ID, a.Attempt)
 		w.cancel(a)
 	case scheduler.CheckHealth:
-		w.add(kindProbe, a.Node)
-		w.probes = append(w.probes, a.Node)
+		w.add(kindCheckHealth, a.Node)
+		w.healthChecks = append(w.healthChecks, a.Node)
 	case scheduler.SaveState:
-		w.add(kindWriteDown)
+		w.add(kindSaveState)
 	case scheduler.RequestCapacity:
-		w.add(kindAsk, a.To, a.Node, a.StartedAt, a.Units, a.MinUnits, a.Report.Served, a.Report.Units, a.Report.Time)
+		w.add(kindRequestCapacity, a.To, a.Node, a.StartedAt, a.Units, a.MinUnits, a.Report.Served, a.Report.Units, a.Report.Time)
 	case scheduler.GrantCapacity:
-		w.add(kindGrant, a.To, a.Node, a.Units, a.ValidUntil)
+		w.add(kindGrantCapacity, a.To, a.Node, a.Units, a.ValidUntil)
 	case scheduler.SetTimer:
-		w.add(kindAlarm, a.At)
-		w.alarmAt = a.At
+		w.add(kindSetTimer, a.At)
+		w.timerAt = a.At
 	default:
 		w.t.Fatalf("unknown action type %T", a)
 	}
 }
 
-func (w *digestWorld) add(kind int, values ...any) {
+func (w *digestSimulation) add(kind int, values ...any) {
 	w.kinds[kind]++
 	fmt.Fprintln(w.digest, append([]any{kind, int64(w.now)}, values...)...)
 }
 
 // start schedules the end of an attempt. Five of six attempts succeed, and nodes whose names end in a multiple of 4 are
 // slow.
-func (w *digestWorld) start(a scheduler.StartAttempt) {
+func (w *digestSimulation) start(a scheduler.StartAttempt) {
 	r := w.requests[a.ID]
 	if r == nil {
 		w.t.Fatalf("%s is sent although it is not open", a.ID)
@@ -73,7 +73,7 @@
 }
 
 // cancel ends an attempt that the scheduler cancelled.
-func (w *digestWorld) cancel(c scheduler.CancelAttempt) {
+func (w *digestSimulation) cancel(c scheduler.CancelAttempt) {
 	for i := range w.attempts {
 		if a := &w.attempts[i]; a.id == c.ID && a.number == c.Attempt {
 			a.endsAt, a.result = cmp.Or(min(a.endsAt, w.now+1000), w.now), scheduler.Cancelled
--- a/scheduler/digest_simulation_test.go
+++ b/scheduler/digest_simulation_test.go
@@ -29,37 +29,37 @@
 	attempts int
 }
 
-// digestWorld drives a scheduler through a seeded random schedule that reacts to its actions.
-type digestWorld struct {
-	t         *testing.T
-	rng       *rand.Rand
-	scheduler *scheduler.Scheduler
-	now       scheduler.Micros
-	nodes     []scheduler.Endpoint
-	requests  map[string]*openRequest
-	attempts  []openAttempt
-	probes    []string
-	alarmAt   scheduler.Micros
-	created   int
+// digestSimulation drives a scheduler through a seeded random schedule that reacts to its actions.
+type digestSimulation struct {
+	t            *testing.T
+	rng          *rand.Rand
+	scheduler    *scheduler.Scheduler
+	now          scheduler.Micros
+	nodes        []scheduler.Endpoint
+	requests     map[string]*openRequest
+	attempts     []openAttempt
+	healthChecks []string
+	timerAt      scheduler.Micros
+	created      int
 
 	digest  hash.Hash
 	events  int
 	actions int
-	kinds   [digestKinds]int
+	kinds   [kindCount]int
 }
 
 // Kinds of actions in the digest. Their numbers are part of the digest.
 const (
-	kindSend = iota
-	kindRefuse
+	kindStartAttempt = iota
+	kindReject
 	kindFail
-	kindCancel
-	kindProbe
-	kindWriteDown
-	kindAsk
-	kindGrant
-	kindAlarm
-	digestKinds
+	kindCancelAttempt
+	kindCheckHealth
+	kindSaveState
+	kindRequestCapacity
+	kindGrantCapacity
+	kindSetTimer
+	kindCount
 )
 
 func digestSettings() scheduler.Settings {
@@ -86,13 +86,13 @@
 	}
 }
 
-func newDigestWorld(t *testing.T) *digestWorld {
+func newDigestSimulation(t *testing.T) *digestSimulation {
 	t.Helper()
 	s, err := scheduler.New(digestSettings(), 11)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &digestWorld{
+	w := &digestSimulation{
 		t: t, rng: rand.New(rand.NewPCG(7, 0)), scheduler: s, now: 1_800_000_000_000_000,
 		requests: map[string]*openRequest{}, digest: xxhash.New(),
 	}
@@ -104,21 +104,21 @@
 }
 
 // advance lets some time pass and handles the events that are due then and a random one.
-func (w *digestWorld) advance() {
+func (w *digestSimulation) advance() {
 	w.now += scheduler.Micros(1 + w.rng.IntN(4000))
 	var events []scheduler.Event
-	if w.alarmAt > 0 && w.now >= w.alarmAt {
-		w.alarmAt = 0
+	if w.timerAt > 0 && w.now >= w.timerAt {
+		w.timerAt = 0
 		events = append(events, scheduler.TimerFired{})
 	}
 	events = append(events, w.endedAttempts()...)
-	events = append(events, w.answeredProbes()...)
-	events = append(events, w.something()...)
+	events = append(events, w.endedHealthChecks()...)
+	events = append(events, w.randomEvent()...)
 	w.step(events...)
 }
 
 // endedAttempts returns the outcomes that are due.
-func (w *digestWorld) endedAttempts() (events []scheduler.Event) {
+func (w *digestSimulation) endedAttempts() (events []scheduler.Event) {
 	w.attempts = slices.DeleteFunc(w.attempts, func(a openAttempt) bool {
 		if a.endsAt > w.now {
 			return false
@@ -140,44 +140,44 @@
 	return events
 }
 
-func (w *digestWorld) answeredProbes() (events []scheduler.Event) {
-	for _, node := range w.probes {
+func (w *digestSimulation) endedHealthChecks() (events []scheduler.Event) {
+	for _, node := range w.healthChecks {
 		events = append(events, scheduler.HealthChecked{Node: node, OK: w.rng.IntN(5) > 0, Queue: float64(w.rng.IntN(12) - 1)})
 	}
-	w.probes = nil
+	w.healthChecks = nil
 	return events
 }
 
-// something returns a random event, in most cases a request.
-func (w *digestWorld) something() []scheduler.Event {
+// randomEvent returns a random event, in most cases a request.
+func (w *digestSimulation) randomEvent() []scheduler.Event {
 	switch n := w.rng.IntN(1000); {
 	case n < 700:
 		return []scheduler.Event{w.newRequest()}
 	case n < 720:
-		return w.departure()
+		return w.clientLeaves()
 	case n < 735:
-		return []scheduler.Event{w.changedNode()}
+		return []scheduler.Event{w.nodeChange()}
 	case n < 740:
 		return []scheduler.Event{scheduler.OpenLimitChanged{MaxOpen: 20 + w.rng.IntN(200)}}
 	case n < 760:
-		return []scheduler.Event{scheduler.CapacityRequested{From: w.rng.IntN(4), Node: w.anyNode(), CapacityRequest: slowstart.CapacityRequest{
+		return []scheduler.Event{scheduler.CapacityRequested{From: w.rng.IntN(4), Node: w.randomNode(), CapacityRequest: slowstart.CapacityRequest{
 			Units: float64(w.rng.IntN(9)), MinUnits: 1, Report: slowstart.LoadReport{Served: 1, Units: 5, Time: 1},
 		}}}
 	case n < 780:
 		return []scheduler.Event{scheduler.CapacityGranted{
-			From: w.rng.IntN(3), Node: w.anyNode(), Units: float64(w.rng.IntN(9)),
+			From: w.rng.IntN(3), Node: w.randomNode(), Units: float64(w.rng.IntN(9)),
 			ValidUntil: w.now + scheduler.Micros(w.rng.IntN(100_000)),
 		}}
 	case n < 784:
-		return []scheduler.Event{scheduler.NodeSilent{Node: w.anyNode(), ObservedAt: w.now}}
+		return []scheduler.Event{scheduler.NodeSilent{Node: w.randomNode(), ObservedAt: w.now}}
 	case n < 794:
-		w.learned()
+		w.exportLearned()
 		return []scheduler.Event{scheduler.StateSaved{Readable: true, Latest: w.rng.IntN(2) == 0}}
 	}
 	return nil
 }
 
-func (w *digestWorld) newRequest() scheduler.Event {
+func (w *digestSimulation) newRequest() scheduler.Event {
 	w.created++
 	set := digestSettings()
 	r := scheduler.Request{
@@ -191,8 +191,8 @@
 	return r
 }
 
-// departure returns the event of a client that leaves.
-func (w *digestWorld) departure() []scheduler.Event {
+// clientLeaves returns the event of a client that leaves.
+func (w *digestSimulation) clientLeaves() []scheduler.Event {
 	if len(w.requests) == 0 {
 		return nil
 	}
@@ -206,8 +206,8 @@
 	return []scheduler.Event{scheduler.ClientLeft{ID: id}}
 }
 
-// changedNode drains, restarts, removes or re-adds a random node.
-func (w *digestWorld) changedNode() scheduler.Event {
+// nodeChange drains, restarts, removes or re-adds a random node.
+func (w *digestSimulation) nodeChange() scheduler.Event {
 	n := &w.nodes[w.rng.IntN(len(w.nodes))]
 	switch {
 	case n.State != scheduler.Running:
@@ -220,10 +220,10 @@
 	return scheduler.EndpointsChanged{Endpoints: []scheduler.Endpoint{*n}}
 }
 
-func (w *digestWorld) anyNode() string { return w.nodes[w.rng.IntN(len(w.nodes))].Node }
+func (w *digestSimulation) randomNode() string { return w.nodes[w.rng.IntN(len(w.nodes))].Node }
 
-// learned exports the learned state, which also prepares the records of the limits.
-func (w *digestWorld) learned() {
+// exportLearned exports the learned state, which also prepares the records of the limits.
+func (w *digestSimulation) exportLearned() {
 	for from := 0; ; {
 		var l scheduler.Learned
 		l, from = w.scheduler.ExportLearned(w.now, from, 16)
@@ -234,7 +234,7 @@
 	}
 }
 
-func (w *digestWorld) step(events ...scheduler.Event) {
+func (w *digestSimulation) step(events ...scheduler.Event) {
 	w.events += len(events)
 	for _, a := range w.scheduler.Step(w.now, events) {
 		w.actions++
--- a/scheduler/digest_test.go
+++ b/scheduler/digest_test.go
@@ -14,14 +14,14 @@
 
 // TestActionsDigest checks that the same events lead to the same actions: refactoring must not change a decision.
 func TestActionsDigest(t *testing.T) {
-	w := newDigestWorld(t)
+	w := newDigestSimulation(t)
 	for w.events < digestEvents {
 		w.advance()
 	}
 	if got := hex.EncodeToString(w.digest.Sum(nil)); got != actionsDigest {
 		t.Errorf("digest %s over %d events and %d actions, want %s", got, w.events, w.actions, actionsDigest)
 	}
-	for kind := range digestKinds {
+	for kind := range kindCount {
 		if w.kinds[kind] == 0 {
 			t.Errorf("no action of kind %d occurred", kind)
 		}
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -8,12 +8,12 @@
 // dispatch starts the attempts that the budgets, the order and each request's conditions allow.
 func (s *Scheduler) dispatch() {
 	s.rechoosePlacements()
-	var ready []*node
+	var candidates []*node
 	for sh := range s.busyShards.All {
-		ready = append(ready, sh.nodes...)
+		candidates = append(candidates, sh.nodes...)
 	}
-	slices.SortFunc(ready, func(a, b *node) int { return a.work.Compare(&b.work) })
-	for _, n := range ready {
+	slices.SortFunc(candidates, func(a, b *node) int { return a.work.Compare(&b.work) })
+	for _, n := range candidates {
 		sh := s.shardFor(n.Shard)
 		for s.dispatchNext(n, sh) {
 		}
@@ -29,7 +29,7 @@
 	if r == nil {
 		return false
 	}
-	if s.checkFirst(n) {
+	if s.needsCheckFirst(n) {
 		s.checkHealth(n)
 		return false
 	}
@@ -90,7 +90,7 @@
 		return false
 	}
 	firstOfVolume := sh.queuedUnits > 0 && (!found || len(f.queued) == 0)
-	return firstOfVolume || s.checkFirst(n) || s.nodeAccepts(n, r, s.rankOf(r, s.missesObjective(n, r)))
+	return firstOfVolume || s.needsCheckFirst(n) || s.nodeAccepts(n, r, s.rankOf(r, s.missesObjective(n, r)))
 }
 
 // startAttempt sends a request to a node, draws its units from the limit and advances the tags.
@@ -110,7 +110,7 @@
 	}
 	r.attempts = append(r.attempts, attempt{n, s.now})
 	r.outstanding++
-	r.overtaken = 0
+	r.overtakenBy = 0
 	n.lastSend = s.now
 	s.work.Queue(&n.work)
 	n.pending = append(n.pending, r)
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -15,12 +15,12 @@
 	s.assignShards()
 	s.nodes = slices.DeleteFunc(s.nodes, func(n *node) bool {
 		// Units sent during slow start count until its end, even if the node leaves the list and comes back.
-		forget := n.State == Removed && len(n.pending) == 0 && !s.inSlowStart(n)
-		if forget {
+		removable := n.State == Removed && len(n.pending) == 0 && !s.inSlowStart(n)
+		if removable {
 			delete(s.nodesByName, n.Node)
 			s.work.Remove(&n.work)
 		}
-		return forget
+		return removable
 	})
 }
 
--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -9,9 +9,9 @@
 	"otterturn/scheduler/slowstart"
 )
 
-// promises checks that any valid sequence of events keeps the guarantees of the interface, and that no state remains in
+// checkGuarantees checks that any valid sequence of events keeps the guarantees of the interface, and that no state remains in
 // the end.
-func promises(t *rapid.T) {
+func checkGuarantees(t *rapid.T) {
 	set := testSettings()
 	set.PeerMessages, set.Fronts = rapid.Bool().Draw(t, "peer messages"), rapid.SampledFrom([]int{1, 2, 5}).Draw(t, "fronts")
 	set.CancelAttempts, set.MaxOpen = rapid.Bool().Draw(t, "cancel"), rapid.SampledFrom([]int{0, 8, 40}).Draw(t, "max open")
@@ -22,26 +22,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{t: t, s: s, now: 1_800_000_000_000_000, open: map[string]*asked{}, spent: map[string]float64{}}
-	p.began = p.now
+	p := &environment{t: t, s: s, now: 1_800_000_000_000_000, open: map[string]*clientRequest{}, drawnUnits: map[string]float64{}}
+	p.startedAt = p.now
 	list := func(t *rapid.T) {
-		p.known = nil
+		p.endpoints = nil
 		for i := range rapid.IntRange(0, 5).Draw(t, "nodes") {
-			l := Endpoint{Node: fmt.Sprint("n", i), Shard: i % 4, Zone: i % 2, State: rapid.SampledFrom([]NodeState{Running, Running, Draining}).Draw(t, "state")}
+			endpoint := Endpoint{Node: fmt.Sprint("n", i), Shard: i % 4, Zone: i % 2, State: rapid.SampledFrom([]NodeState{Running, Running, Draining}).Draw(t, "state")}
 			if rapid.IntRange(0, 3).Draw(t, "started") == 0 {
-				l.StartedAt = p.now
+				endpoint.StartedAt = p.now
 			}
-			p.known = append(p.known, l)
+			p.endpoints = append(p.endpoints, endpoint)
 		}
-		p.step(EndpointsChanged{Full: true, Endpoints: append([]Endpoint{}, p.known...)})
+		p.step(EndpointsChanged{Full: true, Endpoints: append([]Endpoint{}, p.endpoints...)})
 	}
 	list(t)
 	t.Repeat(map[string]func(*rapid.T){
 		"endpoint list": list,
 		"request": func(t *rapid.T) {
-			p.sent++
-			r := &asked{Request: Request{
-				ID: fmt.Sprint("r", p.sent), Class: rapid.IntRange(0, len(set.Classes)-1).Draw(t, "class"),
+			p.created++
+			r := &clientRequest{Request: Request{
+				ID: fmt.Sprint("r", p.created), Class: rapid.IntRange(0, len(set.Classes)-1).Draw(t, "class"),
 				Plan: rapid.IntRange(0, len(set.Plans)-1).Draw(t, "plan"), Key: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key"),
 				Units: float64(rapid.IntRange(1, int(set.MaxUnits)).Draw(t, "units")), Shard: rapid.IntRange(-1, 4).Draw(t, "shard"),
 				Fronts: 1, TimeLeft: Micros(rapid.IntRange(1000, 3_000_000).Draw(t, "time left")),
@@ -52,21 +52,21 @@
 			p.step(r.Request)
 		},
 		"attempt ends": func(t *rapid.T) {
-			if outs := p.outs(); len(outs) > 0 {
-				p.answer(rapid.SampledFrom(outs).Draw(t, "which"), Result(rapid.IntRange(0, 7).Draw(t, "result")))
+			if outstanding := p.outstandingIDs(); len(outstanding) > 0 {
+				p.endAttempt(rapid.SampledFrom(outstanding).Draw(t, "which"), Result(rapid.IntRange(0, 7).Draw(t, "result")))
 			}
 		},
 		"client leaves": func(t *rapid.T) {
 			if len(p.ids) > 0 {
 				id := rapid.SampledFrom(p.ids).Draw(t, "which")
-				p.forget(id)
+				p.remove(id)
 				p.step(ClientLeft{ID: id})
 			}
 		},
 		"health check ends": func(t *rapid.T) {
-			if len(p.probe) > 0 {
-				node := p.probe[0]
-				p.probe = p.probe[1:]
+			if len(p.healthChecks) > 0 {
+				node := p.healthChecks[0]
+				p.healthChecks = p.healthChecks[1:]
 				p.step(HealthChecked{Node: node, OK: rapid.Bool().Draw(t, "ok"), Queue: float64(rapid.IntRange(-1, 9).Draw(t, "queue"))})
 			}
 		},
@@ -82,19 +82,19 @@
 				Units: rapid.Float64Range(0, 9).Draw(t, "units"), ValidUntil: p.now + Micros(rapid.IntRange(-1000, 200_000).Draw(t, "validity")),
 			})
 		},
-		"time passes": func(t *rapid.T) { p.wait(Micros(rapid.IntRange(1, 700_000).Draw(t, "wait"))) },
+		"time passes": func(t *rapid.T) { p.advance(Micros(rapid.IntRange(1, 700_000).Draw(t, "wait"))) },
 	})
-	for _, id := range p.outs() {
-		p.answer(id, NotStarted)
+	for _, id := range p.outstandingIDs() {
+		p.endAttempt(id, NotStarted)
 	}
-	p.wait(4_000_000)
+	p.advance(4_000_000)
 	if len(p.open) > 0 {
 		t.Fatalf("%d requests have no final answer", len(p.open))
 	}
 	for range 40 {
-		p.wait(2_000_000)
+		p.advance(2_000_000)
 	}
-	if left := len(s.requests) + s.volumes.Len() + s.flows.Len() + s.rejected.Len() + s.busyShards.Len() + len(s.allocators); left > 0 {
+	if count := len(s.requests) + s.volumes.Len() + s.flows.Len() + s.rejected.Len() + s.busyShards.Len() + len(s.allocators); count > 0 {
 		t.Fatalf("%d requests, %d volumes, %d flows, %d rejected requests, %d shards with queued requests and %d allocators remain", len(s.requests), s.volumes.Len(),
 			s.flows.Len(), s.rejected.Len(), s.busyShards.Len(), len(s.allocators))
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestStepKeepsItsPromises(t *testing.T) { rapid.Check(t, promises) }
+func TestStepKeepsGuarantees(t *testing.T) { rapid.Check(t, checkGuarantees) }
 
 // FuzzStep searches for sequences of events that violate a guarantee: go test -fuzz FuzzStep ./scheduler
-func FuzzStep(f *testing.F) { f.Fuzz(rapid.MakeFuzz(promises)) }
+func FuzzStep(f *testing.F) { f.Fuzz(rapid.MakeFuzz(checkGuarantees)) }
--- a/scheduler/handover.go
+++ b/scheduler/handover.go
@@ -25,25 +25,25 @@
 // arguments for its TakeOver. This process keeps the units that its queued requests need, if there are as many. Its
 // limits are not refilled any more, it grants no capacity and asks no other front for capacity. So both processes
 // together send no more than one could have sent.
-func (s *Scheduler) Yield(now Micros) (l Learned, startedAt Micros) {
+func (s *Scheduler) Yield(now Micros) (learned Learned, startedAt Micros) {
 	s.now = max(s.now, now)
-	l = Learned{At: s.now}
+	learned = Learned{At: s.now}
 	for _, n := range s.nodes {
-		l.Nodes = append(l.Nodes, n.learned())
+		learned.Nodes = append(learned.Nodes, n.learned())
 	}
 	needed := s.undrawnUnits()
 	for i := range s.volumes.Len() {
 		v := s.volumes.At(i)
-		l.Volumes = append(l.Volumes, s.yieldVolume(v, needed[v]))
+		learned.Volumes = append(learned.Volumes, s.yieldVolume(v, needed[v]))
 	}
 	for i := range s.flows.Len() {
-		l.Flows = s.flows.At(i).appendLead(l.Flows, s.now)
+		learned.Flows = s.flows.At(i).appendLead(learned.Flows, s.now)
 	}
 	s.allocators = nil
 	s.invertFrontIndex()
 	s.settings.PeerMessages = false
 	s.stopRefills()
-	return l, s.startedAt
+	return learned, s.startedAt
 }
 
 // undrawnUnits returns the units that open requests have yet to draw, by volume.
--- a/scheduler/handover_test.go
+++ b/scheduler/handover_test.go
@@ -9,14 +9,14 @@
 
 // Two processes of a front together send no more requests of a limited volume than one process could have sent: at any
 // time of the handover, with any queued requests, and if the successor ends again before or after it has sent something.
-func TestTwoProcessesDrawAsOne(t *testing.T) {
+func TestTwoProcessesDrawNoMoreThanOne(t *testing.T) {
 	const rate, burst, slack, units = 10.0, 36.0, 6.0, 2.0
 	set := Settings{
 		Fronts: 1, Tick: 1000, MeanUnits: units, MaxUnits: 6, Classes: []Class{{LatencyObjective: 300_000, Priority: 1}},
 		Plans: []Plan{{Weight: 1, Limit: rate, Burst: burst, Slack: slack}},
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		process := func() *Scheduler {
+		newProcess := func() *Scheduler {
 			s, err := New(set, 1)
 			if err != nil {
 				t.Fatal(err)
@@ -40,41 +40,41 @@
 				}
 			}
 		}
-		ask := func(s *Scheduler, many int) {
-			for range many {
+		submit := func(s *Scheduler, count int) {
+			for range count {
 				n++
 				step(s, Request{ID: fmt.Sprint(n), Volume: "v", Units: units, Fronts: 1, TimeLeft: 2_000_000})
 			}
 		}
-		predecessor := process()
+		predecessor := newProcess()
 		step(predecessor, list)
 		var successor *Scheduler
-		var given Learned
-		used := false
+		var yielded Learned
+		successorActed := false
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += Micros(rapid.IntRange(1, 400_000).Draw(t, "pause"))
 			switch rapid.IntRange(0, 4).Draw(t, "operation") {
 			case 0, 1:
-				ask(predecessor, rapid.IntRange(1, 10).Draw(t, "requests to the predecessor"))
+				submit(predecessor, rapid.IntRange(1, 10).Draw(t, "requests to the predecessor"))
 			case 2:
 				if successor != nil {
-					ask(successor, rapid.IntRange(1, 10).Draw(t, "requests to the successor"))
-					used = true
+					submit(successor, rapid.IntRange(1, 10).Draw(t, "requests to the successor"))
+					successorActed = true
 				}
 			case 3:
 				if successor == nil {
-					var began Micros
-					given, began = predecessor.Yield(now)
-					successor, used = process(), false
+					var startedAt Micros
+					yielded, startedAt = predecessor.Yield(now)
+					successor, successorActed = newProcess(), false
 					step(successor, list)
-					successor.TakeOver(now, given, began)
+					successor.TakeOver(now, yielded, startedAt)
 				}
 			case 4:
 				if successor != nil {
-					if used {
-						given = Learned{}
+					if successorActed {
+						yielded = Learned{}
 					}
-					predecessor.Resume(now, given, false)
+					predecessor.Resume(now, yielded, false)
 					successor = nil
 				}
 			}
@@ -88,7 +88,7 @@
 
 // An open request keeps the maximum number of attempts that applied when it arrived. A later request has that of the new
 // settings.
-func TestOpenRequestsKeepTheirClass(t *testing.T) {
+func TestOpenRequestsKeepMaxAttempts(t *testing.T) {
 	set := Settings{
 		Fronts: 1, Tick: 1000, MeanUnits: 2, MaxUnits: 6, MaxAttempts: 2, Classes: []Class{{LatencyObjective: 300_000, Priority: 1}},
 		Plans: []Plan{{Weight: 1}},
@@ -99,26 +99,26 @@
 	}
 	now := Micros(1_000_000)
 	s.Step(now, []Event{EndpointsChanged{Full: true, Endpoints: []Endpoint{{Node: "n"}}}})
-	tries := func(id string, again func()) (sends int) {
+	countAttempts := func(id string, afterAttempt func()) (attempts int) {
 		actions := s.Step(now, []Event{Request{ID: id, Volume: "v", TimeLeft: 9_000_000}})
 		for sent := true; sent; {
 			sent = false
 			for _, a := range actions {
 				if _, ok := a.(StartAttempt); ok {
-					sends, sent = sends+1, true
+					attempts, sent = attempts+1, true
 				}
 			}
-			again()
+			afterAttempt()
 			now += 1_000_000
-			actions = s.Step(now, []Event{AttemptEnded{ID: id, Attempt: sends - 1, Result: Errored, Latency: 1000}, TimerFired{}})
+			actions = s.Step(now, []Event{AttemptEnded{ID: id, Attempt: attempts - 1, Result: Errored, Latency: 1000}, TimerFired{}})
 		}
-		return sends
+		return attempts
 	}
 	set.MaxAttempts = 1
-	if got := tries("old", func() { s.Reconfigure(set) }); got != 2 {
+	if got := countAttempts("old", func() { s.Reconfigure(set) }); got != 2 {
 		t.Errorf("an open request had %d attempts, want 2", got)
 	}
-	if got := tries("new", func() {}); got != 1 {
+	if got := countAttempts("new", func() {}); got != 1 {
 		t.Errorf("a later request had %d attempts, want 1", got)
 	}
 	if err := s.Reconfigure(Settings{}); err == nil {
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -30,54 +30,54 @@
 	}
 }
 
-// host drives a Scheduler with scripted events.
-type host struct {
+// harness drives a Scheduler with scripted events.
+type harness struct {
 	t   *testing.T
 	s   *Scheduler
 	now Micros
 	// number of started attempts by request
-	tries map[string]int
-	last  []Action
+	attempts    map[string]int
+	lastActions []Action
 }
 
-func newHost(t *testing.T, set Settings) *host {
+func newHarness(t *testing.T, set Settings) *harness {
 	t.Helper()
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &host{t: t, s: s, now: 1000 * second, tries: map[string]int{}}
-	h.step(EndpointsChanged{Full: true, Endpoints: []Endpoint{running("a", 0), running("b", 1)}})
+	h := &harness{t: t, s: s, now: 1000 * second, attempts: map[string]int{}}
+	h.step(EndpointsChanged{Full: true, Endpoints: []Endpoint{runningNode("a", 0), runningNode("b", 1)}})
 	return h
 }
 
-func running(name string, shard int) Endpoint { return Endpoint{Node: name, Shard: shard} }
+func runningNode(name string, shard int) Endpoint { return Endpoint{Node: name, Shard: shard} }
 
-func (h *host) step(events ...Event) []Action {
-	h.last = h.s.Step(h.now, events)
-	for _, a := range h.last {
+func (h *harness) step(events ...Event) []Action {
+	h.lastActions = h.s.Step(h.now, events)
+	for _, a := range h.lastActions {
 		if a, ok := a.(StartAttempt); ok {
-			h.tries[a.ID]++
+			h.attempts[a.ID]++
 		}
 	}
-	return h.last
+	return h.lastActions
 }
 
-func (h *host) after(d Micros, events ...Event) []Action {
+func (h *harness) stepAfter(d Micros, events ...Event) []Action {
 	h.now += d
 	return h.step(events...)
 }
 
-// idle lets time pass, fires the timer every 5 ms and returns all actions.
-func (h *host) idle(d Micros) (all []Action) {
+// advance lets time pass, fires the timer every 5 ms and returns all actions.
+func (h *harness) advance(d Micros) (all []Action) {
 	for end := h.now + d; h.now < end; {
-		all = append(all, h.after(5*ms, TimerFired{})...)
+		all = append(all, h.stepAfter(5*ms, TimerFired{})...)
 	}
 	return all
 }
 
-func (h *host) end(id string, result Result, latency Micros) AttemptEnded {
-	return AttemptEnded{ID: id, Attempt: h.tries[id] - 1, Result: result, Latency: latency, Final: result == OK}
+func (h *harness) ended(id string, result Result, latency Micros) AttemptEnded {
+	return AttemptEnded{ID: id, Attempt: h.attempts[id] - 1, Result: result, Latency: latency, Final: result == OK}
 }
 
 func req(id string, edit func(*Request)) Request {
@@ -88,7 +88,7 @@
 	return r
 }
 
-func sends(actions []Action) (ids []string) {
+func startedIDs(actions []Action) (ids []string) {
 	for _, a := range actions {
 		if a, ok := a.(StartAttempt); ok {
 			ids = append(ids, a.ID)
@@ -97,21 +97,21 @@
 	return ids
 }
 
-func finals(actions []Action) (refused, failed []string) {
+func finalAnswers(actions []Action) (rejected, failed []string) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Reject:
-			refused = append(refused, a.ID)
+			rejected = append(rejected, a.ID)
 		case Fail:
 			failed = append(failed, a.ID)
 		}
 	}
-	return refused, failed
+	return rejected, failed
 }
 
-func (h *host) wantSends(actions []Action, want ...string) {
+func (h *harness) wantStarted(actions []Action, want ...string) {
 	h.t.Helper()
-	if got := sends(actions); !reflect.DeepEqual(got, want) {
+	if got := startedIDs(actions); !reflect.DeepEqual(got, want) {
 		h.t.Errorf("started %v, want %v", got, want)
 	}
 }
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -13,11 +13,11 @@
 	case OK, Errored:
 		s.observeAnswer(n, r, e)
 	case Expired:
-		n.answered(s.now)
+		n.markAnswered(s.now)
 	case QueueFull:
 		// A full queue takes long to drain: requests sent before would be rejected again or be late.
-		n.answered(s.now)
-		n.backoffUntil = s.now + queueFullObjectives*s.minObjective
+		n.markAnswered(s.now)
+		n.backoffUntil = s.now + queueFullPause*s.minObjective
 		n.Budget = max(n.Budget/2, s.settings.MeanUnits)
 	case TimedOut:
 		s.observeTimeout(n, r, e)
@@ -28,21 +28,21 @@
 	}
 }
 
-// answered records that the node showed that it is serving.
-func (n *node) answered(now Micros) {
+// markAnswered records that the node showed that it is serving.
+func (n *node) markAnswered(now Micros) {
 	n.LastAnswer = now
 	n.silentSince = 0
 }
 
 func (s *Scheduler) observeAnswer(n *node, r *request, e AttemptEnded) {
-	n.answered(s.now)
+	n.markAnswered(s.now)
 	if s.inSlowStart(n) {
 		s.slowStartAnswered(n, r, e.Latency)
 	}
 	if e.Result == Errored {
-		n.ErrorRate += (1 - n.ErrorRate) / errorRateSpan
+		n.ErrorRate += (1 - n.ErrorRate) / errorRateSamples
 	} else {
-		n.ErrorRate -= n.ErrorRate / errorRateSpan
+		n.ErrorRate -= n.ErrorRate / errorRateSamples
 	}
 	if n.isOutlier() && e.Result == Errored {
 		// Errors are quick: counted as latencies they would draw ever more requests to a failing node.
@@ -61,14 +61,14 @@
 func (n *node) addAnswer(latency, units float64) {
 	n.slowMinLatency = min(latency, cmp.Or(n.slowMinLatency, latency))
 	n.fastMinLatency = min(latency, cmp.Or(n.fastMinLatency, latency))
-	n.slowServed += units
-	n.slowLatency += latency
+	n.slowServedUnits += units
+	n.slowLatencySum += latency
 	n.slowAnswers++
 }
 
 // observeTimeout treats an attempt that timed out as lost if later ones were answered, otherwise as slow.
 func (s *Scheduler) observeTimeout(n *node, r *request, e AttemptEnded) {
-	if r.overtaken >= lostAfterAnswers {
+	if r.overtakenBy >= lostAfterAnswers {
 		n.lastLoss = s.now
 	} else {
 		for _, controller := range s.latencyControllers(n, r) {
@@ -88,7 +88,7 @@
 	case result == Unreachable:
 		n.brokenAt = 0
 	case n.brokenAt == 0:
-		n.suspectedBefore = n.SuspectedRestart
+		n.previousSuspicion = n.SuspectedRestart
 		n.brokenAt = s.now
 	}
 	n.silentSince = cmp.Or(n.silentSince, s.now)
@@ -113,19 +113,19 @@
 // the target, for one slow interval at most.
 func (s *Scheduler) updateLatency(n *node, latency float64) {
 	n.SmoothedLatency = cmp.Or(n.SmoothedLatency, latency)
-	n.SmoothedLatency += (latency - n.SmoothedLatency) / latencySpan
-	over := min(latency, n.PreviousLatency) / max(n.Target, float64(s.minObjective)/2)
-	if over > 1 && n.Budget <= s.settings.MeanUnits {
-		n.throttledUntil = s.now + min(slowInterval, Micros(latency*(over*over-1)))
+	n.SmoothedLatency += (latency - n.SmoothedLatency) / latencySamples
+	excess := min(latency, n.PreviousLatency) / max(n.Target, float64(s.minObjective)/2)
+	if excess > 1 && n.Budget <= s.settings.MeanUnits {
+		n.throttledUntil = s.now + min(slowInterval, Micros(latency*(excess*excess-1)))
 	}
 	n.PreviousLatency = latency
 	n.LatencyUpdated = s.now
 	if n == s.placementPool {
 		return
 	}
-	s.slowShare -= s.slowShare / slowShareSpan
+	s.slowShare -= s.slowShare / slowShareSamples
 	if latency > float64(s.minObjective) {
-		s.slowShare += 1.0 / slowShareSpan
+		s.slowShare += 1.0 / slowShareSamples
 	}
 }
 
@@ -173,15 +173,15 @@
 	if n.slowAnswers > 0 && end > 0 {
 		s.adjustTarget(n, float64(s.now-end+slowInterval)/float64(second))
 	}
-	n.slowServed, n.slowLatency, n.slowAnswers, n.slowMinLatency = 0, 0, 0, 0
+	n.slowServedUnits, n.slowLatencySum, n.slowAnswers, n.slowMinLatency = 0, 0, 0, 0
 	s.work.RestartSlow(&n.work)
 }
 
 // adjustTarget updates curve and target with the answers of the last span seconds.
 func (s *Scheduler) adjustTarget(n *node, span float64) {
 	point := curve.Point{
-		Throughput: n.slowServed / span,
-		Latency:    n.slowLatency / n.slowAnswers,
+		Throughput: n.slowServedUnits / span,
+		Latency:    n.slowLatencySum / n.slowAnswers,
 		Low:        n.slowMinLatency,
 	}
 	n.Curve = n.Curve.Add(point, curvePoints)
--- a/scheduler/nodes.go
+++ b/scheduler/nodes.go
@@ -18,7 +18,7 @@
 	case s.hasRecentLoss(n):
 		return s.now
 	}
-	return min(next, s.now-s.owingFor(n)+s.silenceTimeout(n)+1)
+	return min(next, s.now-s.unansweredFor(n)+s.silenceTimeout(n)+1)
 }
 
 // isOutlier reports whether most of a node's answers are errors. An outlier is sent one request at a time,
@@ -30,9 +30,9 @@
 	return max(s.minObjective, Micros(4*n.SmoothedLatency))
 }
 
-// owingFor returns for how long a node has had requests outstanding and answered none. It is the first sign
-// of a node that slows down.
-func (s *Scheduler) owingFor(n *node) Micros {
+// unansweredFor returns for how long a node has had requests outstanding and answered none. It is the first
+// sign of a node that slows down.
+func (s *Scheduler) unansweredFor(n *node) Micros {
 	if len(n.pending) == 0 {
 		return 0
 	}
@@ -60,7 +60,7 @@
 // outstanding returns the units and requests that count against the budget. If the node is silent or loses
 // attempts, overdue requests don't count: one that was overtaken is lost, any other is a sign of silence.
 func (s *Scheduler) outstanding(n *node) (units float64, count int, silent bool) {
-	if !s.hasRecentLoss(n) && s.owingFor(n) <= s.silenceTimeout(n) {
+	if !s.hasRecentLoss(n) && s.unansweredFor(n) <= s.silenceTimeout(n) {
 		return n.outstandingUnits, len(n.pending), false
 	}
 	for _, r := range n.pending {
@@ -68,7 +68,7 @@
 		case !s.isOverdue(n, r):
 			units += r.Units
 			count++
-		case r.overtaken < lostAfterAnswers:
+		case r.overtakenBy < lostAfterAnswers:
 			silent = true
 		}
 	}
@@ -93,7 +93,7 @@
 
 // isLost reports whether a request's attempt counts as lost.
 func (s *Scheduler) isLost(n *node, r *request) bool {
-	return s.hasRecentLoss(n) && r.overtaken >= lostAfterAnswers && s.isOverdue(n, r)
+	return s.hasRecentLoss(n) && r.overtakenBy >= lostAfterAnswers && s.isOverdue(n, r)
 }
 
 // mayCancel reports whether a request's attempt may be cancelled and a retry can be answered in time.
@@ -131,7 +131,7 @@
 	// A process that has ended can't answer a check that was sent as its connection broke.
 	sentAtBreak := n.lastCheckSent <= n.SuspectedRestart+fastInterval
 	if e.OK && n.brokenAt > 0 && sentAtBreak && s.now < n.lastCheckSent+s.minObjective {
-		n.SuspectedRestart = n.suspectedBefore
+		n.SuspectedRestart = n.previousSuspicion
 	}
 	n.brokenAt = 0
 	n.lastCheckResult = s.now
@@ -146,20 +146,20 @@
 }
 
 // boundLatency bounds the smoothed latency by the number of requests that wait at the node.
-func (s *Scheduler) boundLatency(n *node, queue float64) {
-	each := n.UnitTime * s.settings.MeanUnits
-	n.SmoothedLatency = min(n.SmoothedLatency, each*(1+queue))
+func (s *Scheduler) boundLatency(n *node, queueLength float64) {
+	timePerRequest := n.UnitTime * s.settings.MeanUnits
+	n.SmoothedLatency = min(n.SmoothedLatency, timePerRequest*(1+queueLength))
 	n.LatencyUpdated = s.now
-	if each*queue > float64(s.minObjective) {
-		n.SmoothedLatency = max(n.SmoothedLatency, each*queue)
+	if timePerRequest*queueLength > float64(s.minObjective) {
+		n.SmoothedLatency = max(n.SmoothedLatency, timePerRequest*queueLength)
 	}
 }
 
-// checkFirst reports whether a health check precedes a request: slow answers are not rare or the node was
-// slow, and there was no news of the node for a slow interval. Otherwise each of many fronts would find out
-// by a slow request of its own that a node is overloaded, and never that it has recovered.
-func (s *Scheduler) checkFirst(n *node) bool {
-	slow := s.slowShare > 1.0/slowShareSpan || n.SmoothedLatency > float64(s.minObjective)
-	unheard := s.now > max(n.LatencyUpdated, n.lastCheckResult)+slowInterval
-	return s.settings.HealthChecks && slow && unheard
+// needsCheckFirst reports whether a health check precedes a request: slow answers are not rare or the node
+// was slow, and there was no news of the node for a slow interval. Otherwise each of many fronts would find
+// out by a slow request of its own that a node is overloaded, and never that it has recovered.
+func (s *Scheduler) needsCheckFirst(n *node) bool {
+	slow := s.slowShare > 1.0/slowShareSamples || n.SmoothedLatency > float64(s.minObjective)
+	outdated := s.now > max(n.LatencyUpdated, n.lastCheckResult)+slowInterval
+	return s.settings.HealthChecks && slow && outdated
 }
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -45,17 +45,17 @@
 // reservationDue reports whether the reservation tag of a request's volume is due.
 func (s *Scheduler) reservationDue(r *request) bool {
 	v := r.volume
-	return v.plan.Reservation > 0 && v.reservationTag+s.reservationReserve(r) <= float64(s.now)
+	return v.plan.Reservation > 0 && v.reservationTag+s.keptReservation(r) <= float64(s.now)
 }
 
-// reservationReserve returns the part of a volume's unused reservation that is kept for requests of higher
+// keptReservation returns the part of a volume's unused reservation that is kept for requests of higher
 // priority, as a time.
-func (s *Scheduler) reservationReserve(r *request) float64 {
-	return s.lowerPriority(r) / 2 * (float64(second) + s.settings.MaxUnits/s.reservationRate(r.volume))
+func (s *Scheduler) keptReservation(r *request) float64 {
+	return s.priorityDeficit(r) / 2 * (float64(second) + s.settings.MaxUnits/s.reservationRate(r.volume))
 }
 
-// lowerPriority returns by how much a request's priority is below the highest one, from 0 to 1.
-func (s *Scheduler) lowerPriority(r *request) float64 { return 1 - r.class.Priority/s.maxPriority }
+// priorityDeficit returns by how much a request's priority is below the highest one, from 0 to 1.
+func (s *Scheduler) priorityDeficit(r *request) float64 { return 1 - r.class.Priority/s.maxPriority }
 
 // servedBefore orders the requests of a flow: by higher priority, then by later objective. In order of
 // arrival, an overloaded flow would answer all requests just as their objectives end.
@@ -84,10 +84,10 @@
 
 // mayStart reports whether an attempt of a request may start at a node now.
 func (s *Scheduler) mayStart(n *node, r *request) bool {
-	outOfTime := s.now >= r.deadline-s.sendMargin()
-	overBudget := len(r.attempts) > 0 && !s.retryBudget.Allows(s.now)
-	inTurn := !r.class.InOrder || s.keyQueues.MayStart(r.Key, r, s.now, r.mayHaveRun != nil)
-	if !s.withinLimit(r) || outOfTime || !s.mayRetry(r) || overBudget || !r.deduplicatedAt(n) || !inTurn {
+	tooLate := s.now >= r.deadline-s.sendMargin()
+	noRetryBudget := len(r.attempts) > 0 && !s.retryBudget.Allows(s.now)
+	hasTurn := !r.class.InOrder || s.keyQueues.MayStart(r.Key, r, s.now, r.mayHaveRun != nil)
+	if !s.withinLimit(r) || tooLate || !s.mayRetry(r) || noRetryBudget || !r.deduplicatedAt(n) || !hasTurn {
 		return false
 	}
 	pool := s.placementPool
@@ -105,8 +105,8 @@
 	if v.plan.Limit <= 0 || r.tokensDrawn {
 		return true
 	}
-	keep := v.plan.Burst / v.fronts * s.lowerPriority(r) / 2
-	return v.bucket.Allows(s.now, r.Units, keep)
+	kept := v.plan.Burst / v.fronts * s.priorityDeficit(r) / 2
+	return v.bucket.Allows(s.now, r.Units, kept)
 }
 
 // deduplicatedAt reports whether a node would drop a retry if an earlier attempt ran, where that matters.
@@ -114,12 +114,12 @@
 	if r.mayHaveRun == nil || r.class.Idempotency != IdempotentByKey {
 		return true
 	}
-	former := r.mayHaveRun.node
+	firstNode := r.mayHaveRun.node
 	switch r.class.DedupScope {
 	case SameShard:
-		return n.Shard == former.Shard
+		return n.Shard == firstNode.Shard
 	case SameZone:
-		return n.Zone == former.Zone
+		return n.Zone == firstNode.Zone
 	}
 	return true
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -30,7 +30,7 @@
 	load := n.outstandingUnits + s.shardFor(n.Shard).queuedUnits
 	score := (load + r.Units) / n.Budget * (1 + placementNoise*s.rng.Float64())
 	latency := cmp.Or(n.SmoothedLatency, s.placementPool.SmoothedLatency, float64(s.minObjective))
-	score *= max(latency, float64(s.owingFor(n)))
+	score *= max(latency, float64(s.unansweredFor(n)))
 	if s.now > n.LastAnswer+staleAfter { // no connection to it is kept open either
 		score *= staleNodePenalty
 	}
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -9,28 +9,28 @@
 // One of many fronts that spreads new objects over all nodes sends to each node rarely, over a new connection for nearly
 // every object, and learns nothing of any node. So new objects go to a node that answered recently, unless it is
 // considerably slower.
-func TestNewObjectsGoWhereTheHostWasAnsweredLately(t *testing.T) {
-	h := newHost(t, testSettings())
-	h.step(EndpointsChanged{Full: true, Endpoints: []Endpoint{running("a", 0), running("b", 1), running("c", 2), running("d", 3)}})
+func TestNewObjectsGoToNodeThatAnsweredRecently(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.step(EndpointsChanged{Full: true, Endpoints: []Endpoint{runningNode("a", 0), runningNode("b", 1), runningNode("c", 2), runningNode("d", 3)}})
 	fresh := func(r *Request) { r.Shard = -1 }
-	h.wantSends(h.after(ms, req("x", func(r *Request) { r.Shard = 2 })), "x")
-	h.after(50*ms, h.end("x", OK, 50*ms))
+	h.wantStarted(h.stepAfter(ms, req("x", func(r *Request) { r.Shard = 2 })), "x")
+	h.stepAfter(50*ms, h.ended("x", OK, 50*ms))
 	for i := range 20 {
 		id := fmt.Sprint("n", i)
-		out := h.after(100*ms, req(id, fresh))
-		h.wantSends(out, id)
+		out := h.stepAfter(100*ms, req(id, fresh))
+		h.wantStarted(out, id)
 		for _, a := range out {
 			if send, is := a.(StartAttempt); is && send.Node != "c" {
 				t.Fatalf("object %d is sent to %s, want c", i, send.Node)
 			}
 		}
-		h.after(50*ms, h.end(id, OK, 50*ms))
+		h.stepAfter(50*ms, h.ended(id, OK, 50*ms))
 	}
 }
 
 // Each of many fronts sends to a single node too rarely to learn its state, so latencies of new objects at some nodes
 // count for all nodes.
-func TestNewObjectsWaitForTheNewsOfAllNodes(t *testing.T) {
+func TestNewObjectsShareLatencyOfAllNodes(t *testing.T) {
 	fresh := func(r *Request) { r.Shard, r.TimeLeft = -1, 20*second }
 	for _, c := range []struct {
 		latency Micros
@@ -38,16 +38,16 @@
 	}{{40 * ms, 4}, {1900 * ms, 1}} {
 		set := testSettings()
 		set.Fronts = 100
-		h := newHost(t, set)
+		h := newHarness(t, set)
 		var list []Endpoint
 		for i := range 20 {
-			list = append(list, running(fmt.Sprintf("n%d", i), i))
+			list = append(list, runningNode(fmt.Sprintf("n%d", i), i))
 		}
 		h.step(EndpointsChanged{Full: true, Endpoints: list})
 		for i := range 2 { // one answer each of two nodes
 			id := fmt.Sprintf("w%d", i)
-			h.wantSends(h.step(req(id, fresh)), id)
-			h.after(c.latency, h.end(id, OK, c.latency))
+			h.wantStarted(h.step(req(id, fresh)), id)
+			h.stepAfter(c.latency, h.ended(id, OK, c.latency))
 		}
 		actions := h.step(req("old", func(r *Request) { r.Shard = 15 }), req("x0", fresh), req("x1", fresh),
 			req("x2", fresh), req("x3", fresh))
@@ -58,30 +58,30 @@
 					events = append(events, HealthChecked{Node: p.Node, OK: true})
 				}
 			}
-			actions = h.after(ms, events...)
+			actions = h.stepAfter(ms, events...)
 		}
-		if got := h.tries["x0"] + h.tries["x1"] + h.tries["x2"] + h.tries["x3"]; got != c.sent || h.tries["old"] != 1 {
-			t.Errorf("after answers in %v µs: %d of 4 new objects and %d reads were sent", c.latency, got, h.tries["old"])
+		if got := h.attempts["x0"] + h.attempts["x1"] + h.attempts["x2"] + h.attempts["x3"]; got != c.sent || h.attempts["old"] != 1 {
+			t.Errorf("after answers in %v µs: %d of 4 new objects and %d reads were sent", c.latency, got, h.attempts["old"])
 		}
 	}
 }
 
-func TestNewObjectsAvoidANodeThatOwesAnAnswer(t *testing.T) {
-	h := newHost(t, testSettings())
+func TestNewObjectsAvoidNodeWithUnansweredRequest(t *testing.T) {
+	h := newHarness(t, testSettings())
 	h.step(req("x", nil), req("y", func(r *Request) { r.Shard = 1 }))
 	y := AttemptEnded{ID: "y", Result: OK, Latency: 100 * ms, Final: true}
-	h.after(100*ms, h.end("x", OK, 50*ms), y)
+	h.stepAfter(100*ms, h.ended("x", OK, 50*ms), y)
 	h.step(req("u", func(r *Request) { r.Units = 1 }))
 	h.s.nodesByName["a"].outstandingUnits = 0 // so that the unanswered request alone reveals the overload
-	a := h.after(300*ms, req("w", func(r *Request) { r.Shard = -1 }))
+	a := h.stepAfter(300*ms, req("w", func(r *Request) { r.Shard = -1 }))
 	if !slices.Contains(a, Action(StartAttempt{ID: "w", Node: "b"})) {
 		t.Errorf("actions %v", a)
 	}
 }
 
-func TestNewObjectsGoWhereThereIsRoom(t *testing.T) {
-	h := newHost(t, testSettings())
-	feed(h, 3, 20*ms)
+func TestNewObjectsGoWhereBudgetIsFree(t *testing.T) {
+	h := newHarness(t, testSettings())
+	answerRequests(h, 3, 20*ms)
 	h.s.nodesByName["b"].SmoothedLatency = h.s.nodesByName["a"].SmoothedLatency
 	at := map[string]int{}
 	for i := range 8 {
@@ -104,26 +104,26 @@
 
 // A node that answered only errors did so in 3 ms. When these counted as its latency, it seemed faster than all others
 // and attracted the new objects.
-func TestNodeThatAnswersErrors(t *testing.T) {
-	h := newHost(t, testSettings())
+func TestOutlierAttractsNoNewObjects(t *testing.T) {
+	h := newHarness(t, testSettings())
 	object := func(r *Request) { r.Shard = -1 }
 	h.step(req("usual", func(r *Request) { r.Shard = 1 }))
-	h.step(h.end("usual", OK, 20*ms))
+	h.step(h.ended("usual", OK, 20*ms))
 	for i := range 4 {
 		id := fmt.Sprint("error-", i)
-		h.wantSends(h.after(20*ms, req(id, nil)), id)
-		h.step(h.end(id, Errored, ms), ClientLeft{ID: id})
+		h.wantStarted(h.stepAfter(20*ms, req(id, nil)), id)
+		h.step(h.ended(id, Errored, ms), ClientLeft{ID: id})
 	}
 	for i := range 5 {
 		id := fmt.Sprint("object-", i)
-		if a := h.after(20*ms, req(id, object)); !slices.Contains(a, Action(StartAttempt{ID: id, Node: "b"})) {
+		if a := h.stepAfter(20*ms, req(id, object)); !slices.Contains(a, Action(StartAttempt{ID: id, Node: "b"})) {
 			t.Errorf("actions for a new object: %v, want an attempt at b", a)
 		}
-		h.step(h.end(id, OK, 20*ms))
+		h.step(h.ended(id, OK, 20*ms))
 	}
-	h.wantSends(h.step(req("trial", nil), req("behind", nil)))
-	h.idle(400 * ms)
-	if h.tries["trial"]+h.tries["behind"] != 1 {
-		t.Errorf("%d and %d attempts, want one in all", h.tries["trial"], h.tries["behind"])
+	h.wantStarted(h.step(req("trial", nil), req("behind", nil)))
+	h.advance(400 * ms)
+	if h.attempts["trial"]+h.attempts["behind"] != 1 {
+		t.Errorf("%d and %d attempts, want one in all", h.attempts["trial"], h.attempts["behind"])
 	}
 }
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -4,8 +4,8 @@
 // listed state or their behavior.
 func (s *Scheduler) AvoidedNodes(now Micros) (count int) {
 	for _, n := range s.nodes {
-		backsOff := n.silentSince > 0 || now < n.backoffUntil || n.isOutlier()
-		if n.State != Removed && (n.State != Running || backsOff) {
+		avoided := n.silentSince > 0 || now < n.backoffUntil || n.isOutlier()
+		if n.State != Removed && (n.State != Running || avoided) {
 			count++
 		}
 	}
--- a/scheduler/rejection.go
+++ b/scheduler/rejection.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// rejectHopeless rejects queued requests that may not be sent again or can't be answered in time. Others
+// rejectUnservable rejects queued requests that may not be sent again or can't be answered in time. Others
 // wait until the last step that certainly precedes their deadline. A request that was never sent waits for
 // half of its time, so that its client has time to retry.
-func (s *Scheduler) rejectHopeless() {
-	spare := timerTicks*s.settings.Tick + s.sendMargin()
+func (s *Scheduler) rejectUnservable() {
+	margin := timerTicks*s.settings.Tick + s.sendMargin()
 	for sh := range s.busyShards.All {
 		for f := range sh.busyFlows.All {
 			for _, r := range slices.Clone(f.queued) {
 				answerAt := s.estimateAnswer(sh, r)
-				tooLate := answerAt >= r.deadline-spare
-				halfTimeOver := len(r.attempts) == 0 && s.now >= r.deadline-r.TimeLeft/2-spare
+				tooLate := answerAt >= r.deadline-margin
+				halfTimeOver := len(r.attempts) == 0 && s.now >= r.deadline-r.TimeLeft/2-margin
 				if tooLate || !s.mayRetry(r) || halfTimeOver {
 					s.finish(r, answerAt-s.now, DeadlineUnreachable)
 				}
@@ -39,7 +39,7 @@
 // leastValuable returns the request to shed first, among those never sent: one that misses its objective,
 // then one beyond its volume's reservation. Among equals it is in the flow with the longest backlog
 // relative to its weight, and there the last one to be served.
-func (s *Scheduler) leastValuable() (where *shard, worst *request) {
+func (s *Scheduler) leastValuable() (worstShard *shard, worst *request) {
 	worstRank, worstBacklog := rankReserved, 0.0
 	for sh := range s.busyShards.All {
 		for f := range sh.busyFlows.All {
@@ -54,11 +54,11 @@
 				if worst != nil && (order < 0 || order == 0 && servedBefore(r, worst)) {
 					continue
 				}
-				where, worst, worstRank, worstBacklog = sh, r, rank, backlog
+				worstShard, worst, worstRank, worstBacklog = sh, r, rank, backlog
 			}
 		}
 	}
-	return where, worst
+	return worstShard, worst
 }
 
 // sheddingRank returns the rank that a request will have once all queued requests of its flow were sent.
@@ -85,12 +85,12 @@
 	}
 	answerAt := max(s.now, n.backoffUntil, n.LatencyUpdated+Micros(n.SmoothedLatency))
 	if _, _, silent := s.outstanding(n); silent {
-		answerAt = max(answerAt, s.now+s.owingFor(n))
+		answerAt = max(answerAt, s.now+s.unansweredFor(n))
 	}
 	answerAt += Micros(r.Units * n.UnitTime)
 	if s.missesObjective(n, r) { // it waits for all others
-		queue := n.SmoothedLatency * (n.outstandingUnits + sh.queuedUnits) / n.Budget
-		answerAt = max(answerAt, s.now+Micros(queue))
+		queueTime := n.SmoothedLatency * (n.outstandingUnits + sh.queuedUnits) / n.Budget
+		answerAt = max(answerAt, s.now+Micros(queueTime))
 	}
 	if r.volume.plan.Limit > 0 && !r.tokensDrawn {
 		untilRefilled := (r.Units - r.volume.bucket.Level) / r.volume.limitRate()
--- a/scheduler/rejection_test.go
+++ b/scheduler/rejection_test.go
@@ -9,14 +9,14 @@
 )
 
 // A request that may still be served stays queued, but is answered before its deadline even if only timers fire.
-func TestHeldRequestIsRefusedBeforeItsTimeEnds(t *testing.T) {
-	h := newHost(t, testSettings())
+func TestQueuedRequestIsRejectedBeforeDeadline(t *testing.T) {
+	h := newHarness(t, testSettings())
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Draining}}})
 	end := h.now + 2000*ms
 	actions := h.step(req("x", nil))
 	for h.now < end {
-		refused, _ := finals(actions)
-		if reflect.DeepEqual(refused, []string{"x"}) {
+		rejected, _ := finalAnswers(actions)
+		if reflect.DeepEqual(rejected, []string{"x"}) {
 			break
 		}
 		i := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(SetTimer); return ok })
@@ -36,22 +36,22 @@
 
 // Requests that were never sent to a node used to be queued until just before their deadline and then rejected with no
 // time left for a retry. It cost 0.04 of the result of the calm day over sockets.
-func TestRequestNeverSentIsRefusedByHalfOfItsTime(t *testing.T) {
-	h := newHost(t, testSettings())
+func TestUnsentRequestIsRejectedAfterHalfItsTime(t *testing.T) {
+	h := newHarness(t, testSettings())
 	h.step(req("full", nil))
-	h.step(h.end("full", QueueFull, ms)) // nothing is sent to the node for two objectives, 800 ms
+	h.step(h.ended("full", QueueFull, ms)) // nothing is sent to the node for two objectives, 800 ms
 	h.step(req("held", func(r *Request) { r.TimeLeft = 1000 * ms }))
-	if refused, _ := finals(h.idle(450 * ms)); len(refused) > 0 {
-		t.Fatalf("rejected %v although half of the time is left", refused)
+	if rejected, _ := finalAnswers(h.advance(450 * ms)); len(rejected) > 0 {
+		t.Fatalf("rejected %v although half of the time is left", rejected)
 	}
-	if refused, _ := finals(h.idle(50 * ms)); !slices.Equal(refused, []string{"held"}) {
-		t.Fatalf("rejected %v after half of the time, want held", refused)
+	if rejected, _ := finalAnswers(h.advance(50 * ms)); !slices.Equal(rejected, []string{"held"}) {
+		t.Fatalf("rejected %v after half of the time, want held", rejected)
 	}
 }
 
 // A request that can't be answered before its deadline is rejected at once, with the time after which to retry.
-func TestWhatCantBeServedIsAnsweredAtOnce(t *testing.T) {
-	refusal := func(h *host, r Request) (after Micros, ok bool) {
+func TestUnservableRequestIsRejectedAtOnce(t *testing.T) {
+	rejection := func(h *harness, r Request) (retryAfter Micros, ok bool) {
 		for _, a := range h.step(r) {
 			if a, is := a.(Reject); is && a.ID == r.ID {
 				return a.RetryAfter, true
@@ -63,26 +63,26 @@
 	set.RetryAfter, set.MaxRetryAfter = true, 5000*ms
 	for _, c := range []struct {
 		what        string
-		before      func(h *host)
+		before      func(h *harness)
 		edit        func(*Request)
 		given       bool
 		least, most Micros
 	}{
-		{"shard whose node has just been removed", func(h *host) {
+		{"shard whose node has just been removed", func(h *harness) {
 			h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Removed}}})
 		}, nil, false, 0, 0},
-		{"shard without a node for longer than the client waits", func(h *host) {
+		{"shard without a node for longer than the client waits", func(h *harness) {
 			h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Removed}}})
-			h.idle(2500 * ms)
+			h.advance(2500 * ms)
 		}, nil, true, 2000 * ms, 3000 * ms},
-		{"node that failed long ago", func(h *host) {
+		{"node that failed long ago", func(h *harness) {
 			h.step(req("w", nil))
-			h.after(ms, h.end("w", Unreachable, ms))
-			h.idle(6000 * ms)
+			h.stepAfter(ms, h.ended("w", Unreachable, ms))
+			h.advance(6000 * ms)
 		}, nil, true, 5000 * ms, 5000 * ms},
-		{"node whose latency exceeds the client's time", func(h *host) {
+		{"node whose latency exceeds the client's time", func(h *harness) {
 			h.step(req("w", nil))
-			h.after(3000*ms, h.end("w", OK, 3000*ms))
+			h.stepAfter(3000*ms, h.ended("w", OK, 3000*ms))
 		}, nil, true, 2000 * ms, 5000 * ms},
 		{
 			"limit that refills too slowly", nil, func(r *Request) { r.Plan, r.Units, r.Fronts = 3, 8, 4 },
@@ -90,25 +90,25 @@
 		},
 		{"limit that refills in time", nil, func(r *Request) { r.Plan, r.Fronts = 3, 1 }, false, 0, 0},
 	} {
-		h := newHost(t, set)
+		h := newHarness(t, set)
 		if c.before != nil {
 			c.before(h)
 		}
-		after, ok := refusal(h, req("x", c.edit))
-		if ok != c.given || after < c.least || after > c.most {
-			t.Errorf("%s: rejected %v, retry after %v", c.what, ok, after)
+		retryAfter, ok := rejection(h, req("x", c.edit))
+		if ok != c.given || retryAfter < c.least || retryAfter > c.most {
+			t.Errorf("%s: rejected %v, retry after %v", c.what, ok, retryAfter)
 		}
 	}
 }
 
 // The retry of a rejected request keeps the objective of the first request. A new request of the same client has its own.
-func TestNextTryKeepsItsFirstAim(t *testing.T) {
-	h := newHost(t, testSettings())
+func TestRetryKeepsFirstObjective(t *testing.T) {
+	h := newHarness(t, testSettings())
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Draining}}})
 	first := h.now
 	h.step(req("x", func(r *Request) { r.Key, r.TimeLeft = "k", 1500*ms }))
 	for len(h.s.requests) > 0 {
-		h.after(5*ms, TimerFired{})
+		h.stepAfter(5*ms, TimerFired{})
 	}
 	h.step(req("again", func(r *Request) { r.Volume, r.Key, r.TimeLeft = "vx", "k", first+1500*ms-h.now }))
 	h.step(req("other", func(r *Request) { r.Volume, r.Key, r.TimeLeft = "vx", "k", 1500*ms }))
@@ -120,33 +120,33 @@
 	}
 }
 
-func TestTimeOutAtTheDeadlineIsAnsweredAtOnce(t *testing.T) {
-	h := newHost(t, testSettings())
-	h.wantSends(h.step(req("x", func(r *Request) { r.Class = 1 })), "x")
-	refused, failed := finals(h.after(2000*ms, h.end("x", TimedOut, 2000*ms)))
-	if len(refused) != 0 || !reflect.DeepEqual(failed, []string{"x"}) {
-		t.Errorf("rejected %v, failed %v", refused, failed)
+func TestTimeoutAtDeadlineIsAnsweredAtOnce(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.wantStarted(h.step(req("x", func(r *Request) { r.Class = 1 })), "x")
+	rejected, failed := finalAnswers(h.stepAfter(2000*ms, h.ended("x", TimedOut, 2000*ms)))
+	if len(rejected) != 0 || !reflect.DeepEqual(failed, []string{"x"}) {
+		t.Errorf("rejected %v, failed %v", rejected, failed)
 	}
 }
 
-func TestLapsedRequestIsNeverSent(t *testing.T) {
-	h := newHost(t, testSettings())
+func TestRequestOfDepartedClientIsNeverSent(t *testing.T) {
+	h := newHarness(t, testSettings())
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Draining}}})
 	h.step(req("x", nil))
 	h.step(ClientLeft{ID: "x"})
-	h.step(EndpointsChanged{Endpoints: []Endpoint{running("a", 0)}})
-	if a := sends(h.idle(2500 * ms)); len(a) != 0 {
+	h.step(EndpointsChanged{Endpoints: []Endpoint{runningNode("a", 0)}})
+	if a := startedIDs(h.advance(2500 * ms)); len(a) != 0 {
 		t.Errorf("started %v", a)
 	}
 }
 
 // Rejected requests are remembered only until their deadline.
-func TestRefusedRequestsAreForgotten(t *testing.T) {
-	h := newHost(t, testSettings())
+func TestRejectedRequestsAreForgotten(t *testing.T) {
+	h := newHarness(t, testSettings())
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Removed}}})
-	h.idle(500 * ms)
+	h.advance(500 * ms)
 	for i := range 3000 {
-		h.after(ms, req(fmt.Sprintf("r%d", i), func(r *Request) { r.TimeLeft = 400 * ms }))
+		h.stepAfter(ms, req(fmt.Sprintf("r%d", i), func(r *Request) { r.TimeLeft = 400 * ms }))
 	}
 	if n := h.s.rejected.Len(); n == 0 || n > 1000 {
 		t.Errorf("%d of 3000 rejected requests are remembered, want 1 to 1000", n)
@@ -156,10 +156,10 @@
 // In an overload, queued requests occupied all connections of the clients, so that requests which a node could have
 // served at once got none. Beyond MaxOpen the least valuable requests are rejected at once, those within a reservation
 // last.
-func TestFloodRefusesWhatEarnsLeast(t *testing.T) {
+func TestOverloadRejectsLeastValuableRequests(t *testing.T) {
 	set := testSettings()
 	set.MaxOpen = 4
-	h := newHost(t, set)
+	h := newHarness(t, set)
 	volume := func(name string, plan int) func(*Request) {
 		return func(r *Request) { r.Volume, r.Plan, r.Shard, r.TimeLeft = name, plan, 9, 20000*ms } // no node holds this shard
 	}
@@ -168,10 +168,10 @@
 		actions = append(actions, h.step(req(fmt.Sprint("reserved-", i), volume("r", 2)))...)
 		actions = append(actions, h.step(req(fmt.Sprint("other-", i), volume("o", 0)))...)
 	}
-	if refused, _ := finals(actions); len(refused) != 2 || !strings.HasPrefix(refused[0], "other-") || !strings.HasPrefix(refused[1], "other-") {
-		t.Errorf("rejected %v, want two without a reservation", refused)
+	if rejected, _ := finalAnswers(actions); len(rejected) != 2 || !strings.HasPrefix(rejected[0], "other-") || !strings.HasPrefix(rejected[1], "other-") {
+		t.Errorf("rejected %v, want two without a reservation", rejected)
 	}
-	if refused, _ := finals(h.step(OpenLimitChanged{MaxOpen: 2})); len(refused) != 2 || !strings.HasPrefix(refused[0], "other-") {
-		t.Errorf("rejected %v with a lower MaxOpen, want two, the last one without a reservation first", refused)
+	if rejected, _ := finalAnswers(h.step(OpenLimitChanged{MaxOpen: 2})); len(rejected) != 2 || !strings.HasPrefix(rejected[0], "other-") {
+		t.Errorf("rejected %v with a lower MaxOpen, want two, the last one without a reservation first", rejected)
 	}
 }
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -93,7 +93,7 @@
 	}
 	if result.isAnswer() {
 		for _, earlier := range n.pending[:i] {
-			earlier.overtaken++
+			earlier.overtakenBy++
 		}
 	}
 	n.pending = slices.Delete(n.pending, i, i+1)
--- a/scheduler/retries_test.go
+++ b/scheduler/retries_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestEffects(t *testing.T) {
+func TestRetryFollowsIdempotency(t *testing.T) {
 	cases := []struct {
 		name    string
 		class   int
@@ -25,83 +25,83 @@
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
 			set.SlowStart = 0
-			h := newHost(t, set)
+			h := newHarness(t, set)
 			h.step(req("x", func(r *Request) { r.Class = c.class }))
-			a := h.after(10*ms, h.end("x", c.result, 10*ms))
-			refused, failed := finals(a)
-			a = append(a, h.after(1000*ms, HealthChecked{Node: "a", OK: true})...)
-			if got := len(sends(a)) > 0; got != c.again {
+			a := h.stepAfter(10*ms, h.ended("x", c.result, 10*ms))
+			rejected, failed := finalAnswers(a)
+			a = append(a, h.stepAfter(1000*ms, HealthChecked{Node: "a", OK: true})...)
+			if got := len(startedIDs(a)) > 0; got != c.again {
 				t.Errorf("retried: %v", got)
 			}
-			if got := len(failed) > 0; got == c.again || len(refused) > 0 {
-				t.Errorf("rejected %v, failed %v", refused, failed)
+			if got := len(failed) > 0; got == c.again || len(rejected) > 0 {
+				t.Errorf("rejected %v, failed %v", rejected, failed)
 			}
 		})
 	}
 }
 
-func TestKeyedRepeatStaysInsideItsWindow(t *testing.T) {
-	h := newHost(t, testSettings())
+func TestRetryStaysWithinDedupWindow(t *testing.T) {
+	h := newHarness(t, testSettings())
 	h.step(req("x", func(r *Request) { r.Class = 1 }), req("y", func(r *Request) { r.Class = 4 }))
-	_, failed := finals(h.after(1000*ms, h.end("x", Errored, 1000*ms)))
-	refused, _ := finals(h.step(h.end("y", Errored, 1000*ms)))
-	if !reflect.DeepEqual(failed, []string{"x"}) || !reflect.DeepEqual(refused, []string{"y"}) {
-		t.Errorf("failed %v, rejected %v", failed, refused)
+	_, failed := finalAnswers(h.stepAfter(1000*ms, h.ended("x", Errored, 1000*ms)))
+	rejected, _ := finalAnswers(h.step(h.ended("y", Errored, 1000*ms)))
+	if !reflect.DeepEqual(failed, []string{"x"}) || !reflect.DeepEqual(rejected, []string{"y"}) {
+		t.Errorf("failed %v, rejected %v", failed, rejected)
 	}
 }
 
-func TestAttemptLimit(t *testing.T) {
-	h := newHost(t, testSettings())
-	h.wantSends(h.step(req("x", nil)), "x")
-	h.wantSends(h.after(10*ms, h.end("x", Errored, 10*ms)), "x")
-	h.wantSends(h.after(10*ms, h.end("x", Errored, 10*ms)), "x")
-	refused, _ := finals(h.after(10*ms, h.end("x", Errored, 10*ms)))
-	if !reflect.DeepEqual(refused, []string{"x"}) {
-		t.Errorf("rejected %v", refused)
+func TestMaxAttempts(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.wantStarted(h.step(req("x", nil)), "x")
+	h.wantStarted(h.stepAfter(10*ms, h.ended("x", Errored, 10*ms)), "x")
+	h.wantStarted(h.stepAfter(10*ms, h.ended("x", Errored, 10*ms)), "x")
+	rejected, _ := finalAnswers(h.stepAfter(10*ms, h.ended("x", Errored, 10*ms)))
+	if !reflect.DeepEqual(rejected, []string{"x"}) {
+		t.Errorf("rejected %v", rejected)
 	}
 }
 
-func TestRetryAllowance(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	set := testSettings()
 	set.RetryBudgetSpan, set.RetryBudgetMin, set.RetryBudgetShare = 1000*ms, 1, 0.1
-	h := newHost(t, set)
+	h := newHarness(t, set)
 	h.step(req("x", nil))
-	h.wantSends(h.after(10*ms, h.end("x", Errored, 10*ms)), "x")
-	h.wantSends(h.after(10*ms, h.end("x", Errored, 10*ms)))
-	if a := sends(h.idle(900 * ms)); len(a) != 0 {
+	h.wantStarted(h.stepAfter(10*ms, h.ended("x", Errored, 10*ms)), "x")
+	h.wantStarted(h.stepAfter(10*ms, h.ended("x", Errored, 10*ms)))
+	if a := startedIDs(h.advance(900 * ms)); len(a) != 0 {
 		t.Errorf("started %v", a)
 	}
-	h.wantSends(h.idle(200*ms), "x")
+	h.wantStarted(h.advance(200*ms), "x")
 }
 
 func TestOneAttemptAtATime(t *testing.T) {
-	h := newHost(t, testSettings())
+	h := newHarness(t, testSettings())
 	h.step(req("x", nil))
-	if a := sends(h.idle(1900 * ms)); len(a) != 0 {
+	if a := startedIDs(h.advance(1900 * ms)); len(a) != 0 {
 		t.Errorf("started %v", a)
 	}
 }
 
-// lossyHost returns a front at which an attempt timed out although two later ones were answered.
-func lossyHost(t *testing.T) *host {
+// newHarnessWithLoss returns a front at which an attempt timed out although two later ones were answered.
+func newHarnessWithLoss(t *testing.T) *harness {
 	set := testSettings()
 	set.CancelAttempts = true
-	h := newHost(t, set)
-	h.wantSends(h.step(req("x", nil), req("y", nil), req("z", nil)), "x", "y", "z")
-	h.after(20*ms, h.end("y", OK, 20*ms), h.end("z", OK, 20*ms))
-	h.after(1980*ms, h.end("x", TimedOut, 2000*ms))
-	h.after(ms, HealthChecked{Node: "a", OK: true})
+	h := newHarness(t, set)
+	h.wantStarted(h.step(req("x", nil), req("y", nil), req("z", nil)), "x", "y", "z")
+	h.stepAfter(20*ms, h.ended("y", OK, 20*ms), h.ended("z", OK, 20*ms))
+	h.stepAfter(1980*ms, h.ended("x", TimedOut, 2000*ms))
+	h.stepAfter(ms, HealthChecked{Node: "a", OK: true})
 	return h
 }
 
 // A lost attempt was not cancelled once a retry would miss the objective, although a late answer may still have a value.
-func TestAttemptLostAtALossyNodeIsRepeated(t *testing.T) {
-	for _, out := range []Micros{120 * ms, 1000 * ms} {
-		h := lossyHost(t)
-		h.wantSends(h.step(req("u", nil), req("v", nil), req("w", nil)), "u", "v", "w")
-		h.after(20*ms, h.end("v", OK, 20*ms), h.end("w", OK, 20*ms))
+func TestLostAttemptIsCancelledAndRetried(t *testing.T) {
+	for _, outstandingFor := range []Micros{120 * ms, 1000 * ms} {
+		h := newHarnessWithLoss(t)
+		h.wantStarted(h.step(req("u", nil), req("v", nil), req("w", nil)), "u", "v", "w")
+		h.stepAfter(20*ms, h.ended("v", OK, 20*ms), h.ended("w", OK, 20*ms))
 		var cancels []Action
-		for _, a := range h.after(out - 20*ms) {
+		for _, a := range h.stepAfter(outstandingFor - 20*ms) {
 			if _, ok := a.(CancelAttempt); ok {
 				cancels = append(cancels, a)
 			}
@@ -109,17 +109,17 @@
 		if !reflect.DeepEqual(cancels, []Action{CancelAttempt{ID: "u", Attempt: 0}}) {
 			t.Errorf("cancelled %v, want u", cancels)
 		}
-		h.wantSends(h.after(ms, h.end("u", Cancelled, out)), "u")
+		h.wantStarted(h.stepAfter(ms, h.ended("u", Cancelled, outstandingFor)), "u")
 	}
 }
 
-func TestAttemptIsLeftAloneWhereNoneWasLost(t *testing.T) {
+func TestAttemptIsKeptWithoutRecentLoss(t *testing.T) {
 	set := testSettings()
 	set.CancelAttempts = true
-	h := newHost(t, set)
+	h := newHarness(t, set)
 	h.step(req("u", nil), req("v", nil), req("w", nil))
-	h.after(20*ms, h.end("v", OK, 20*ms), h.end("w", OK, 20*ms))
-	for _, a := range h.idle(1000 * ms) {
+	h.stepAfter(20*ms, h.ended("v", OK, 20*ms), h.ended("w", OK, 20*ms))
+	for _, a := range h.advance(1000 * ms) {
 		if _, ok := a.(CancelAttempt); ok {
 			t.Errorf("an attempt was cancelled: %v", a)
 		}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -9,26 +9,26 @@
 
 // Constants of the design, the same for every deployment.
 const (
-	fastInterval        Micros = 200_000   // interval of the fast loop, which adjusts the budget
-	slowInterval        Micros = 2_000_000 // interval of the slow loop, which adjusts the target
-	second              Micros = 1_000_000
-	staleAfter                 = 4 * slowInterval // age from which measurements count as outdated
-	maxBudgetRequests          = 32               // maximum budget, in requests of mean size
-	initialBudget              = 4                // budget of an unknown node, in requests of mean size
-	curvePoints                = 16               // slow intervals that the latency curve covers
-	curveSlope                 = 0.1              // relative slope of the curve at the target latency
-	lostAfterAnswers           = 2                // answered later attempts that make an attempt lost
-	overdueFactor              = 4                // multiple of the expected latency: overdue after that
-	queueFullObjectives        = 2                // pause after a full queue, in shortest objectives
-	slowShareSpan              = 16               // answers over which the share of slow answers is smoothed
-	errorRateSpan              = 6                // answers over which the error rate is smoothed
-	latencySpan                = 8                // answers over which the latency is smoothed
-	outlierErrorRate           = 0.5              // a node with a higher error rate is an outlier
-	staleNodePenalty           = 1.5              // score factor for a node without a recent answer
-	placementSample            = 64               // maximum number of nodes compared for a new object
-	placementNoise             = 0.01             // relative noise that spreads objects over equal nodes
-	timerTicks                 = 5                // ticks until the next step while requests are queued
-	minWeight                  = 1e-9             // minimum weight of a plan, prevents a division by 0
+	fastInterval      Micros = 200_000   // interval of the fast loop, which adjusts the budget
+	slowInterval      Micros = 2_000_000 // interval of the slow loop, which adjusts the target
+	second            Micros = 1_000_000
+	staleAfter               = 4 * slowInterval // age from which measurements count as outdated
+	maxBudgetRequests        = 32               // maximum budget, in requests of mean size
+	initialBudget            = 4                // budget of an unknown node, in requests of mean size
+	curvePoints              = 16               // slow intervals that the latency curve covers
+	curveSlope               = 0.1              // relative slope of the curve at the target latency
+	lostAfterAnswers         = 2                // answered later attempts that make an attempt lost
+	overdueFactor            = 4                // multiple of the expected latency: overdue after that
+	queueFullPause           = 2                // pause after a full queue, in shortest objectives
+	slowShareSamples         = 16               // answers over which the share of slow answers is smoothed
+	errorRateSamples         = 6                // answers over which the error rate is smoothed
+	latencySamples           = 8                // answers over which the latency is smoothed
+	outlierErrorRate         = 0.5              // a node with a higher error rate is an outlier
+	staleNodePenalty         = 1.5              // score factor for a node without a recent answer
+	placementSample          = 64               // maximum number of nodes compared for a new object
+	placementNoise           = 0.01             // relative noise that spreads objects over equal nodes
+	timerTicks               = 5                // ticks until the next step while requests are queued
+	minWeight                = 1e-9             // minimum weight of a plan, prevents a division by 0
 )
 
 // Step handles the events since the last step and returns the actions to perform now, in order. The time
@@ -49,7 +49,7 @@
 	}
 	s.dispatch()
 	s.grantCapacity()
-	s.rejectHopeless()
+	s.rejectUnservable()
 	s.shedLoad()
 	s.sweep(len(events))
 	s.work.Finish(s.nextReview)
@@ -89,8 +89,8 @@
 // armTimer schedules another step while requests or capacity requests are queued, as time alone may make
 // them due.
 func (s *Scheduler) armTimer() {
-	waiting := s.busyShards.Len() > 0 || s.capacityPending()
-	if waiting && !s.timerSet {
+	pending := s.busyShards.Len() > 0 || s.capacityPending()
+	if pending && !s.timerSet {
 		s.timerSet = true
 		s.actions = append(s.actions, SetTimer{At: s.now + timerTicks*s.settings.Tick})
 	}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -11,14 +11,14 @@
 
 func TestDeterminism(t *testing.T) {
 	script := func() (all []Action) {
-		h := newHost(t, testSettings())
+		h := newHarness(t, testSettings())
 		for i := range 300 {
 			id := "r" + string(rune('A'+i/64)) + string(rune('0'+i%64))
-			a := h.after(3*ms, req(id, func(r *Request) { r.Shard = i%3 - 1; r.Plan = i % 3; r.Volume = id[:2] }))
+			a := h.stepAfter(3*ms, req(id, func(r *Request) { r.Shard = i%3 - 1; r.Plan = i % 3; r.Volume = id[:2] }))
 			all = append(all, a...)
-			for _, x := range sends(a) {
+			for _, x := range startedIDs(a) {
 				if i%7 != 0 {
-					all = append(all, h.after(ms, h.end(x, OK, 20*ms))...)
+					all = append(all, h.stepAfter(ms, h.ended(x, OK, 20*ms))...)
 				}
 			}
 		}
@@ -29,37 +29,37 @@
 	}
 }
 
-func TestNothingPilesUp(t *testing.T) {
+func TestFinishedRequestsAreRemoved(t *testing.T) {
 	for _, span := range []Micros{0, 1000 * ms} {
 		set := testSettings()
 		set.RetryBudgetSpan = span
-		h := newHost(t, set)
+		h := newHarness(t, set)
 		for i := range 500 {
 			id := fmt.Sprintf("r%d", i)
 			h.step(req(id, func(r *Request) { r.Class, r.Key = 3, id }))
-			o := h.end(id, Cancelled, 5*ms)
+			o := h.ended(id, Cancelled, 5*ms)
 			o.Final = true
-			h.after(10*ms, o)
+			h.stepAfter(10*ms, o)
 		}
-		if left := len(h.s.requests); left > 0 {
-			t.Errorf("%d requests remain", left)
+		if remaining := len(h.s.requests); remaining > 0 {
+			t.Errorf("%d requests remain", remaining)
 		}
 	}
 }
 
-func TestOddEvents(t *testing.T) {
-	h := newHost(t, testSettings())
+func TestUnknownIDsAndInvalidRequests(t *testing.T) {
+	h := newHarness(t, testSettings())
 	h.step()
 	h.step(AttemptEnded{ID: "?"}, ClientLeft{ID: "?"}, HealthChecked{Node: "?"}, TimerFired{})
-	refused, _ := finals(h.step(req("x", func(r *Request) { r.Class = 9 })))
-	if !reflect.DeepEqual(refused, []string{"x"}) {
-		t.Errorf("rejected %v", refused)
+	rejected, _ := finalAnswers(h.step(req("x", func(r *Request) { r.Class = 9 })))
+	if !reflect.DeepEqual(rejected, []string{"x"}) {
+		t.Errorf("rejected %v", rejected)
 	}
-	h.wantSends(h.step(req("y", func(r *Request) { r.Units, r.Fronts = 0, 0 })), "y")
-	h.step(h.end("y", OK, ms), h.end("y", OK, ms))
+	h.wantStarted(h.step(req("y", func(r *Request) { r.Units, r.Fronts = 0, 0 })), "y")
+	h.step(h.ended("y", OK, ms), h.ended("y", OK, ms))
 }
 
-func TestUnusableSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	cases := map[string]func(*Settings){
 		"Tick":             func(s *Settings) { s.Tick = 0 },
 		"MeanUnits":        func(s *Settings) { s.MeanUnits = 0 },
@@ -108,24 +108,24 @@
 
 // All volumes used to be kept forever. Idle ones are removed, but one with a limit only when its bucket is full again: it
 // would come back with a higher level than it had.
-func TestIdleVolumesAreForgotten(t *testing.T) {
-	h := newHost(t, testSettings())
-	h.idle(5 * second) // the buckets of the limit, 10 units per second up to 20, are full
+func TestIdleVolumesAreRemoved(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.advance(5 * second) // the buckets of the limit, 10 units per second up to 20, are full
 	for i := range 100 {
 		id := fmt.Sprint(i)
 		h.step(req(id, func(r *Request) { r.Plan = i % 3 }))
-		h.step(h.end(id, OK, ms))
+		h.step(h.ended(id, OK, ms))
 	}
 	limited := func(r *Request) { r.Volume, r.Plan, r.Units = "limited", 3, 8 }
 	for _, id := range []string{"x", "y"} {
-		h.after(ms, req(id, limited))
-		h.step(h.end(id, OK, ms))
+		h.stepAfter(ms, req(id, limited))
+		h.step(h.ended(id, OK, ms))
 	}
-	h.wantSends(h.idle(slowInterval))
+	h.wantStarted(h.advance(slowInterval))
 	if v, has := h.s.volumes.Get("limited"); !has || v.bucket.Level >= 20 {
 		t.Errorf("volume whose bucket is not full: %+v", v)
 	}
-	h.idle(40 * second)
+	h.advance(40 * second)
 	if n, flows := h.s.volumes.Len(), h.s.flows.Len(); n+flows > 0 {
 		t.Errorf("%d volumes and %d flows remain", n, flows)
 	}
--- a/scheduler/setup.go
+++ b/scheduler/setup.go
@@ -14,8 +14,8 @@
 	"otterturn/scheduler/worklist"
 )
 
-// noRetryBound exceeds the time that any request waits.
-const noRetryBound Micros = 1 << 50
+// unboundedRetryWindow exceeds the time that any request waits.
+const unboundedRetryWindow Micros = 1 << 50
 
 // New returns a scheduler for one front. The seed drives all its random choices. The error names the invalid setting.
 func New(settings Settings, seed int64) (*Scheduler, error) {
@@ -85,7 +85,7 @@
 func (c *Class) retryWindow() Micros {
 	switch c.Idempotency {
 	case Idempotent:
-		return noRetryBound
+		return unboundedRetryWindow
 	case IdempotentByKey:
 		return c.DedupWindow
 	}
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -35,8 +35,8 @@
 // requestCapacity asks the granter of a node, which may be this front, for capacity for the next request.
 func (s *Scheduler) requestCapacity(n *node, sh *shard, next *request) {
 	granter, mayGrant := s.slowStart.Granter(n.Node, s.now)
-	own := granter == s.settings.FrontIndex
-	if !own && !s.settings.PeerMessages || own && !mayGrant || !n.slowStart.ShouldRequest(s.now) {
+	isGranter := granter == s.settings.FrontIndex
+	if !isGranter && !s.settings.PeerMessages || isGranter && !mayGrant || !n.slowStart.ShouldRequest(s.now) {
 		return
 	}
 	wanted := slowstart.CapacityRequest{Units: next.Units, MinUnits: next.Units, Report: n.slowStart.TakeReport()}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -87,23 +87,23 @@
 	fastMinLatency  float64 // lowest latency of the fast interval, 0 without an answer
 	budgetExhausted bool    // the budget delayed a request in the fast interval
 	lowLatency      bool    // the lowest latency of the last fast interval was at most half the target
-	slowServed      float64 // units answered in the slow interval
-	slowLatency     float64 // sum of the answers' latencies in the slow interval, in microseconds
+	slowServedUnits float64 // units answered in the slow interval
+	slowLatencySum  float64 // sum of the answers' latencies in the slow interval, in microseconds
 	slowAnswers     float64 // number of answers in the slow interval
 	slowMinLatency  float64 // lowest latency of the slow interval
 }
 
 // healthState holds what attempts and health checks showed of a node's health. Times are 0 for never.
 type healthState struct {
-	silentSince     Micros // time of the failure or time-out since which there was no answer
-	lastLoss        Micros // last attempt that timed out although later ones were answered
-	checkRunning    bool
-	lastCheckSent   Micros
-	lastCheckResult Micros
-	lastCheckOK     Micros
-	nextCheck       Micros // no health check before this time
-	brokenAt        Micros // time at which a connection broke, 0 once a later health check has ended
-	suspectedBefore Micros // SuspectedRestart before brokenAt
+	silentSince       Micros // time of the failure or time-out since which there was no answer
+	lastLoss          Micros // last attempt that timed out although later ones were answered
+	checkRunning      bool
+	lastCheckSent     Micros
+	lastCheckResult   Micros
+	lastCheckOK       Micros
+	nextCheck         Micros // no health check before this time
+	brokenAt          Micros // time at which a connection broke, 0 once a later health check has ended
+	previousSuspicion Micros // SuspectedRestart before brokenAt
 }
 
 // request is the state of a client's request until its final answer.
@@ -118,7 +118,7 @@
 	outstanding    int      // attempts without an outcome
 	mayHaveRun     *attempt // the first attempt that may have run, nil for none
 	retryUntil     Micros   // a retry after mayHaveRun must start by then
-	overtaken      int      // later attempts at the same node that were answered before the outstanding one
+	overtakenBy    int      // later attempts at the same node that were answered before the outstanding one
 	cancelled      bool     // the outstanding attempt was cancelled
 	tokensDrawn    bool     // its units were drawn from the limit's bucket
 	uncountedUnits float64  // units drawn that possibly no node has counted yet
--- a/scheduler/volumes.go
+++ b/scheduler/volumes.go
@@ -75,8 +75,8 @@
 	if rate <= 0 {
 		return
 	}
-	oldest := float64(s.now-second) - s.settings.MaxUnits/rate
-	tag := max(v.reservationTag, oldest) + r.Units/rate
+	minTag := float64(s.now-second) - s.settings.MaxUnits/rate
+	tag := max(v.reservationTag, minTag) + r.Units/rate
 	if !reserved {
 		tag = min(tag, max(v.reservationTag, float64(s.now)))
 	}
