--- a/scheduler/cost_test.go
+++ b/scheduler/cost_test.go
@@ -19,8 +19,8 @@
 }
 
 func newLoadDriver(t testing.TB, nodes, volumes, outstanding int) *loadDriver {
-	set := testSettings()
-	s, err := New(set, 1)
+	settings := testSettings()
+	s, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/scheduler/digest_simulation_test.go
+++ b/scheduler/digest_simulation_test.go
@@ -179,10 +179,10 @@
 
 func (w *digestSimulation) newRequest() scheduler.Event {
 	w.created++
-	set := digestSettings()
+	settings := digestSettings()
 	r := scheduler.Request{
-		ID: fmt.Sprint("request-", w.created), Class: w.rng.IntN(len(set.Classes)),
-		Plan: w.rng.IntN(len(set.Plans)), Units: float64(1 + w.rng.IntN(8)), Shard: w.rng.IntN(11) - 1, Fronts: 1 + w.rng.IntN(3),
+		ID: fmt.Sprint("request-", w.created), Class: w.rng.IntN(len(settings.Classes)),
+		Plan: w.rng.IntN(len(settings.Plans)), Units: float64(1 + w.rng.IntN(8)), Shard: w.rng.IntN(11) - 1, Fronts: 1 + w.rng.IntN(3),
 		TimeLeft: scheduler.Micros(100_000 + w.rng.IntN(2_000_000)),
 	}
 	r.Volume = fmt.Sprint("volume-", r.Plan, "-", w.rng.IntN(6))
--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -12,13 +12,13 @@
 // checkGuarantees checks that any valid sequence of events keeps the guarantees of the interface, and that no state remains in
 // the end.
 func checkGuarantees(t *rapid.T) {
-	set := testSettings()
-	set.PeerMessages, set.Fronts = rapid.Bool().Draw(t, "peer messages"), rapid.SampledFrom([]int{1, 2, 5}).Draw(t, "fronts")
-	set.CancelAttempts, set.MaxOpen = rapid.Bool().Draw(t, "cancel"), rapid.SampledFrom([]int{0, 8, 40}).Draw(t, "max open")
+	settings := testSettings()
+	settings.PeerMessages, settings.Fronts = rapid.Bool().Draw(t, "peer messages"), rapid.SampledFrom([]int{1, 2, 5}).Draw(t, "fronts")
+	settings.CancelAttempts, settings.MaxOpen = rapid.Bool().Draw(t, "cancel"), rapid.SampledFrom([]int{0, 8, 40}).Draw(t, "max open")
 	if rapid.Bool().Draw(t, "retry budget") {
-		set.RetryBudgetSpan, set.RetryBudgetMin, set.RetryBudgetShare = 5_000_000, 2, 0.2
+		settings.RetryBudgetSpan, settings.RetryBudgetMin, settings.RetryBudgetShare = 5_000_000, 2, 0.2
 	}
-	s, err := New(set, rapid.Int64().Draw(t, "seed"))
+	s, err := New(settings, rapid.Int64().Draw(t, "seed"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,9 +41,10 @@
 		"request": func(t *rapid.T) {
 			p.created++
 			r := &clientRequest{Request: Request{
-				ID: fmt.Sprint("r", p.created), Class: rapid.IntRange(0, len(set.Classes)-1).Draw(t, "class"),
-				Plan: rapid.IntRange(0, len(set.Plans)-1).Draw(t, "plan"), Key: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key"),
-				Units: float64(rapid.IntRange(1, int(set.MaxUnits)).Draw(t, "units")), Shard: rapid.IntRange(-1, 4).Draw(t, "shard"),
+				ID: fmt.Sprint("r", p.created), Class: rapid.IntRange(0, len(settings.Classes)-1).Draw(t, "class"),
+				Plan: rapid.IntRange(0, len(settings.Plans)-1).Draw(t, "plan"),
+				Key: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key"),
+				Units: float64(rapid.IntRange(1, int(settings.MaxUnits)).Draw(t, "units")), Shard: rapid.IntRange(-1, 4).Draw(t, "shard"),
 				Fronts: 1, TimeLeft: Micros(rapid.IntRange(1000, 3_000_000).Draw(t, "time left")),
 			}}
 			r.Volume = fmt.Sprint("v", r.Plan, rapid.IntRange(0, 2).Draw(t, "volume"))
--- a/scheduler/handover_test.go
+++ b/scheduler/handover_test.go
@@ -11,13 +11,13 @@
 // time of the handover, with any queued requests, and if the successor ends again before or after it has sent something.
 func TestTwoProcessesDrawNoMoreThanOne(t *testing.T) {
 	const rate, burst, slack, units = 10.0, 36.0, 6.0, 2.0
-	set := Settings{
+	settings := Settings{
 		Fronts: 1, Tick: 1000, MeanUnits: units, MaxUnits: 6, Classes: []Class{{LatencyObjective: 300_000, Priority: 1}},
 		Plans: []Plan{{Weight: 1, Limit: rate, Burst: burst, Slack: slack}},
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		newProcess := func() *Scheduler {
-			s, err := New(set, 1)
+			s, err := New(settings, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -89,11 +89,11 @@
 // An open request keeps the maximum number of attempts that applied when it arrived. A later request has that of the new
 // settings.
 func TestOpenRequestsKeepMaxAttempts(t *testing.T) {
-	set := Settings{
+	settings := Settings{
 		Fronts: 1, Tick: 1000, MeanUnits: 2, MaxUnits: 6, MaxAttempts: 2, Classes: []Class{{LatencyObjective: 300_000, Priority: 1}},
 		Plans: []Plan{{Weight: 1}},
 	}
-	s, err := New(set, 1)
+	s, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,8 +114,8 @@
 		}
 		return attempts
 	}
-	set.MaxAttempts = 1
-	if got := countAttempts("old", func() { s.Reconfigure(set) }); got != 2 {
+	settings.MaxAttempts = 1
+	if got := countAttempts("old", func() { s.Reconfigure(settings) }); got != 2 {
 		t.Errorf("an open request had %d attempts, want 2", got)
 	}
 	if got := countAttempts("new", func() {}); got != 1 {
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -40,18 +40,18 @@
 	lastActions []Action
 }
 
-func newHarness(t *testing.T, set Settings) *harness {
+func newHarness(t *testing.T, settings Settings) *harness {
 	t.Helper()
-	s, err := New(set, 1)
+	s, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h := &harness{t: t, s: s, now: 1000 * second, attempts: map[string]int{}}
-	h.step(EndpointsChanged{Full: true, Endpoints: []Endpoint{runningNode("a", 0), runningNode("b", 1)}})
+	h.step(EndpointsChanged{Full: true, Endpoints: []Endpoint{runningAt("a", 0), runningAt("b", 1)}})
 	return h
 }
 
-func runningNode(name string, shard int) Endpoint { return Endpoint{Node: name, Shard: shard} }
+func runningAt(name string, shard int) Endpoint { return Endpoint{Node: name, Shard: shard} }
 
 func (h *harness) step(events ...Event) []Action {
 	h.lastActions = h.s.Step(h.now, events)
--- a/scheduler/latency_test.go
+++ b/scheduler/latency_test.go
@@ -45,13 +45,13 @@
 // A node that was slow once must be sent requests again. Otherwise the front would never learn that it has recovered.
 func TestSlowNodeIsUsedAgainAfterHealthCheck(t *testing.T) {
 	for _, c := range []struct {
-		queue float64
-		hosts int
-		tried bool
+		queue  float64
+		fronts int
+		sent   bool
 	}{{0, 2, true}, {3, 2, true}, {60, 2, false}, {-1, 2, false}, {0, 40, true}} {
-		set := testSettings()
-		set.Fronts = c.hosts
-		h := newHarness(t, set)
+		settings := testSettings()
+		settings.Fronts = c.fronts
+		h := newHarness(t, settings)
 		h.step(req("x", nil))
 		h.stepAfter(3000*ms, h.ended("x", OK, 3000*ms))
 		n := h.s.nodesByName["a"]
@@ -65,7 +65,7 @@
 			t.Errorf("%+v: no health check", c)
 		}
 		h.stepAfter(ms, HealthChecked{Node: "a", OK: true, Queue: c.queue})
-		if got := len(startedIDs(h.stepAfter(ms, req("z", nil)))) > 0; got != c.tried {
+		if got := len(startedIDs(h.stepAfter(ms, req("z", nil)))) > 0; got != c.sent {
 			t.Errorf("%+v: sent %v", c, got)
 		}
 	}
--- a/scheduler/learned_test.go
+++ b/scheduler/learned_test.go
@@ -106,9 +106,9 @@
 
 // Nothing is drawn from an imported bucket until its next record is on disk, and then no more than the lease.
 func TestImportedBucketWaitsForItsRecord(t *testing.T) {
-	set := testSettings()
-	set.Lease, set.RecordLifetime = 200*ms, 60_000*ms
-	h := newHarness(t, set)
+	settings := testSettings()
+	settings.Lease, settings.RecordLifetime = 200*ms, 60_000*ms
+	h := newHarness(t, settings)
 	h.s.ImportLearned(h.now, Learned{At: h.now, Volumes: []VolumeUsage{{Volume: "v", Plan: 3, Fronts: 1}}})
 	v, _ := h.s.volumes.Get("v")
 	v.bucket.Level, v.bucket.BoundUntil = 18, h.now+60_000*ms
--- a/scheduler/limits_test.go
+++ b/scheduler/limits_test.go
@@ -31,13 +31,13 @@
 // volume beyond their objective. Instead the bucket starts with a part of the slack, which holds even if all fronts
 // restart twice.
 func TestRestartsOverdrawAtMostSlack(t *testing.T) {
-	set := testSettings()
-	set.Plans[3].Slack = 6
+	settings := testSettings()
+	settings.Plans[3].Slack = 6
 	now, level := 1000*second, 20.0
 	for start := range 3 {
 		var fronts [2]*harness
 		for i := range fronts {
-			fronts[i] = newHarness(t, set)
+			fronts[i] = newHarness(t, settings)
 			fronts[i].now, fronts[i].s.now, fronts[i].s.startedAt = now, now, now
 		}
 		for step := range 20_000 {
@@ -68,9 +68,9 @@
 // for a retry, the bucket filled again: after the cut, all of them arrived in addition to a whole burst.
 func TestLimitHoldsAfterNetworkCut(t *testing.T) {
 	for _, result := range []Result{Unreachable, TimedOut} {
-		set := testSettings()
-		set.MaxAttempts, set.SlowStart = 0, 0
-		h := newHarness(t, set)
+		settings := testSettings()
+		settings.MaxAttempts, settings.SlowStart = 0, 0
+		h := newHarness(t, settings)
 		h.now += 10 * second // the bucket is full
 		limited := func(r *Request) { r.Plan, r.Volume, r.Fronts, r.Units, r.TimeLeft = 3, "v", 2, 1, 60*second }
 		counted, level, at := map[string]bool{}, 10.0, h.now
@@ -107,9 +107,9 @@
 }
 
 func TestLowBucketKeepsTokensForHigherPriority(t *testing.T) {
-	set := testSettings()
-	set.Classes[4].Priority = 4
-	h := newHarness(t, set)
+	settings := testSettings()
+	settings.Classes[4].Priority = 4
+	h := newHarness(t, settings)
 	limited := func(class int) func(*Request) {
 		return func(r *Request) { r.Class, r.Plan, r.Volume, r.TimeLeft = class, 3, "v", 20*second }
 	}
@@ -122,9 +122,9 @@
 }
 
 func TestLowReservationIsKeptForHigherPriority(t *testing.T) {
-	set := testSettings()
-	set.Classes[4].Priority = 4
-	h := newHarness(t, set)
+	settings := testSettings()
+	settings.Classes[4].Priority = 4
+	h := newHarness(t, settings)
 	v := h.s.volumeFor(req("x", func(r *Request) { r.Plan, r.Volume = 2, "v" }))
 	v.reservationTag = float64(h.now - 100*ms)
 	f := &flow{volume: v}
@@ -132,7 +132,7 @@
 	sh.busyFlows.Add(0, f)
 	for class, want := range map[int]int{0: rankWeight, 4: rankReserved} {
 		f.queued = []*request{{
-			Request: Request{Units: 2}, class: &set.Classes[class], volume: v,
+			Request: Request{Units: 2}, class: &settings.Classes[class], volume: v,
 			objectiveAt: h.now + second, deadline: h.now + 2*second,
 		}}
 		if _, rank := h.s.nextRequest(h.s.nodesByName["a"], &sh, math.Inf(1)); rank != want {
@@ -143,9 +143,9 @@
 
 func TestServiceElsewhereAdvancesReservationTag(t *testing.T) {
 	for _, reported := range []bool{true, false} {
-		set := testSettings()
-		set.ServedElsewhereTold = reported
-		h := newHarness(t, set)
+		settings := testSettings()
+		settings.ServedElsewhereTold = reported
+		h := newHarness(t, settings)
 		reserved := func(r *Request) { r.Plan, r.Volume, r.Fronts = 2, "v", 2 }
 		h.step(req("x", reserved))
 		o := h.ended("x", OK, 10*ms)
--- a/scheduler/nodes_test.go
+++ b/scheduler/nodes_test.go
@@ -9,21 +9,21 @@
 	h := newHarness(t, testSettings())
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Draining}}})
 	h.wantStarted(h.step(req("x", nil)))
-	h.wantStarted(h.stepAfter(10*ms, EndpointsChanged{Endpoints: []Endpoint{runningNode("c", 0), {Node: "a", State: Removed}}}), "x")
+	h.wantStarted(h.stepAfter(10*ms, EndpointsChanged{Endpoints: []Endpoint{runningAt("c", 0), {Node: "a", State: Removed}}}), "x")
 }
 
 func TestNodeMissingFromFullListIsRemoved(t *testing.T) {
 	h := newHarness(t, testSettings())
-	h.step(EndpointsChanged{Full: true, Endpoints: []Endpoint{runningNode("b", 1)}})
+	h.step(EndpointsChanged{Full: true, Endpoints: []Endpoint{runningAt("b", 1)}})
 	h.wantStarted(h.step(req("x", nil)))
 }
 
 // A node that has restarted according to the endpoint list needs no health check. When each of many fronts checked it
 // first, the return of a zone cost one check per front and node, and requests waited for the results.
 func TestRestartedNodeNeedsNoHealthCheck(t *testing.T) {
-	set := testSettings()
-	set.SlowStart = 0
-	h := newHarness(t, set)
+	settings := testSettings()
+	settings.SlowStart = 0
+	h := newHarness(t, settings)
 	h.wantStarted(h.stepAfter(ms, req("x", func(r *Request) { r.TimeLeft = 60 * second })), "x")
 	h.wantStarted(h.stepAfter(ms, h.ended("x", Unreachable, ms)))
 	h.wantStarted(h.stepAfter(3*second, TimerFired{}))
@@ -46,7 +46,7 @@
 		name  string
 		first Result
 		delay Micros // of another failure after the check was sent, below 0 for none
-		warm  bool
+		alive bool
 	}{{"check answered", Reset, -1, true}, {"unreachable", Unreachable, -1, false}, {"check sent before", Reset, 50 * ms, false}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -60,8 +60,8 @@
 				h.stepAfter(c.delay, h.ended("y", Reset, c.delay), ClientLeft{ID: "y"})
 			}
 			h.stepAfter(5*ms, HealthChecked{Node: "a", OK: true})
-			if n := h.s.nodesByName["a"]; h.s.inSlowStart(n) == c.warm {
-				t.Errorf("in slow start: %v", !c.warm)
+			if n := h.s.nodesByName["a"]; h.s.inSlowStart(n) == c.alive {
+				t.Errorf("in slow start: %v", !c.alive)
 			}
 		})
 	}
@@ -70,10 +70,10 @@
 // Without the health check, each of many fronts would detect an overloaded node only by a slow request of its own.
 func TestHealthCheckPrecedesRequestAfterSlowAnswers(t *testing.T) {
 	for _, c := range []struct {
-		latency Micros // of the other node's answers
-		queue   float64
-		ahead   bool // a health check is sent first
-		sent    bool // the request is sent after the health check was answered
+		latency    Micros // of the other node's answers
+		queue      float64
+		checkFirst bool // a health check is sent first
+		sent       bool // the request is sent after the health check was answered
 	}{{20 * ms, 0, false, true}, {900 * ms, 0, true, true}, {900 * ms, 30, true, false}} {
 		h := newHarness(t, testSettings())
 		h.step(req("x", nil))
@@ -84,10 +84,10 @@
 		h.step(req("w0", other), req("w1", other))
 		h.stepAfter(c.latency, h.ended("w0", OK, c.latency), h.ended("w1", OK, c.latency))
 		a := h.step(req("y", nil))
-		if got := slices.Contains(a, Action(CheckHealth{"a"})); got != c.ahead {
+		if got := slices.Contains(a, Action(CheckHealth{"a"})); got != c.checkFirst {
 			t.Errorf("%+v: health check first: %v", c, got)
 		}
-		if c.ahead {
+		if c.checkFirst {
 			h.stepAfter(2*ms, HealthChecked{Node: "a", OK: true, Queue: c.queue})
 		}
 		if got := h.attempts["y"] == 1; got != c.sent {
@@ -132,15 +132,15 @@
 func TestNodeRemovedDuringAttempt(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.wantStarted(h.step(req("x", nil)), "x")
-	h.step(EndpointsChanged{Full: true, Endpoints: []Endpoint{runningNode("b", 1)}})
+	h.step(EndpointsChanged{Full: true, Endpoints: []Endpoint{runningAt("b", 1)}})
 	h.wantStarted(h.stepAfter(10*ms, h.ended("x", Reset, 10*ms), HealthChecked{Node: "gone"}))
-	h.wantStarted(h.step(EndpointsChanged{Endpoints: []Endpoint{runningNode("c", 0)}}), "x")
+	h.wantStarted(h.step(EndpointsChanged{Endpoints: []Endpoint{runningAt("c", 0)}}), "x")
 }
 
 // A node in slow start that leaves the list and comes back must not get its capacity a second time.
 func TestReaddedNodeKeepsUsedCapacity(t *testing.T) {
 	h := newHarness(t, testSettings())
-	cold := runningNode("c", 2)
+	cold := runningAt("c", 2)
 	cold.StartedAt = h.now
 	h.step(EndpointsChanged{Endpoints: []Endpoint{cold}})
 	h.s.nodesByName["c"].slowStart.Granted(h.now, 3, h.now+100*ms)
--- a/scheduler/order_test.go
+++ b/scheduler/order_test.go
@@ -22,9 +22,9 @@
 }
 
 func TestKeyIsBlockedDuringOutstandingAttempt(t *testing.T) {
-	set := testSettings()
-	set.Classes[3].LatencyObjective = 2000 * ms
-	h := newHarness(t, set)
+	settings := testSettings()
+	settings.Classes[3].LatencyObjective = 2000 * ms
+	h := newHarness(t, settings)
 	keyed := func(r *Request) { r.Class, r.Key = 3, "k" }
 	h.step(req("x", keyed), req("y", keyed))
 	h.wantStarted(h.stepAfter(10*ms, ClientLeft{ID: "x"}))
@@ -51,7 +51,7 @@
 	same := func(r *Request) { r.Volume = "v" }
 	h.step(req("old", same))
 	h.stepAfter(50*ms, req("fresh", same))
-	h.wantStarted(h.step(EndpointsChanged{Endpoints: []Endpoint{runningNode("a", 0)}}), "fresh", "old")
+	h.wantStarted(h.step(EndpointsChanged{Endpoints: []Endpoint{runningAt("a", 0)}}), "fresh", "old")
 }
 
 func TestLateRequestsWaitForLowLatency(t *testing.T) {
@@ -59,7 +59,7 @@
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Draining}}})
 	h.step(req("x", nil), req("y", nil))
 	h.stepAfter(500*ms, req("z", nil)) // the objectives of x and y have passed
-	h.wantStarted(h.step(EndpointsChanged{Endpoints: []Endpoint{runningNode("a", 0)}}), "z")
+	h.wantStarted(h.step(EndpointsChanged{Endpoints: []Endpoint{runningAt("a", 0)}}), "z")
 	n := h.s.nodesByName["a"]
 	h.stepAfter(20*ms, h.ended("z", OK, 20*ms))
 	h.wantStarted(h.lastActions, "x") // late requests are sent one at a time
@@ -69,7 +69,7 @@
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Draining}}})
 	h.step(req("u", nil))
 	h.advance(500 * ms)
-	h.wantStarted(h.step(EndpointsChanged{Endpoints: []Endpoint{runningNode("a", 0)}})) // lowLatency is false
+	h.wantStarted(h.step(EndpointsChanged{Endpoints: []Endpoint{runningAt("a", 0)}})) // lowLatency is false
 }
 
 func TestUnreservedRequestsRunSinglyWithoutLowLatency(t *testing.T) {
@@ -92,22 +92,22 @@
 }
 
 func TestPriorityPrecedesLaterObjective(t *testing.T) {
-	set := testSettings()
-	set.Classes[4].Priority = 3
-	h := newHarness(t, set)
+	settings := testSettings()
+	settings.Classes[4].Priority = 3
+	h := newHarness(t, settings)
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Draining}}})
 	same := func(class int) func(*Request) {
 		return func(r *Request) { r.Class, r.Volume = class, "v" }
 	}
 	h.step(req("y", same(4)))
 	h.stepAfter(50*ms, req("x", same(0)))
-	h.wantStarted(h.step(EndpointsChanged{Endpoints: []Endpoint{runningNode("a", 0)}}), "y", "x")
+	h.wantStarted(h.step(EndpointsChanged{Endpoints: []Endpoint{runningAt("a", 0)}}), "y", "x")
 }
 
 func TestRequestsAreOrderedByTags(t *testing.T) {
-	set := testSettings()
-	set.Classes[0].LatencyObjective = 1000 * second
-	h := newHarness(t, set)
+	settings := testSettings()
+	settings.Classes[0].LatencyObjective = 1000 * second
+	h := newHarness(t, settings)
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Draining}}})
 	var events []Event
 	for i := range 40 {
@@ -119,7 +119,7 @@
 	events = append(events, req("reserved", func(r *Request) { r.Plan, r.TimeLeft = 2, 2000*second }))
 	h.step(events...)
 	var order []string
-	for a := startedIDs(h.step(EndpointsChanged{Endpoints: []Endpoint{runningNode("a", 0)}})); len(order) < 40 && len(a) > 0; {
+	for a := startedIDs(h.step(EndpointsChanged{Endpoints: []Endpoint{runningAt("a", 0)}})); len(order) < 40 && len(a) > 0; {
 		order = append(order, a...)
 		var done []Event
 		for _, x := range a {
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -11,7 +11,7 @@
 // considerably slower.
 func TestNewObjectsGoToNodeThatAnsweredRecently(t *testing.T) {
 	h := newHarness(t, testSettings())
-	h.step(EndpointsChanged{Full: true, Endpoints: []Endpoint{runningNode("a", 0), runningNode("b", 1), runningNode("c", 2), runningNode("d", 3)}})
+	h.step(EndpointsChanged{Full: true, Endpoints: []Endpoint{runningAt("a", 0), runningAt("b", 1), runningAt("c", 2), runningAt("d", 3)}})
 	fresh := func(r *Request) { r.Shard = -1 }
 	h.wantStarted(h.stepAfter(ms, req("x", func(r *Request) { r.Shard = 2 })), "x")
 	h.stepAfter(50*ms, h.ended("x", OK, 50*ms))
@@ -36,12 +36,12 @@
 		latency Micros
 		sent    int // of four further new objects
 	}{{40 * ms, 4}, {1900 * ms, 1}} {
-		set := testSettings()
-		set.Fronts = 100
-		h := newHarness(t, set)
+		settings := testSettings()
+		settings.Fronts = 100
+		h := newHarness(t, settings)
 		var list []Endpoint
 		for i := range 20 {
-			list = append(list, runningNode(fmt.Sprintf("n%d", i), i))
+			list = append(list, runningAt(fmt.Sprintf("n%d", i), i))
 		}
 		h.step(EndpointsChanged{Full: true, Endpoints: list})
 		for i := range 2 { // one answer each of two nodes
--- a/scheduler/rejection_test.go
+++ b/scheduler/rejection_test.go
@@ -59,14 +59,14 @@
 		}
 		return 0, false
 	}
-	set := testSettings()
-	set.RetryAfter, set.MaxRetryAfter = true, 5000*ms
+	settings := testSettings()
+	settings.RetryAfter, settings.MaxRetryAfter = true, 5000*ms
 	for _, c := range []struct {
-		what        string
-		before      func(h *harness)
-		edit        func(*Request)
-		given       bool
-		least, most Micros
+		name                         string
+		prepare                      func(h *harness)
+		edit                         func(*Request)
+		rejected                     bool
+		minRetryAfter, maxRetryAfter Micros
 	}{
 		{"shard whose node has just been removed", func(h *harness) {
 			h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Removed}}})
@@ -90,13 +90,13 @@
 		},
 		{"limit that refills in time", nil, func(r *Request) { r.Plan, r.Fronts = 3, 1 }, false, 0, 0},
 	} {
-		h := newHarness(t, set)
-		if c.before != nil {
-			c.before(h)
+		h := newHarness(t, settings)
+		if c.prepare != nil {
+			c.prepare(h)
 		}
 		retryAfter, ok := rejection(h, req("x", c.edit))
-		if ok != c.given || retryAfter < c.least || retryAfter > c.most {
-			t.Errorf("%s: rejected %v, retry after %v", c.what, ok, retryAfter)
+		if ok != c.rejected || retryAfter < c.minRetryAfter || retryAfter > c.maxRetryAfter {
+			t.Errorf("%s: rejected %v, retry after %v", c.name, ok, retryAfter)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Draining}}})
 	h.step(req("x", nil))
 	h.step(ClientLeft{ID: "x"})
-	h.step(EndpointsChanged{Endpoints: []Endpoint{runningNode("a", 0)}})
+	h.step(EndpointsChanged{Endpoints: []Endpoint{runningAt("a", 0)}})
 	if a := startedIDs(h.advance(2500 * ms)); len(a) != 0 {
 		t.Errorf("started %v", a)
 	}
@@ -157,9 +157,9 @@
 // served at once got none. Beyond MaxOpen the least valuable requests are rejected at once, those within a reservation
 // last.
 func TestOverloadRejectsLeastValuableRequests(t *testing.T) {
-	set := testSettings()
-	set.MaxOpen = 4
-	h := newHarness(t, set)
+	settings := testSettings()
+	settings.MaxOpen = 4
+	h := newHarness(t, settings)
 	volume := func(name string, plan int) func(*Request) {
 		return func(r *Request) { r.Volume, r.Plan, r.Shard, r.TimeLeft = name, plan, 9, 20000*ms } // no node holds this shard
 	}
--- a/scheduler/retries_test.go
+++ b/scheduler/retries_test.go
@@ -7,11 +7,11 @@
 
 func TestRetryFollowsIdempotency(t *testing.T) {
 	cases := []struct {
-		name    string
-		class   int
-		result  Result
-		again   bool
-		refused bool // final answer of a request that is not retried
+		name     string
+		class    int
+		result   Result
+		retried  bool
+		rejected bool // final answer of a request that is not retried
 	}{
 		{"idempotent after a reset", 0, Reset, true, false},
 		{"idempotent by key after an error", 1, Errored, true, false},
@@ -23,17 +23,17 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			set := testSettings()
-			set.SlowStart = 0
-			h := newHarness(t, set)
+			settings := testSettings()
+			settings.SlowStart = 0
+			h := newHarness(t, settings)
 			h.step(req("x", func(r *Request) { r.Class = c.class }))
 			a := h.stepAfter(10*ms, h.ended("x", c.result, 10*ms))
 			rejected, failed := finalAnswers(a)
 			a = append(a, h.stepAfter(1000*ms, HealthChecked{Node: "a", OK: true})...)
-			if got := len(startedIDs(a)) > 0; got != c.again {
+			if got := len(startedIDs(a)) > 0; got != c.retried {
 				t.Errorf("retried: %v", got)
 			}
-			if got := len(failed) > 0; got == c.again || len(rejected) > 0 {
+			if got := len(failed) > 0; got == c.retried || len(rejected) > 0 {
 				t.Errorf("rejected %v, failed %v", rejected, failed)
 			}
 		})
@@ -62,9 +62,9 @@
 }
 
 func TestRetryBudget(t *testing.T) {
-	set := testSettings()
-	set.RetryBudgetSpan, set.RetryBudgetMin, set.RetryBudgetShare = 1000*ms, 1, 0.1
-	h := newHarness(t, set)
+	settings := testSettings()
+	settings.RetryBudgetSpan, settings.RetryBudgetMin, settings.RetryBudgetShare = 1000*ms, 1, 0.1
+	h := newHarness(t, settings)
 	h.step(req("x", nil))
 	h.wantStarted(h.stepAfter(10*ms, h.ended("x", Errored, 10*ms)), "x")
 	h.wantStarted(h.stepAfter(10*ms, h.ended("x", Errored, 10*ms)))
@@ -84,9 +84,9 @@
 
 // newHarnessWithLoss returns a front at which an attempt timed out although two later ones were answered.
 func newHarnessWithLoss(t *testing.T) *harness {
-	set := testSettings()
-	set.CancelAttempts = true
-	h := newHarness(t, set)
+	settings := testSettings()
+	settings.CancelAttempts = true
+	h := newHarness(t, settings)
 	h.wantStarted(h.step(req("x", nil), req("y", nil), req("z", nil)), "x", "y", "z")
 	h.stepAfter(20*ms, h.ended("y", OK, 20*ms), h.ended("z", OK, 20*ms))
 	h.stepAfter(1980*ms, h.ended("x", TimedOut, 2000*ms))
@@ -114,9 +114,9 @@
 }
 
 func TestAttemptIsKeptWithoutRecentLoss(t *testing.T) {
-	set := testSettings()
-	set.CancelAttempts = true
-	h := newHarness(t, set)
+	settings := testSettings()
+	settings.CancelAttempts = true
+	h := newHarness(t, settings)
 	h.step(req("u", nil), req("v", nil), req("w", nil))
 	h.stepAfter(20*ms, h.ended("v", OK, 20*ms), h.ended("w", OK, 20*ms))
 	for _, a := range h.advance(1000 * ms) {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -31,9 +31,9 @@
 
 func TestFinishedRequestsAreRemoved(t *testing.T) {
 	for _, span := range []Micros{0, 1000 * ms} {
-		set := testSettings()
-		set.RetryBudgetSpan = span
-		h := newHarness(t, set)
+		settings := testSettings()
+		settings.RetryBudgetSpan = span
+		h := newHarness(t, settings)
 		for i := range 500 {
 			id := fmt.Sprintf("r%d", i)
 			h.step(req(id, func(r *Request) { r.Class, r.Key = 3, id }))
@@ -70,9 +70,9 @@
 		"Burst":            func(s *Settings) { s.Plans[3].Burst = 0 },
 	}
 	for field, edit := range cases {
-		set := testSettings()
-		edit(&set)
-		if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), field) {
+		settings := testSettings()
+		edit(&settings)
+		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: error %v, want one that names the field", field, err)
 		}
 	}
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -88,22 +88,22 @@
 }
 
 // validate completes the settings. The error names the invalid field.
-func (set *Settings) validate() error {
-	set.Fronts = max(set.Fronts, 1)
-	if !set.RetryAfter {
-		set.MaxRetryAfter = 0
+func (s *Settings) validate() error {
+	s.Fronts = max(s.Fronts, 1)
+	if !s.RetryAfter {
+		s.MaxRetryAfter = 0
 	}
-	noObjective := slices.ContainsFunc(set.Classes, func(c Class) bool { return c.LatencyObjective <= 0 })
-	noBurst := slices.ContainsFunc(set.Plans, func(p Plan) bool { return p.Limit > 0 && p.Burst <= 0 })
+	noObjective := slices.ContainsFunc(s.Classes, func(c Class) bool { return c.LatencyObjective <= 0 })
+	noBurst := slices.ContainsFunc(s.Plans, func(p Plan) bool { return p.Limit > 0 && p.Burst <= 0 })
 	for _, rule := range []struct {
 		broken bool
 		text   string
 	}{
-		{set.Tick <= 0, "Tick must be above 0"},
-		{set.MeanUnits <= 0, "MeanUnits must be above 0"},
-		{set.SlowStart > 0 && (set.InitialCapacity <= 0 || set.InitialCapacity > 1), "InitialCapacity must be above 0 and at most 1"},
-		{len(set.Classes) == 0, "Classes must not be empty"},
-		{len(set.Plans) == 0, "Plans must not be empty"},
+		{s.Tick <= 0, "Tick must be above 0"},
+		{s.MeanUnits <= 0, "MeanUnits must be above 0"},
+		{s.SlowStart > 0 && (s.InitialCapacity <= 0 || s.InitialCapacity > 1), "InitialCapacity must be above 0 and at most 1"},
+		{len(s.Classes) == 0, "Classes must not be empty"},
+		{len(s.Plans) == 0, "Plans must not be empty"},
 		{noObjective, "LatencyObjective must be above 0"},
 		{noBurst, "a Plan with a Limit must have a Burst above 0"},
 	} {
--- a/scheduler/silence_test.go
+++ b/scheduler/silence_test.go
@@ -20,9 +20,9 @@
 
 // A node that other fronts found silent is checked at once, and sent nothing until it answers the check.
 func TestNodeReportedSilentIsSentNothingUntilChecked(t *testing.T) {
-	set := testSettings()
-	set.SlowStart = 0
-	h := newHarness(t, set)
+	settings := testSettings()
+	settings.SlowStart = 0
+	h := newHarness(t, settings)
 	if got := checkedNodes(h.stepAfter(ms, silenceReport("a", h.now))); !slices.Equal(got, []string{"a"}) {
 		t.Errorf("health checks of %q, want one of a", got)
 	}
@@ -153,9 +153,9 @@
 
 // Without health checks nothing would end the silence, so reports are ignored.
 func TestSilenceReportsNeedHealthChecks(t *testing.T) {
-	set := testSettings()
-	set.HealthChecks = false
-	h := newHarness(t, set)
+	settings := testSettings()
+	settings.HealthChecks = false
+	h := newHarness(t, settings)
 	h.stepAfter(ms, silenceReport("a", h.now))
 	h.wantStarted(h.stepAfter(ms, req("x", nil)), "x")
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -55,9 +55,9 @@
 
 func newColdHarness(t *testing.T) *harness { return newColdHarnessWith(t, testSettings()) }
 
-func newColdHarnessWith(t *testing.T, set Settings) *harness {
-	h := newHarness(t, set)
-	l := runningNode("a", 0)
+func newColdHarnessWith(t *testing.T, settings Settings) *harness {
+	h := newHarness(t, settings)
+	l := runningAt("a", 0)
 	l.StartedAt = h.now
 	h.step(EndpointsChanged{Endpoints: []Endpoint{l}})
 	return h
@@ -89,10 +89,10 @@
 // slow start was near 1 then, for hundreds of fronts at once. So it sends nothing that it was not granted, however often
 // its clients retry.
 func TestStartedFrontRequestsCapacityOfColdNode(t *testing.T) {
-	set := testSettings()
-	set.Fronts, set.PeerMessages = 300, true
-	set.FrontIndex = -1 // this front is never the granter
-	h := newColdHarnessWith(t, set)
+	settings := testSettings()
+	settings.Fronts, settings.PeerMessages = 300, true
+	settings.FrontIndex = -1 // this front is never the granter
+	h := newColdHarnessWith(t, settings)
 	requests := []Action{}
 	for i := range 20 {
 		id := fmt.Sprintf("x%d", i)
@@ -115,9 +115,9 @@
 // One of many fronts sends to a node in slow start rarely: its measurements help the others only if the granter gets them
 // at once. Measurements of another start of the node are ignored.
 func TestAnswersOfColdNodeAreReportedToGranter(t *testing.T) {
-	set := testSettings()
-	set.Fronts, set.PeerMessages, set.FrontIndex = 300, true, -1
-	h := newColdHarnessWith(t, set)
+	settings := testSettings()
+	settings.Fronts, settings.PeerMessages, settings.FrontIndex = 300, true, -1
+	h := newColdHarnessWith(t, settings)
 	for may := false; !may; _, may = h.s.slowStart.Granter("a", h.now) {
 		h.stepAfter(100 * ms)
 	}
@@ -147,14 +147,14 @@
 // Many fronts share a node in slow start, each with a part far below one request. Together they must use its capacity as
 // it grows.
 func TestManyFrontsUseGrowingCapacityOfColdNode(t *testing.T) {
-	set := testSettings()
-	set.Fronts, set.PeerMessages = 100, true
+	settings := testSettings()
+	settings.Fronts, settings.PeerMessages = 100, true
 	var fronts []*harness
-	for i := range set.Fronts {
-		set.FrontIndex = i
-		h := newHarness(t, set)
+	for i := range settings.Fronts {
+		settings.FrontIndex = i
+		h := newHarness(t, settings)
 		h.s.rng = rand.New(rand.NewPCG(uint64(i), 0))
-		l := runningNode("c", 2)
+		l := runningAt("c", 2)
 		l.StartedAt = h.now
 		h.step(EndpointsChanged{Endpoints: []Endpoint{l}})
 		fronts = append(fronts, h)
@@ -201,7 +201,7 @@
 		}
 		last := Micros(0)
 		for _, at := range sent {
-			if at > fronts[0].now-set.OverloadSpan {
+			if at > fronts[0].now-settings.OverloadSpan {
 				last++
 			}
 		}
