--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -42,8 +42,8 @@
 			p.created++
 			r := &clientRequest{Request: Request{
 				ID: fmt.Sprint("r", p.created), Class: rapid.IntRange(0, len(settings.Classes)-1).Draw(t, "class"),
-				Plan: rapid.IntRange(0, len(settings.Plans)-1).Draw(t, "plan"),
-				Key: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key"),
+				Plan:  rapid.IntRange(0, len(settings.Plans)-1).Draw(t, "plan"),
+				Key:   rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key"),
 				Units: float64(rapid.IntRange(1, int(settings.MaxUnits)).Draw(t, "units")), Shard: rapid.IntRange(-1, 4).Draw(t, "shard"),
 				Fronts: 1, TimeLeft: Micros(rapid.IntRange(1000, 3_000_000).Draw(t, "time left")),
 			}}
@@ -53,8 +53,8 @@
 			p.step(r.Request)
 		},
 		"attempt ends": func(t *rapid.T) {
-			if outstanding := p.outstandingIDs(); len(outstanding) > 0 {
-				p.endAttempt(rapid.SampledFrom(outstanding).Draw(t, "which"), Result(rapid.IntRange(0, 7).Draw(t, "result")))
+			if outstandingIDs := p.outstandingIDs(); len(outstandingIDs) > 0 {
+				p.endAttempt(rapid.SampledFrom(outstandingIDs).Draw(t, "which"), Result(rapid.IntRange(0, 7).Draw(t, "result")))
 			}
 		},
 		"client leaves": func(t *rapid.T) {
--- a/scheduler/handover.go
+++ b/scheduler/handover.go
@@ -25,25 +25,25 @@
 // arguments for its TakeOver. This process keeps the units that its queued requests need, if there are as many. Its
 // limits are not refilled any more, it grants no capacity and asks no other front for capacity. So both processes
 // together send no more than one could have sent.
-func (s *Scheduler) Yield(now Micros) (learned Learned, startedAt Micros) {
+func (s *Scheduler) Yield(now Micros) (yielded Learned, startedAt Micros) {
 	s.now = max(s.now, now)
-	learned = Learned{At: s.now}
+	yielded = Learned{At: s.now}
 	for _, n := range s.nodes {
-		learned.Nodes = append(learned.Nodes, n.learned())
+		yielded.Nodes = append(yielded.Nodes, n.learned())
 	}
 	needed := s.undrawnUnits()
 	for i := range s.volumes.Len() {
 		v := s.volumes.At(i)
-		learned.Volumes = append(learned.Volumes, s.yieldVolume(v, needed[v]))
+		yielded.Volumes = append(yielded.Volumes, s.yieldVolume(v, needed[v]))
 	}
 	for i := range s.flows.Len() {
-		learned.Flows = s.flows.At(i).appendLead(learned.Flows, s.now)
+		yielded.Flows = s.flows.At(i).appendLead(yielded.Flows, s.now)
 	}
 	s.allocators = nil
 	s.invertFrontIndex()
 	s.settings.PeerMessages = false
 	s.stopRefills()
-	return learned, s.startedAt
+	return yielded, s.startedAt
 }
 
 // undrawnUnits returns the units that open requests have yet to draw, by volume.
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -63,7 +63,7 @@
 	return h.lastActions
 }
 
-func (h *harness) stepAfter(d Micros, events ...Event) []Action {
+func (h *harness) after(d Micros, events ...Event) []Action {
 	h.now += d
 	return h.step(events...)
 }
@@ -71,12 +71,12 @@
 // advance lets time pass, fires the timer every 5 ms and returns all actions.
 func (h *harness) advance(d Micros) (all []Action) {
 	for end := h.now + d; h.now < end; {
-		all = append(all, h.stepAfter(5*ms, TimerFired{})...)
+		all = append(all, h.after(5*ms, TimerFired{})...)
 	}
 	return all
 }
 
-func (h *harness) ended(id string, result Result, latency Micros) AttemptEnded {
+func (h *harness) end(id string, result Result, latency Micros) AttemptEnded {
 	return AttemptEnded{ID: id, Attempt: h.attempts[id] - 1, Result: result, Latency: latency, Final: result == OK}
 }
 
--- a/scheduler/latency_test.go
+++ b/scheduler/latency_test.go
@@ -16,15 +16,15 @@
 	reserved := func(r *Request) { r.Plan, r.TimeLeft = 2, 20*second }
 	for _, id := range []string{"u", "v", "w", "x"} { // reduces the budget to its minimum
 		h.wantStarted(h.step(req(id, reserved)), id)
-		h.stepAfter(250*ms, h.ended(id, OK, 250*ms))
+		h.after(250*ms, h.end(id, OK, 250*ms))
 		h.advance(2500 * ms)
 	}
 	n := h.s.nodesByName["a"]
 	n.Budget, n.Target = h.s.settings.MeanUnits, 200_000
 	h.step(req("t", reserved))
-	h.wantStarted(h.stepAfter(250*ms, h.ended("t", OK, 250*ms), req("y", nil), req("z", reserved)), "z")
+	h.wantStarted(h.after(250*ms, h.end("t", OK, 250*ms), req("y", nil), req("z", reserved)), "z")
 	h.wantStarted(h.advance(130 * ms)) // latency 250 ms, target 200 ms: a pause of 0.56 times the latency
-	h.step(ClientLeft{ID: "z"}, h.ended("z", NotStarted, 130*ms))
+	h.step(ClientLeft{ID: "z"}, h.end("z", NotStarted, 130*ms))
 	h.wantStarted(h.advance(50*ms), "y")
 }
 
@@ -35,7 +35,7 @@
 	n := h.s.nodesByName["a"]
 	for _, id := range []string{"u", "v"} {
 		h.step(req(id, nil))
-		h.stepAfter(2000*ms, h.ended(id, TimedOut, 2000*ms), ClientLeft{ID: id})
+		h.after(2000*ms, h.end(id, TimedOut, 2000*ms), ClientLeft{ID: id})
 	}
 	if n.SmoothedLatency < float64(h.s.minObjective) {
 		t.Errorf("smoothed latency %v after two time-outs, want at least the shortest objective", n.SmoothedLatency)
@@ -53,7 +53,7 @@
 		settings.Fronts = c.fronts
 		h := newHarness(t, settings)
 		h.step(req("x", nil))
-		h.stepAfter(3000*ms, h.ended("x", OK, 3000*ms))
+		h.after(3000*ms, h.end("x", OK, 3000*ms))
 		n := h.s.nodesByName["a"]
 		n.UnitTime = 10_000 // its requests are short, the 3 s were waiting time
 		h.step(req("y", func(r *Request) { r.TimeLeft = 20 * second }))
@@ -64,8 +64,8 @@
 		if !slices.Contains(a, Action(CheckHealth{"a"})) {
 			t.Errorf("%+v: no health check", c)
 		}
-		h.stepAfter(ms, HealthChecked{Node: "a", OK: true, Queue: c.queue})
-		if got := len(startedIDs(h.stepAfter(ms, req("z", nil)))) > 0; got != c.sent {
+		h.after(ms, HealthChecked{Node: "a", OK: true, Queue: c.queue})
+		if got := len(startedIDs(h.after(ms, req("z", nil)))) > 0; got != c.sent {
 			t.Errorf("%+v: sent %v", c, got)
 		}
 	}
@@ -76,7 +76,7 @@
 	h := newHarness(t, testSettings())
 	h.step(req("x", func(r *Request) { r.Class = 2 }))
 	before := h.s.nodesByName["a"].Budget
-	h.stepAfter(2000*ms, h.ended("x", TimedOut, 2000*ms))
+	h.after(2000*ms, h.end("x", TimedOut, 2000*ms))
 	h.advance(400 * ms)
 	if n := h.s.nodesByName["a"]; n.Budget != before || !n.lowLatency {
 		t.Errorf("budget %v after %v, lowLatency %v", n.Budget, before, n.lowLatency)
@@ -88,7 +88,7 @@
 	for range n {
 		id := fmt.Sprintf("f%d", len(h.attempts))
 		h.step(req(id, nil))
-		h.stepAfter(latency, h.ended(id, OK, latency))
+		h.after(latency, h.end(id, OK, latency))
 	}
 }
 
@@ -106,7 +106,7 @@
 	}
 	n.budgetExhausted = true
 	answerRequests(h, 1, 20*ms)
-	h.stepAfter(200 * ms)
+	h.after(200 * ms)
 	if want := start + h.s.settings.MeanUnits/2; n.Budget != want {
 		t.Errorf("budget %v after an interval in which it was exhausted, want %v", n.Budget, want)
 	}
--- a/scheduler/learned_test.go
+++ b/scheduler/learned_test.go
@@ -21,7 +21,7 @@
 	for i := range 60 {
 		id := string(rune('A'+i%26)) + string(rune('a'+i/26))
 		h.step(req(id, func(r *Request) { r.Volume, r.Plan = id, i%4 }))
-		h.stepAfter(20*ms, h.ended(id, OK, 20*ms))
+		h.after(20*ms, h.end(id, OK, 20*ms))
 	}
 	whole, next := h.s.ExportLearned(h.now, 0, math.MaxInt32)
 	if next != 0 || len(whole.Nodes) < 2 || len(whole.Volumes) < 10 || len(whole.Flows) == 0 {
@@ -126,8 +126,8 @@
 	if record.Bucket.Lease != 10 || record.Bucket.Level < 18 { // 200 ms at 10 units per second, and one request of maximum size
 		t.Fatalf("record %+v, want a lease of 10 and a level of at least 18", record)
 	}
-	h.wantStarted(h.stepAfter(ms, StateSaved{Readable: true, Latest: true}), "early")
-	h.step(h.ended("early", OK, 5*ms))
+	h.wantStarted(h.after(ms, StateSaved{Readable: true, Latest: true}), "early")
+	h.step(h.end("early", OK, 5*ms))
 	actions := submit("next")
 	h.wantStarted(actions, "next")
 	saveRequested := false
@@ -138,6 +138,6 @@
 	if !saveRequested {
 		t.Error("the lease runs low, but SaveState is missing")
 	}
-	h.step(h.ended("next", OK, 5*ms))
+	h.step(h.end("next", OK, 5*ms))
 	h.wantStarted(submit("beyond"))
 }
--- a/scheduler/limits_test.go
+++ b/scheduler/limits_test.go
@@ -14,7 +14,7 @@
 		id := "r" + string(rune('A'+i/64)) + string(rune('0'+i%64))
 		for _, x := range startedIDs(h.step(req(id, limited))) {
 			units++
-			h.stepAfter(ms, h.ended(x, OK, ms))
+			h.after(ms, h.end(x, OK, ms))
 		}
 		h.now += 4 * ms
 		// This front's part is half of 10 units per second, from an empty bucket.
@@ -54,7 +54,7 @@
 				}
 				for _, x := range started {
 					level--
-					h.step(h.ended(x, OK, ms))
+					h.step(h.end(x, OK, ms))
 				}
 			}
 			if level < -6 {
@@ -79,7 +79,7 @@
 			var events []Event
 			for _, x := range startedIDs(h.lastActions) {
 				if cut {
-					events = append(events, h.ended(x, result, ms))
+					events = append(events, h.end(x, result, ms))
 					continue
 				}
 				if level, at = min(10, level+5*float64(h.now-at)/float64(second)), h.now; !counted[x] {
@@ -88,7 +88,7 @@
 				if level < -1 {
 					t.Fatalf("%v: the limit's bucket is overdrawn by %.1f units at %v", result, -level, h.now)
 				}
-				events = append(events, h.ended(x, OK, ms))
+				events = append(events, h.end(x, OK, ms))
 			}
 			for _, a := range h.lastActions {
 				if p, is := a.(CheckHealth); is {
@@ -98,7 +98,7 @@
 			if i%20 == 0 {
 				events = append(events, req(fmt.Sprint("r", i), limited))
 			}
-			h.stepAfter(5*ms, append(events, TimerFired{})...)
+			h.after(5*ms, append(events, TimerFired{})...)
 		}
 		if len(counted) < 50 {
 			t.Errorf("%v: %d requests in 15 s, want at least 50", result, len(counted))
@@ -116,7 +116,7 @@
 	h.step(req("x", limited(0)))
 	h.advance(350 * ms) // a level of 3.5 units; a class of a quarter of the priority leaves 7.5 of 20 in the bucket
 	h.wantStarted(h.step(req("y", limited(4))), "y")
-	h.stepAfter(5*ms, h.ended("y", OK, 5*ms))
+	h.after(5*ms, h.end("y", OK, 5*ms))
 	h.wantStarted(h.advance(700 * ms))
 	h.wantStarted(h.advance(400*ms), "x")
 }
@@ -148,9 +148,9 @@
 		h := newHarness(t, settings)
 		reserved := func(r *Request) { r.Plan, r.Volume, r.Fronts = 2, "v", 2 }
 		h.step(req("x", reserved))
-		o := h.ended("x", OK, 10*ms)
+		o := h.end("x", OK, 10*ms)
 		o.ServedElsewhere = 1000
-		h.stepAfter(10*ms, o)
+		h.after(10*ms, o)
 		// The even part is 50 units per second. If the units served elsewhere are reported, the volume has had more than
 		// one second of the whole 100.
 		v, _ := h.s.volumes.Get("v")
--- a/scheduler/nodes_test.go
+++ b/scheduler/nodes_test.go
@@ -9,7 +9,7 @@
 	h := newHarness(t, testSettings())
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Draining}}})
 	h.wantStarted(h.step(req("x", nil)))
-	h.wantStarted(h.stepAfter(10*ms, EndpointsChanged{Endpoints: []Endpoint{runningAt("c", 0), {Node: "a", State: Removed}}}), "x")
+	h.wantStarted(h.after(10*ms, EndpointsChanged{Endpoints: []Endpoint{runningAt("c", 0), {Node: "a", State: Removed}}}), "x")
 }
 
 func TestNodeMissingFromFullListIsRemoved(t *testing.T) {
@@ -24,17 +24,17 @@
 	settings := testSettings()
 	settings.SlowStart = 0
 	h := newHarness(t, settings)
-	h.wantStarted(h.stepAfter(ms, req("x", func(r *Request) { r.TimeLeft = 60 * second })), "x")
-	h.wantStarted(h.stepAfter(ms, h.ended("x", Unreachable, ms)))
-	h.wantStarted(h.stepAfter(3*second, TimerFired{}))
-	h.wantStarted(h.stepAfter(ms, EndpointsChanged{Endpoints: []Endpoint{{Node: "a", StartedAt: h.now}}}), "x")
+	h.wantStarted(h.after(ms, req("x", func(r *Request) { r.TimeLeft = 60 * second })), "x")
+	h.wantStarted(h.after(ms, h.end("x", Unreachable, ms)))
+	h.wantStarted(h.after(3*second, TimerFired{}))
+	h.wantStarted(h.after(ms, EndpointsChanged{Endpoints: []Endpoint{{Node: "a", StartedAt: h.now}}}), "x")
 }
 
 // A full queue takes seconds to drain: requests sent meanwhile are rejected again or answered late.
 func TestNodeWithFullQueueIsPaused(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.step(req("x", nil))
-	a := append(h.stepAfter(5*ms, h.ended("x", QueueFull, 5*ms)), h.advance(700*ms)...)
+	a := append(h.after(5*ms, h.end("x", QueueFull, 5*ms)), h.advance(700*ms)...)
 	h.wantStarted(a)
 	h.wantStarted(h.advance(200*ms), "x")
 }
@@ -52,14 +52,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, testSettings())
 			h.step(req("x", nil), req("y", func(r *Request) { r.Units = 1 }))
-			a := h.stepAfter(10*ms, h.ended("x", c.first, 10*ms), ClientLeft{ID: "x"})
+			a := h.after(10*ms, h.end("x", c.first, 10*ms), ClientLeft{ID: "x"})
 			if !slices.Contains(a, Action(CheckHealth{"a"})) {
 				t.Fatalf("no health check after the failure: %v", a)
 			}
 			if c.delay > 0 {
-				h.stepAfter(c.delay, h.ended("y", Reset, c.delay), ClientLeft{ID: "y"})
+				h.after(c.delay, h.end("y", Reset, c.delay), ClientLeft{ID: "y"})
 			}
-			h.stepAfter(5*ms, HealthChecked{Node: "a", OK: true})
+			h.after(5*ms, HealthChecked{Node: "a", OK: true})
 			if n := h.s.nodesByName["a"]; h.s.inSlowStart(n) == c.alive {
 				t.Errorf("in slow start: %v", !c.alive)
 			}
@@ -77,18 +77,18 @@
 	}{{20 * ms, 0, false, true}, {900 * ms, 0, true, true}, {900 * ms, 30, true, false}} {
 		h := newHarness(t, testSettings())
 		h.step(req("x", nil))
-		h.stepAfter(40*ms, h.ended("x", OK, 40*ms))
+		h.after(40*ms, h.end("x", OK, 40*ms))
 		h.advance(3 * second)
 		h.s.nodesByName["a"].lowLatency = false // late requests stay queued
 		other := func(r *Request) { r.Shard = 1 }
 		h.step(req("w0", other), req("w1", other))
-		h.stepAfter(c.latency, h.ended("w0", OK, c.latency), h.ended("w1", OK, c.latency))
+		h.after(c.latency, h.end("w0", OK, c.latency), h.end("w1", OK, c.latency))
 		a := h.step(req("y", nil))
 		if got := slices.Contains(a, Action(CheckHealth{"a"})); got != c.checkFirst {
 			t.Errorf("%+v: health check first: %v", c, got)
 		}
 		if c.checkFirst {
-			h.stepAfter(2*ms, HealthChecked{Node: "a", OK: true, Queue: c.queue})
+			h.after(2*ms, HealthChecked{Node: "a", OK: true, Queue: c.queue})
 		}
 		if got := h.attempts["y"] == 1; got != c.sent {
 			t.Errorf("%+v: request sent: %v", c, got)
@@ -99,7 +99,7 @@
 func TestSilentNodeIsSentNothing(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.step(req("x", nil))
-	h.stepAfter(20*ms, h.ended("x", OK, 20*ms))
+	h.after(20*ms, h.end("x", OK, 20*ms))
 	h.step(req("y", nil))
 	h.advance(500 * ms)
 	h.wantStarted(h.step(req("z", nil)))
@@ -111,20 +111,20 @@
 func TestHealthCheckTellsLossFromSilence(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.step(req("x", nil))
-	h.stepAfter(20*ms, h.ended("x", OK, 20*ms))
+	h.after(20*ms, h.end("x", OK, 20*ms))
 	h.step(req("lost", nil))
 	h.advance(500 * ms)
 	h.wantStarted(h.step(req("y", nil), req("z", nil)))
-	h.wantStarted(h.stepAfter(ms, HealthChecked{Node: "a", OK: true, Queue: -1}), "y")
-	h.wantStarted(h.stepAfter(ms, req("w", nil)))
-	h.wantStarted(h.stepAfter(20*ms, h.ended("y", OK, 20*ms)), "z", "w")
-	h.stepAfter(20*ms, h.ended("z", OK, 20*ms), h.ended("w", OK, 20*ms))
+	h.wantStarted(h.after(ms, HealthChecked{Node: "a", OK: true, Queue: -1}), "y")
+	h.wantStarted(h.after(ms, req("w", nil)))
+	h.wantStarted(h.after(20*ms, h.end("y", OK, 20*ms)), "z", "w")
+	h.after(20*ms, h.end("z", OK, 20*ms), h.end("w", OK, 20*ms))
 
 	n := h.s.nodesByName["a"] // after a loss, requests that need an idle node are sent although a lost attempt is outstanding
 	n.lastLoss, n.lowLatency = h.now, false
 	h.s.work.RestartFast(&n.work)
 	h.wantStarted(h.step(req("u", nil)), "u")
-	h.stepAfter(20*ms, h.ended("u", OK, 20*ms))
+	h.after(20*ms, h.end("u", OK, 20*ms))
 	n.lowLatency = true
 	h.wantStarted(h.step(req("late", func(r *Request) { r.Units, n.UnitTime = 8, float64(400*ms) })), "late")
 }
@@ -133,7 +133,7 @@
 	h := newHarness(t, testSettings())
 	h.wantStarted(h.step(req("x", nil)), "x")
 	h.step(EndpointsChanged{Full: true, Endpoints: []Endpoint{runningAt("b", 1)}})
-	h.wantStarted(h.stepAfter(10*ms, h.ended("x", Reset, 10*ms), HealthChecked{Node: "gone"}))
+	h.wantStarted(h.after(10*ms, h.end("x", Reset, 10*ms), HealthChecked{Node: "gone"}))
 	h.wantStarted(h.step(EndpointsChanged{Endpoints: []Endpoint{runningAt("c", 0)}}), "x")
 }
 
@@ -145,7 +145,7 @@
 	h.step(EndpointsChanged{Endpoints: []Endpoint{cold}})
 	h.s.nodesByName["c"].slowStart.Granted(h.now, 3, h.now+100*ms)
 	h.wantStarted(h.step(req("x", func(r *Request) { r.Shard = 2 })), "x")
-	h.step(h.ended("x", NotStarted, 0), ClientLeft{ID: "x"})
+	h.step(h.end("x", NotStarted, 0), ClientLeft{ID: "x"})
 	gone := cold
 	gone.State = Removed
 	h.step(EndpointsChanged{Endpoints: []Endpoint{gone}}, EndpointsChanged{Endpoints: []Endpoint{cold}})
@@ -160,7 +160,7 @@
 	for _, alive := range []bool{true, false} {
 		h := newHarness(t, testSettings())
 		h.wantStarted(h.step(req("x", nil)), "x")
-		reset := h.ended("x", Reset, ms)
+		reset := h.end("x", Reset, ms)
 		reset.Alive = alive
 		sent := slices.Contains(startedIDs(h.step(reset)), "x")
 		if cold := h.s.inSlowStart(h.s.nodesByName["a"]); sent != alive || cold == alive {
--- a/scheduler/order_test.go
+++ b/scheduler/order_test.go
@@ -10,11 +10,11 @@
 	h := newHarness(t, testSettings())
 	keyed := func(r *Request) { r.Class, r.Key = 3, "k" }
 	h.wantStarted(h.step(req("x", keyed), req("y", keyed), req("z", nil)), "x", "z")
-	h.wantStarted(h.stepAfter(10*ms, h.ended("x", OK, 10*ms)), "y")
+	h.wantStarted(h.after(10*ms, h.end("x", OK, 10*ms)), "y")
 	h.step(req("u", keyed))
 	// The request at the head of its key's queue may be retried at once. The next one waits for the pause of the key.
-	h.wantStarted(h.stepAfter(10*ms, h.ended("y", Cancelled, 10*ms)), "y")
-	h.wantStarted(h.stepAfter(10*ms, h.ended("y", OK, 10*ms)))
+	h.wantStarted(h.after(10*ms, h.end("y", Cancelled, 10*ms)), "y")
+	h.wantStarted(h.after(10*ms, h.end("y", OK, 10*ms)))
 	if a := startedIDs(h.advance(150 * ms)); len(a) != 0 {
 		t.Errorf("started during the pause of the key: %v", a)
 	}
@@ -27,22 +27,22 @@
 	h := newHarness(t, settings)
 	keyed := func(r *Request) { r.Class, r.Key = 3, "k" }
 	h.step(req("x", keyed), req("y", keyed))
-	h.wantStarted(h.stepAfter(10*ms, ClientLeft{ID: "x"}))
+	h.wantStarted(h.after(10*ms, ClientLeft{ID: "x"}))
 	if a := startedIDs(h.advance(250 * ms)); len(a) != 0 {
 		t.Errorf("started %v", a)
 	}
-	o := h.ended("x", OK, 270*ms)
-	h.wantStarted(append(h.stepAfter(10*ms, o), h.advance(300*ms)...), "y")
+	o := h.end("x", OK, 270*ms)
+	h.wantStarted(append(h.after(10*ms, o), h.advance(300*ms)...), "y")
 }
 
 func TestKeyPauseOutlastsEmptyQueue(t *testing.T) {
 	h := newHarness(t, testSettings())
 	keyed := func(r *Request) { r.Class, r.Key = 3, "k" }
 	h.step(req("x", keyed))
-	o := h.ended("x", Cancelled, 10*ms)
+	o := h.end("x", Cancelled, 10*ms)
 	o.Final = true
-	h.stepAfter(10*ms, o)
-	h.wantStarted(h.stepAfter(10*ms, req("y", keyed)))
+	h.after(10*ms, o)
+	h.wantStarted(h.after(10*ms, req("y", keyed)))
 }
 
 func TestLatestObjectiveIsSentFirst(t *testing.T) {
@@ -50,7 +50,7 @@
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Draining}}})
 	same := func(r *Request) { r.Volume = "v" }
 	h.step(req("old", same))
-	h.stepAfter(50*ms, req("fresh", same))
+	h.after(50*ms, req("fresh", same))
 	h.wantStarted(h.step(EndpointsChanged{Endpoints: []Endpoint{runningAt("a", 0)}}), "fresh", "old")
 }
 
@@ -58,12 +58,12 @@
 	h := newHarness(t, testSettings())
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Draining}}})
 	h.step(req("x", nil), req("y", nil))
-	h.stepAfter(500*ms, req("z", nil)) // the objectives of x and y have passed
+	h.after(500*ms, req("z", nil)) // the objectives of x and y have passed
 	h.wantStarted(h.step(EndpointsChanged{Endpoints: []Endpoint{runningAt("a", 0)}}), "z")
 	n := h.s.nodesByName["a"]
-	h.stepAfter(20*ms, h.ended("z", OK, 20*ms))
+	h.after(20*ms, h.end("z", OK, 20*ms))
 	h.wantStarted(h.lastActions, "x") // late requests are sent one at a time
-	h.stepAfter(20*ms, h.ended("x", OK, 20*ms), ClientLeft{ID: "y"})
+	h.after(20*ms, h.end("x", OK, 20*ms), ClientLeft{ID: "y"})
 	n.fastMinLatency = 2 * n.Target
 	h.advance(200 * ms)
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Draining}}})
@@ -78,14 +78,14 @@
 	h.wantStarted(h.step(req("x", nil), req("y", nil)), "x")
 	h.wantStarted(h.step(req("r", func(r *Request) { r.Plan = 2 })), "r")
 	h.s.nodesByName["a"].lowLatency = true
-	h.wantStarted(h.stepAfter(5*ms), "y")
+	h.wantStarted(h.after(5*ms), "y")
 }
 
 func TestRequestWithShortDeadlineCountsAsLate(t *testing.T) {
 	h := newHarness(t, testSettings())
 	answerRequests(h, 3, 100*ms)
 	h.wantStarted(h.step(req("fresh", nil), req("short", func(r *Request) { r.TimeLeft = 50 * ms })), "fresh")
-	h.stepAfter(100*ms, h.ended("fresh", OK, 100*ms))
+	h.after(100*ms, h.end("fresh", OK, 100*ms))
 	if a := startedIDs(h.lastActions); len(a) != 0 {
 		t.Errorf("started %v", a)
 	}
@@ -100,7 +100,7 @@
 		return func(r *Request) { r.Class, r.Volume = class, "v" }
 	}
 	h.step(req("y", same(4)))
-	h.stepAfter(50*ms, req("x", same(0)))
+	h.after(50*ms, req("x", same(0)))
 	h.wantStarted(h.step(EndpointsChanged{Endpoints: []Endpoint{runningAt("a", 0)}}), "y", "x")
 }
 
@@ -123,9 +123,9 @@
 		order = append(order, a...)
 		var done []Event
 		for _, x := range a {
-			done = append(done, h.ended(x, OK, 5*ms))
+			done = append(done, h.end(x, OK, 5*ms))
 		}
-		a = startedIDs(h.stepAfter(5*ms, done...))
+		a = startedIDs(h.after(5*ms, done...))
 	}
 	if len(order) < 40 || order[0] != "reserved" {
 		t.Fatalf("order %v", order)
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -13,18 +13,18 @@
 	h := newHarness(t, testSettings())
 	h.step(EndpointsChanged{Full: true, Endpoints: []Endpoint{runningAt("a", 0), runningAt("b", 1), runningAt("c", 2), runningAt("d", 3)}})
 	fresh := func(r *Request) { r.Shard = -1 }
-	h.wantStarted(h.stepAfter(ms, req("x", func(r *Request) { r.Shard = 2 })), "x")
-	h.stepAfter(50*ms, h.ended("x", OK, 50*ms))
+	h.wantStarted(h.after(ms, req("x", func(r *Request) { r.Shard = 2 })), "x")
+	h.after(50*ms, h.end("x", OK, 50*ms))
 	for i := range 20 {
 		id := fmt.Sprint("n", i)
-		out := h.stepAfter(100*ms, req(id, fresh))
+		out := h.after(100*ms, req(id, fresh))
 		h.wantStarted(out, id)
 		for _, a := range out {
 			if send, is := a.(StartAttempt); is && send.Node != "c" {
 				t.Fatalf("object %d is sent to %s, want c", i, send.Node)
 			}
 		}
-		h.stepAfter(50*ms, h.ended(id, OK, 50*ms))
+		h.after(50*ms, h.end(id, OK, 50*ms))
 	}
 }
 
@@ -47,7 +47,7 @@
 		for i := range 2 { // one answer each of two nodes
 			id := fmt.Sprintf("w%d", i)
 			h.wantStarted(h.step(req(id, fresh)), id)
-			h.stepAfter(c.latency, h.ended(id, OK, c.latency))
+			h.after(c.latency, h.end(id, OK, c.latency))
 		}
 		actions := h.step(req("old", func(r *Request) { r.Shard = 15 }), req("x0", fresh), req("x1", fresh),
 			req("x2", fresh), req("x3", fresh))
@@ -58,7 +58,7 @@
 					events = append(events, HealthChecked{Node: p.Node, OK: true})
 				}
 			}
-			actions = h.stepAfter(ms, events...)
+			actions = h.after(ms, events...)
 		}
 		if got := h.attempts["x0"] + h.attempts["x1"] + h.attempts["x2"] + h.attempts["x3"]; got != c.sent || h.attempts["old"] != 1 {
 			t.Errorf("after answers in %v µs: %d of 4 new objects and %d reads were sent", c.latency, got, h.attempts["old"])
@@ -70,10 +70,10 @@
 	h := newHarness(t, testSettings())
 	h.step(req("x", nil), req("y", func(r *Request) { r.Shard = 1 }))
 	y := AttemptEnded{ID: "y", Result: OK, Latency: 100 * ms, Final: true}
-	h.stepAfter(100*ms, h.ended("x", OK, 50*ms), y)
+	h.after(100*ms, h.end("x", OK, 50*ms), y)
 	h.step(req("u", func(r *Request) { r.Units = 1 }))
 	h.s.nodesByName["a"].outstandingUnits = 0 // so that the unanswered request alone reveals the overload
-	a := h.stepAfter(300*ms, req("w", func(r *Request) { r.Shard = -1 }))
+	a := h.after(300*ms, req("w", func(r *Request) { r.Shard = -1 }))
 	if !slices.Contains(a, Action(StartAttempt{ID: "w", Node: "b"})) {
 		t.Errorf("actions %v", a)
 	}
@@ -108,18 +108,18 @@
 	h := newHarness(t, testSettings())
 	object := func(r *Request) { r.Shard = -1 }
 	h.step(req("usual", func(r *Request) { r.Shard = 1 }))
-	h.step(h.ended("usual", OK, 20*ms))
+	h.step(h.end("usual", OK, 20*ms))
 	for i := range 4 {
 		id := fmt.Sprint("error-", i)
-		h.wantStarted(h.stepAfter(20*ms, req(id, nil)), id)
-		h.step(h.ended(id, Errored, ms), ClientLeft{ID: id})
+		h.wantStarted(h.after(20*ms, req(id, nil)), id)
+		h.step(h.end(id, Errored, ms), ClientLeft{ID: id})
 	}
 	for i := range 5 {
 		id := fmt.Sprint("object-", i)
-		if a := h.stepAfter(20*ms, req(id, object)); !slices.Contains(a, Action(StartAttempt{ID: id, Node: "b"})) {
+		if a := h.after(20*ms, req(id, object)); !slices.Contains(a, Action(StartAttempt{ID: id, Node: "b"})) {
 			t.Errorf("actions for a new object: %v, want an attempt at b", a)
 		}
-		h.step(h.ended(id, OK, 20*ms))
+		h.step(h.end(id, OK, 20*ms))
 	}
 	h.wantStarted(h.step(req("trial", nil), req("behind", nil)))
 	h.advance(400 * ms)
--- a/scheduler/rejection_test.go
+++ b/scheduler/rejection_test.go
@@ -39,7 +39,7 @@
 func TestUnsentRequestIsRejectedAfterHalfItsTime(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.step(req("full", nil))
-	h.step(h.ended("full", QueueFull, ms)) // nothing is sent to the node for two objectives, 800 ms
+	h.step(h.end("full", QueueFull, ms)) // nothing is sent to the node for two objectives, 800 ms
 	h.step(req("held", func(r *Request) { r.TimeLeft = 1000 * ms }))
 	if rejected, _ := finalAnswers(h.advance(450 * ms)); len(rejected) > 0 {
 		t.Fatalf("rejected %v although half of the time is left", rejected)
@@ -51,7 +51,7 @@
 
 // A request that can't be answered before its deadline is rejected at once, with the time after which to retry.
 func TestUnservableRequestIsRejectedAtOnce(t *testing.T) {
-	rejection := func(h *harness, r Request) (retryAfter Micros, ok bool) {
+	rejection := func(h *harness, r Request) (after Micros, ok bool) {
 		for _, a := range h.step(r) {
 			if a, is := a.(Reject); is && a.ID == r.ID {
 				return a.RetryAfter, true
@@ -77,12 +77,12 @@
 		}, nil, true, 2000 * ms, 3000 * ms},
 		{"node that failed long ago", func(h *harness) {
 			h.step(req("w", nil))
-			h.stepAfter(ms, h.ended("w", Unreachable, ms))
+			h.after(ms, h.end("w", Unreachable, ms))
 			h.advance(6000 * ms)
 		}, nil, true, 5000 * ms, 5000 * ms},
 		{"node whose latency exceeds the client's time", func(h *harness) {
 			h.step(req("w", nil))
-			h.stepAfter(3000*ms, h.ended("w", OK, 3000*ms))
+			h.after(3000*ms, h.end("w", OK, 3000*ms))
 		}, nil, true, 2000 * ms, 5000 * ms},
 		{
 			"limit that refills too slowly", nil, func(r *Request) { r.Plan, r.Units, r.Fronts = 3, 8, 4 },
@@ -94,9 +94,9 @@
 		if c.prepare != nil {
 			c.prepare(h)
 		}
-		retryAfter, ok := rejection(h, req("x", c.edit))
-		if ok != c.rejected || retryAfter < c.minRetryAfter || retryAfter > c.maxRetryAfter {
-			t.Errorf("%s: rejected %v, retry after %v", c.name, ok, retryAfter)
+		after, ok := rejection(h, req("x", c.edit))
+		if ok != c.rejected || after < c.minRetryAfter || after > c.maxRetryAfter {
+			t.Errorf("%s: rejected %v, retry after %v", c.name, ok, after)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 	first := h.now
 	h.step(req("x", func(r *Request) { r.Key, r.TimeLeft = "k", 1500*ms }))
 	for len(h.s.requests) > 0 {
-		h.stepAfter(5*ms, TimerFired{})
+		h.after(5*ms, TimerFired{})
 	}
 	h.step(req("again", func(r *Request) { r.Volume, r.Key, r.TimeLeft = "vx", "k", first+1500*ms-h.now }))
 	h.step(req("other", func(r *Request) { r.Volume, r.Key, r.TimeLeft = "vx", "k", 1500*ms }))
@@ -123,7 +123,7 @@
 func TestTimeoutAtDeadlineIsAnsweredAtOnce(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.wantStarted(h.step(req("x", func(r *Request) { r.Class = 1 })), "x")
-	rejected, failed := finalAnswers(h.stepAfter(2000*ms, h.ended("x", TimedOut, 2000*ms)))
+	rejected, failed := finalAnswers(h.after(2000*ms, h.end("x", TimedOut, 2000*ms)))
 	if len(rejected) != 0 || !reflect.DeepEqual(failed, []string{"x"}) {
 		t.Errorf("rejected %v, failed %v", rejected, failed)
 	}
@@ -146,7 +146,7 @@
 	h.step(EndpointsChanged{Endpoints: []Endpoint{{Node: "a", State: Removed}}})
 	h.advance(500 * ms)
 	for i := range 3000 {
-		h.stepAfter(ms, req(fmt.Sprintf("r%d", i), func(r *Request) { r.TimeLeft = 400 * ms }))
+		h.after(ms, req(fmt.Sprintf("r%d", i), func(r *Request) { r.TimeLeft = 400 * ms }))
 	}
 	if n := h.s.rejected.Len(); n == 0 || n > 1000 {
 		t.Errorf("%d of 3000 rejected requests are remembered, want 1 to 1000", n)
--- a/scheduler/retries_test.go
+++ b/scheduler/retries_test.go
@@ -27,9 +27,9 @@
 			settings.SlowStart = 0
 			h := newHarness(t, settings)
 			h.step(req("x", func(r *Request) { r.Class = c.class }))
-			a := h.stepAfter(10*ms, h.ended("x", c.result, 10*ms))
+			a := h.after(10*ms, h.end("x", c.result, 10*ms))
 			rejected, failed := finalAnswers(a)
-			a = append(a, h.stepAfter(1000*ms, HealthChecked{Node: "a", OK: true})...)
+			a = append(a, h.after(1000*ms, HealthChecked{Node: "a", OK: true})...)
 			if got := len(startedIDs(a)) > 0; got != c.retried {
 				t.Errorf("retried: %v", got)
 			}
@@ -43,8 +43,8 @@
 func TestRetryStaysWithinDedupWindow(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.step(req("x", func(r *Request) { r.Class = 1 }), req("y", func(r *Request) { r.Class = 4 }))
-	_, failed := finalAnswers(h.stepAfter(1000*ms, h.ended("x", Errored, 1000*ms)))
-	rejected, _ := finalAnswers(h.step(h.ended("y", Errored, 1000*ms)))
+	_, failed := finalAnswers(h.after(1000*ms, h.end("x", Errored, 1000*ms)))
+	rejected, _ := finalAnswers(h.step(h.end("y", Errored, 1000*ms)))
 	if !reflect.DeepEqual(failed, []string{"x"}) || !reflect.DeepEqual(rejected, []string{"y"}) {
 		t.Errorf("failed %v, rejected %v", failed, rejected)
 	}
@@ -53,9 +53,9 @@
 func TestMaxAttempts(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.wantStarted(h.step(req("x", nil)), "x")
-	h.wantStarted(h.stepAfter(10*ms, h.ended("x", Errored, 10*ms)), "x")
-	h.wantStarted(h.stepAfter(10*ms, h.ended("x", Errored, 10*ms)), "x")
-	rejected, _ := finalAnswers(h.stepAfter(10*ms, h.ended("x", Errored, 10*ms)))
+	h.wantStarted(h.after(10*ms, h.end("x", Errored, 10*ms)), "x")
+	h.wantStarted(h.after(10*ms, h.end("x", Errored, 10*ms)), "x")
+	rejected, _ := finalAnswers(h.after(10*ms, h.end("x", Errored, 10*ms)))
 	if !reflect.DeepEqual(rejected, []string{"x"}) {
 		t.Errorf("rejected %v", rejected)
 	}
@@ -66,8 +66,8 @@
 	settings.RetryBudgetSpan, settings.RetryBudgetMin, settings.RetryBudgetShare = 1000*ms, 1, 0.1
 	h := newHarness(t, settings)
 	h.step(req("x", nil))
-	h.wantStarted(h.stepAfter(10*ms, h.ended("x", Errored, 10*ms)), "x")
-	h.wantStarted(h.stepAfter(10*ms, h.ended("x", Errored, 10*ms)))
+	h.wantStarted(h.after(10*ms, h.end("x", Errored, 10*ms)), "x")
+	h.wantStarted(h.after(10*ms, h.end("x", Errored, 10*ms)))
 	if a := startedIDs(h.advance(900 * ms)); len(a) != 0 {
 		t.Errorf("started %v", a)
 	}
@@ -88,9 +88,9 @@
 	settings.CancelAttempts = true
 	h := newHarness(t, settings)
 	h.wantStarted(h.step(req("x", nil), req("y", nil), req("z", nil)), "x", "y", "z")
-	h.stepAfter(20*ms, h.ended("y", OK, 20*ms), h.ended("z", OK, 20*ms))
-	h.stepAfter(1980*ms, h.ended("x", TimedOut, 2000*ms))
-	h.stepAfter(ms, HealthChecked{Node: "a", OK: true})
+	h.after(20*ms, h.end("y", OK, 20*ms), h.end("z", OK, 20*ms))
+	h.after(1980*ms, h.end("x", TimedOut, 2000*ms))
+	h.after(ms, HealthChecked{Node: "a", OK: true})
 	return h
 }
 
@@ -99,9 +99,9 @@
 	for _, outstandingFor := range []Micros{120 * ms, 1000 * ms} {
 		h := newHarnessWithLoss(t)
 		h.wantStarted(h.step(req("u", nil), req("v", nil), req("w", nil)), "u", "v", "w")
-		h.stepAfter(20*ms, h.ended("v", OK, 20*ms), h.ended("w", OK, 20*ms))
+		h.after(20*ms, h.end("v", OK, 20*ms), h.end("w", OK, 20*ms))
 		var cancels []Action
-		for _, a := range h.stepAfter(outstandingFor - 20*ms) {
+		for _, a := range h.after(outstandingFor - 20*ms) {
 			if _, ok := a.(CancelAttempt); ok {
 				cancels = append(cancels, a)
 			}
@@ -109,7 +109,7 @@
 		if !reflect.DeepEqual(cancels, []Action{CancelAttempt{ID: "u", Attempt: 0}}) {
 			t.Errorf("cancelled %v, want u", cancels)
 		}
-		h.wantStarted(h.stepAfter(ms, h.ended("u", Cancelled, outstandingFor)), "u")
+		h.wantStarted(h.after(ms, h.end("u", Cancelled, outstandingFor)), "u")
 	}
 }
 
@@ -118,7 +118,7 @@
 	settings.CancelAttempts = true
 	h := newHarness(t, settings)
 	h.step(req("u", nil), req("v", nil), req("w", nil))
-	h.stepAfter(20*ms, h.ended("v", OK, 20*ms), h.ended("w", OK, 20*ms))
+	h.after(20*ms, h.end("v", OK, 20*ms), h.end("w", OK, 20*ms))
 	for _, a := range h.advance(1000 * ms) {
 		if _, ok := a.(CancelAttempt); ok {
 			t.Errorf("an attempt was cancelled: %v", a)
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -14,11 +14,11 @@
 		h := newHarness(t, testSettings())
 		for i := range 300 {
 			id := "r" + string(rune('A'+i/64)) + string(rune('0'+i%64))
-			a := h.stepAfter(3*ms, req(id, func(r *Request) { r.Shard = i%3 - 1; r.Plan = i % 3; r.Volume = id[:2] }))
+			a := h.after(3*ms, req(id, func(r *Request) { r.Shard = i%3 - 1; r.Plan = i % 3; r.Volume = id[:2] }))
 			all = append(all, a...)
 			for _, x := range startedIDs(a) {
 				if i%7 != 0 {
-					all = append(all, h.stepAfter(ms, h.ended(x, OK, 20*ms))...)
+					all = append(all, h.after(ms, h.end(x, OK, 20*ms))...)
 				}
 			}
 		}
@@ -37,9 +37,9 @@
 		for i := range 500 {
 			id := fmt.Sprintf("r%d", i)
 			h.step(req(id, func(r *Request) { r.Class, r.Key = 3, id }))
-			o := h.ended(id, Cancelled, 5*ms)
+			o := h.end(id, Cancelled, 5*ms)
 			o.Final = true
-			h.stepAfter(10*ms, o)
+			h.after(10*ms, o)
 		}
 		if remaining := len(h.s.requests); remaining > 0 {
 			t.Errorf("%d requests remain", remaining)
@@ -56,7 +56,7 @@
 		t.Errorf("rejected %v", rejected)
 	}
 	h.wantStarted(h.step(req("y", func(r *Request) { r.Units, r.Fronts = 0, 0 })), "y")
-	h.step(h.ended("y", OK, ms), h.ended("y", OK, ms))
+	h.step(h.end("y", OK, ms), h.end("y", OK, ms))
 }
 
 func TestInvalidSettings(t *testing.T) {
@@ -114,12 +114,12 @@
 	for i := range 100 {
 		id := fmt.Sprint(i)
 		h.step(req(id, func(r *Request) { r.Plan = i % 3 }))
-		h.step(h.ended(id, OK, ms))
+		h.step(h.end(id, OK, ms))
 	}
 	limited := func(r *Request) { r.Volume, r.Plan, r.Units = "limited", 3, 8 }
 	for _, id := range []string{"x", "y"} {
-		h.stepAfter(ms, req(id, limited))
-		h.step(h.ended(id, OK, ms))
+		h.after(ms, req(id, limited))
+		h.step(h.end(id, OK, ms))
 	}
 	h.wantStarted(h.advance(slowInterval))
 	if v, has := h.s.volumes.Get("limited"); !has || v.bucket.Level >= 20 {
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -95,6 +95,7 @@
 	a.Request(s.now, e.From, e.CapacityRequest)
 }
 
+// allocatorFor finds or creates the allocator of a node.
 func (s *Scheduler) allocatorFor(node string) allocator {
 	i := slices.IndexFunc(s.allocators, func(a allocator) bool { return a.node == node })
 	if i < 0 {
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -26,7 +26,7 @@
 		var events []Event
 		for _, x := range order {
 			if delay > 0 && due[x] > 0 && due[x] <= h.now {
-				events, due[x] = append(events, h.ended(x, OK, delay)), 0
+				events, due[x] = append(events, h.end(x, OK, delay)), 0
 				log = append(log, entry{h.now, -1})
 			}
 		}
@@ -79,8 +79,8 @@
 	for _, result := range []Result{Reset, Unreachable} {
 		h := newHarness(t, testSettings())
 		h.step(req("x", func(r *Request) { r.Class = 2 }))
-		h.stepAfter(10*ms, h.ended("x", result, 10*ms), ClientLeft{ID: "x"})
-		h.stepAfter(500*ms, HealthChecked{Node: "a", OK: true})
+		h.after(10*ms, h.end("x", result, 10*ms), ClientLeft{ID: "x"})
+		h.after(500*ms, HealthChecked{Node: "a", OK: true})
 		checkSlowStart(h, 1000*ms, 50*ms, maxGrantedUnits)
 	}
 }
@@ -96,7 +96,7 @@
 	requests := []Action{}
 	for i := range 20 {
 		id := fmt.Sprintf("x%d", i)
-		a := h.stepAfter(25*ms, req(id, nil), ClientLeft{ID: fmt.Sprintf("x%d", i-1)})
+		a := h.after(25*ms, req(id, nil), ClientLeft{ID: fmt.Sprintf("x%d", i-1)})
 		h.wantStarted(a)
 		requests = append(requests, slices.DeleteFunc(a, func(a Action) bool { _, is := a.(RequestCapacity); return !is })...)
 	}
@@ -119,13 +119,13 @@
 	settings.Fronts, settings.PeerMessages, settings.FrontIndex = 300, true, -1
 	h := newColdHarnessWith(t, settings)
 	for may := false; !may; _, may = h.s.slowStart.Granter("a", h.now) {
-		h.stepAfter(100 * ms)
+		h.after(100 * ms)
 	}
-	h.stepAfter(25*ms, req("x", nil))
+	h.after(25*ms, req("x", nil))
 	granter, _ := h.s.slowStart.Granter("a", h.now)
 	startedAt := h.s.nodesByName["a"].StartedAt
 	h.wantStarted(h.step(CapacityGranted{From: granter, Node: "a", Units: 2, ValidUntil: h.now + 100*ms}), "x")
-	reports := slices.DeleteFunc(h.stepAfter(50*ms, AttemptEnded{ID: "x", Result: OK, Latency: 50 * ms, Final: true}),
+	reports := slices.DeleteFunc(h.after(50*ms, AttemptEnded{ID: "x", Result: OK, Latency: 50 * ms, Final: true}),
 		func(a Action) bool { _, is := a.(RequestCapacity); return !is })
 	if len(reports) != 1 || reports[0].(RequestCapacity).To != granter || reports[0].(RequestCapacity).StartedAt != startedAt || reports[0].(RequestCapacity).Units != 0 || reports[0].(RequestCapacity).Report.Units != 2 {
 		t.Errorf("capacity requests %+v, want one report to the granter", reports)
@@ -185,7 +185,7 @@
 				events = append(events, AttemptEnded{ID: queue[0].id, Result: OK, Latency: 50 * ms, Final: true})
 				queue = queue[1:]
 			}
-			actions := h.stepAfter(5*ms, events...)
+			actions := h.after(5*ms, events...)
 			for _, id := range startedIDs(actions) {
 				queue, sent = append(queue, entry{h, id}), append(sent, h.now)
 			}
--- a/scheduler/timeout_test.go
+++ b/scheduler/timeout_test.go
@@ -14,12 +14,12 @@
 		if i > 50 {
 			latency = 20 * ms
 		}
-		h.stepAfter(30*ms, req(id, nil))
-		h.stepAfter(latency, h.ended(id, OK, latency))
+		h.after(30*ms, req(id, nil))
+		h.after(latency, h.end(id, OK, latency))
 	}
-	h.wantStarted(h.stepAfter(50*ms, req("lost", func(r *Request) { r.TimeLeft = 4 * second })), "lost")
+	h.wantStarted(h.after(50*ms, req("lost", func(r *Request) { r.TimeLeft = 4 * second })), "lost")
 	answerHealthChecks(h, 4*second)
-	h.stepAfter(0, AttemptEnded{ID: "lost", Result: TimedOut, Latency: 4 * second, Final: true})
+	h.after(0, AttemptEnded{ID: "lost", Result: TimedOut, Latency: 4 * second, Final: true})
 	for i := range 50 {
 		id := fmt.Sprint("after-", i)
 		h.step(req(id, func(r *Request) { r.TimeLeft = second }))
@@ -38,6 +38,6 @@
 		for _, node := range checkedNodes(h.lastActions) {
 			events = append(events, HealthChecked{Node: node, OK: true, Queue: -1})
 		}
-		h.stepAfter(5*ms, append(events, TimerFired{})...)
+		h.after(5*ms, append(events, TimerFired{})...)
 	}
 }
