--- a/scheduler/digest_simulation_test.go
+++ b/scheduler/digest_simulation_test.go
@@ -92,47 +92,47 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &digestSimulation{
+	sim := &digestSimulation{
 		t: t, rng: rand.New(rand.NewPCG(7, 0)), scheduler: s, now: 1_800_000_000_000_000,
 		requests: map[string]*openRequest{}, digest: xxhash.New(),
 	}
 	for i := range 12 {
-		w.nodes = append(w.nodes, scheduler.Endpoint{Node: fmt.Sprint("node-", i), Zone: i % 3, Shard: i % 9})
+		sim.nodes = append(sim.nodes, scheduler.Endpoint{Node: fmt.Sprint("node-", i), Zone: i % 3, Shard: i % 9})
 	}
-	w.step(scheduler.EndpointsChanged{Full: true, Endpoints: slices.Clone(w.nodes)})
-	return w
+	sim.step(scheduler.EndpointsChanged{Full: true, Endpoints: slices.Clone(sim.nodes)})
+	return sim
 }
 
 // advance lets some time pass and handles the events that are due then and a random one.
-func (w *digestSimulation) advance() {
-	w.now += scheduler.Micros(1 + w.rng.IntN(4000))
+func (sim *digestSimulation) advance() {
+	sim.now += scheduler.Micros(1 + sim.rng.IntN(4000))
 	var events []scheduler.Event
-	if w.timerAt > 0 && w.now >= w.timerAt {
-		w.timerAt = 0
+	if sim.timerAt > 0 && sim.now >= sim.timerAt {
+		sim.timerAt = 0
 		events = append(events, scheduler.TimerFired{})
 	}
-	events = append(events, w.endedAttempts()...)
-	events = append(events, w.endedHealthChecks()...)
-	events = append(events, w.randomEvent()...)
-	w.step(events...)
+	events = append(events, sim.endedAttempts()...)
+	events = append(events, sim.endedHealthChecks()...)
+	events = append(events, sim.randomEvent()...)
+	sim.step(events...)
 }
 
 // endedAttempts returns the outcomes that are due.
-func (w *digestSimulation) endedAttempts() (events []scheduler.Event) {
-	w.attempts = slices.DeleteFunc(w.attempts, func(a openAttempt) bool {
-		if a.endsAt > w.now {
+func (sim *digestSimulation) endedAttempts() (events []scheduler.Event) {
+	sim.attempts = slices.DeleteFunc(sim.attempts, func(a openAttempt) bool {
+		if a.endsAt > sim.now {
 			return false
 		}
-		_, owed := w.requests[a.id]
+		_, owed := sim.requests[a.id]
 		e := scheduler.AttemptEnded{
-			ID: a.id, Attempt: a.number, Result: a.result, Latency: w.now - a.sent,
-			Final: a.result == scheduler.OK || !owed, Alive: w.rng.IntN(2) == 0,
+			ID: a.id, Attempt: a.number, Result: a.result, Latency: sim.now - a.sent,
+			Final: a.result == scheduler.OK || !owed, Alive: sim.rng.IntN(2) == 0,
 		}
-		if w.rng.IntN(4) == 0 {
-			e.ServedElsewhere = float64(w.rng.IntN(20))
+		if sim.rng.IntN(4) == 0 {
+			e.ServedElsewhere = float64(sim.rng.IntN(20))
 		}
 		if e.Final {
-			delete(w.requests, a.id)
+			delete(sim.requests, a.id)
 		}
 		events = append(events, e)
 		return true
@@ -140,79 +140,80 @@
 	return events
 }
 
-func (w *digestSimulation) endedHealthChecks() (events []scheduler.Event) {
-	for _, node := range w.healthChecks {
-		events = append(events, scheduler.HealthChecked{Node: node, OK: w.rng.IntN(5) > 0, Queue: float64(w.rng.IntN(12) - 1)})
+func (sim *digestSimulation) endedHealthChecks() (events []scheduler.Event) {
+	for _, node := range sim.healthChecks {
+		events = append(events, scheduler.HealthChecked{Node: node, OK: sim.rng.IntN(5) > 0, Queue: float64(sim.rng.IntN(12) - 1)})
 	}
-	w.healthChecks = nil
+	sim.healthChecks = nil
 	return events
 }
 
 // randomEvent returns a random event, in most cases a request.
-func (w *digestSimulation) randomEvent() []scheduler.Event {
-	switch n := w.rng.IntN(1000); {
+func (sim *digestSimulation) randomEvent() []scheduler.Event {
+	switch n := sim.rng.IntN(1000); {
 	case n < 700:
-		return []scheduler.Event{w.newRequest()}
+		return []scheduler.Event{sim.newRequest()}
 	case n < 720:
-		return w.clientLeaves()
+		return sim.clientLeaves()
 	case n < 735:
-		return []scheduler.Event{w.nodeChange()}
+		return []scheduler.Event{sim.nodeChange()}
 	case n < 740:
-		return []scheduler.Event{scheduler.OpenLimitChanged{MaxOpen: 20 + w.rng.IntN(200)}}
+		return []scheduler.Event{scheduler.OpenLimitChanged{MaxOpen: 20 + sim.rng.IntN(200)}}
 	case n < 760:
-		return []scheduler.Event{scheduler.CapacityRequested{From: w.rng.IntN(4), Node: w.randomNode(), CapacityRequest: slowstart.CapacityRequest{
-			Units: float64(w.rng.IntN(9)), MinUnits: 1, Report: slowstart.LoadReport{Served: 1, Units: 5, Time: 1},
+		return []scheduler.Event{scheduler.CapacityRequested{From: sim.rng.IntN(4), Node: sim.randomNode(), CapacityRequest: slowstart.CapacityRequest{
+			Units: float64(sim.rng.IntN(9)), MinUnits: 1, Report: slowstart.LoadReport{Served: 1, Units: 5, Time: 1},
 		}}}
 	case n < 780:
 		return []scheduler.Event{scheduler.CapacityGranted{
-			From: w.rng.IntN(3), Node: w.randomNode(), Units: float64(w.rng.IntN(9)),
-			ValidUntil: w.now + scheduler.Micros(w.rng.IntN(100_000)),
+			From: sim.rng.IntN(3), Node: sim.randomNode(), Units: float64(sim.rng.IntN(9)),
+			ValidUntil: sim.now + scheduler.Micros(sim.rng.IntN(100_000)),
 		}}
 	case n < 784:
-		return []scheduler.Event{scheduler.NodeSilent{Node: w.randomNode(), ObservedAt: w.now}}
+		return []scheduler.Event{scheduler.NodeSilent{Node: sim.randomNode(), ObservedAt: sim.now}}
 	case n < 794:
-		w.exportLearned()
-		return []scheduler.Event{scheduler.StateSaved{Readable: true, Latest: w.rng.IntN(2) == 0}}
+		sim.exportLearned()
+		return []scheduler.Event{scheduler.StateSaved{Readable: true, Latest: sim.rng.IntN(2) == 0}}
 	}
 	return nil
 }
 
-func (w *digestSimulation) newRequest() scheduler.Event {
-	w.created++
+func (sim *digestSimulation) newRequest() scheduler.Event {
+	sim.created++
 	settings := digestSettings()
 	r := scheduler.Request{
-		ID: fmt.Sprint("request-", w.created), Class: w.rng.IntN(len(settings.Classes)),
-		Plan: w.rng.IntN(len(settings.Plans)), Units: float64(1 + w.rng.IntN(8)), Shard: w.rng.IntN(11) - 1, Fronts: 1 + w.rng.IntN(3),
-		TimeLeft: scheduler.Micros(100_000 + w.rng.IntN(2_000_000)),
+		ID: fmt.Sprint("request-", sim.created), Class: sim.rng.IntN(len(settings.Classes)),
+		Plan:  sim.rng.IntN(len(settings.Plans)),
+		Units: float64(1 + sim.rng.IntN(8)), Shard: sim.rng.IntN(11) - 1, Fronts: 1 + sim.rng.IntN(3),
+		TimeLeft: scheduler.Micros(100_000 + sim.rng.IntN(2_000_000)),
 	}
-	r.Volume = fmt.Sprint("volume-", r.Plan, "-", w.rng.IntN(6))
-	r.Key = fmt.Sprint("key-", w.rng.IntN(40))
-	w.requests[r.ID] = &openRequest{deadline: w.now + r.TimeLeft}
+	r.Volume = fmt.Sprint("volume-", r.Plan, "-", sim.rng.IntN(6))
+	r.Key = fmt.Sprint("key-", sim.rng.IntN(40))
+	sim.requests[r.ID] = &openRequest{deadline: sim.now + r.TimeLeft}
 	return r
 }
 
 // clientLeaves returns the event of a client that leaves.
-func (w *digestSimulation) clientLeaves() []scheduler.Event {
-	if len(w.requests) == 0 {
+func (sim *digestSimulation) clientLeaves() []scheduler.Event {
+	if len(sim.requests) == 0 {
 		return nil
 	}
-	ids := make([]string, 0, len(w.requests))
-	for id := range w.requests {
+	ids := make([]string, 0, len(sim.requests))
+	for id := range sim.requests {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
-	id := ids[w.rng.IntN(len(ids))]
-	delete(w.requests, id)
+	id := ids[sim.rng.IntN(len(ids))]
+	delete(sim.requests, id)
 	return []scheduler.Event{scheduler.ClientLeft{ID: id}}
 }
 
 // nodeChange drains, restarts, removes or re-adds a random node.
-func (w *digestSimulation) nodeChange() scheduler.Event {
-	n := &w.nodes[w.rng.IntN(len(w.nodes))]
+func (sim *digestSimulation) nodeChange() scheduler.Event {
+	n := &sim.nodes[sim.rng.IntN(len(sim.nodes))]
 	switch {
 	case n.State != scheduler.Running:
-		n.State, n.StartedAt = scheduler.Running, w.now
-	case w.rng.IntN(2) == 0:
+		n.State, n.StartedAt = scheduler.Running, sim.now
+	case sim.rng.IntN(2) == 0:
 		n.State = scheduler.Draining
 	default:
 		n.State = scheduler.Removed
@@ -220,24 +221,24 @@
 	return scheduler.EndpointsChanged{Endpoints: []scheduler.Endpoint{*n}}
 }
 
-func (w *digestSimulation) randomNode() string { return w.nodes[w.rng.IntN(len(w.nodes))].Node }
+func (sim *digestSimulation) randomNode() string { return sim.nodes[sim.rng.IntN(len(sim.nodes))].Node }
 
 // exportLearned exports the learned state, which also prepares the records of the limits.
-func (w *digestSimulation) exportLearned() {
+func (sim *digestSimulation) exportLearned() {
 	for from := 0; ; {
 		var l scheduler.Learned
-		l, from = w.scheduler.ExportLearned(w.now, from, 16)
-		fmt.Fprintf(w.digest, "%d %d %d;", len(l.Nodes), len(l.Volumes), len(l.Flows))
+		l, from = sim.scheduler.ExportLearned(sim.now, from, 16)
+		fmt.Fprintf(sim.digest, "%d %d %d;", len(l.Nodes), len(l.Volumes), len(l.Flows))
 		if from == 0 {
 			return
 		}
 	}
 }
 
-func (w *digestSimulation) step(events ...scheduler.Event) {
-	w.events += len(events)
-	for _, a := range w.scheduler.Step(w.now, events) {
-		w.actions++
-		w.perform(a)
+func (sim *digestSimulation) step(events ...scheduler.Event) {
+	sim.events += len(events)
+	for _, a := range sim.scheduler.Step(sim.now, events) {
+		sim.actions++
+		sim.perform(a)
 	}
 }
--- a/scheduler/digest_test.go
+++ b/scheduler/digest_test.go
@@ -14,15 +14,15 @@
 
 // TestActionsDigest checks that the same events lead to the same actions: refactoring must not change a decision.
 func TestActionsDigest(t *testing.T) {
-	w := newDigestSimulation(t)
-	for w.events < digestEvents {
-		w.advance()
+	sim := newDigestSimulation(t)
+	for sim.events < digestEvents {
+		sim.advance()
 	}
-	if got := hex.EncodeToString(w.digest.Sum(nil)); got != actionsDigest {
-		t.Errorf("digest %s over %d events and %d actions, want %s", got, w.events, w.actions, actionsDigest)
+	if got := hex.EncodeToString(sim.digest.Sum(nil)); got != actionsDigest {
+		t.Errorf("digest %s over %d events and %d actions, want %s", got, sim.events, sim.actions, actionsDigest)
 	}
 	for kind := range kindCount {
-		if w.kinds[kind] == 0 {
+		if sim.kinds[kind] == 0 {
 			t.Errorf("no action of kind %d occurred", kind)
 		}
 	}
--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -9,8 +9,8 @@
 	"otterturn/scheduler/slowstart"
 )
 
-// checkGuarantees checks that any valid sequence of events keeps the guarantees of the interface, and that no state remains in
-// the end.
+// checkGuarantees checks that any valid sequence of events keeps the guarantees of the interface, and that no state
+// remains in the end.
 func checkGuarantees(t *rapid.T) {
 	settings := testSettings()
 	settings.PeerMessages, settings.Fronts = rapid.Bool().Draw(t, "peer messages"), rapid.SampledFrom([]int{1, 2, 5}).Draw(t, "fronts")
@@ -22,78 +22,78 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &environment{t: t, s: s, now: 1_800_000_000_000_000, open: map[string]*clientRequest{}, drawnUnits: map[string]float64{}}
-	p.startedAt = p.now
+	env := &environment{t: t, s: s, now: 1_800_000_000_000_000, open: map[string]*clientRequest{}, drawnUnits: map[string]float64{}}
+	env.startedAt = env.now
 	list := func(t *rapid.T) {
-		p.endpoints = nil
+		env.endpoints = nil
 		for i := range rapid.IntRange(0, 5).Draw(t, "nodes") {
 			endpoint := Endpoint{Node: fmt.Sprint("n", i), Shard: i % 4, Zone: i % 2, State: rapid.SampledFrom([]NodeState{Running, Running, Draining}).Draw(t, "state")}
 			if rapid.IntRange(0, 3).Draw(t, "started") == 0 {
-				endpoint.StartedAt = p.now
+				endpoint.StartedAt = env.now
 			}
-			p.endpoints = append(p.endpoints, endpoint)
+			env.endpoints = append(env.endpoints, endpoint)
 		}
-		p.step(EndpointsChanged{Full: true, Endpoints: append([]Endpoint{}, p.endpoints...)})
+		env.step(EndpointsChanged{Full: true, Endpoints: append([]Endpoint{}, env.endpoints...)})
 	}
 	list(t)
 	t.Repeat(map[string]func(*rapid.T){
 		"endpoint list": list,
 		"request": func(t *rapid.T) {
-			p.created++
+			env.created++
 			r := &clientRequest{Request: Request{
-				ID: fmt.Sprint("r", p.created), Class: rapid.IntRange(0, len(settings.Classes)-1).Draw(t, "class"),
+				ID: fmt.Sprint("r", env.created), Class: rapid.IntRange(0, len(settings.Classes)-1).Draw(t, "class"),
 				Plan:  rapid.IntRange(0, len(settings.Plans)-1).Draw(t, "plan"),
 				Key:   rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key"),
 				Units: float64(rapid.IntRange(1, int(settings.MaxUnits)).Draw(t, "units")), Shard: rapid.IntRange(-1, 4).Draw(t, "shard"),
 				Fronts: 1, TimeLeft: Micros(rapid.IntRange(1000, 3_000_000).Draw(t, "time left")),
 			}}
 			r.Volume = fmt.Sprint("v", r.Plan, rapid.IntRange(0, 2).Draw(t, "volume"))
-			r.deadline = p.now + r.TimeLeft
-			p.open[r.ID], p.ids = r, append(p.ids, r.ID)
-			p.step(r.Request)
+			r.deadline = env.now + r.TimeLeft
+			env.open[r.ID], env.ids = r, append(env.ids, r.ID)
+			env.step(r.Request)
 		},
 		"attempt ends": func(t *rapid.T) {
-			if outstandingIDs := p.outstandingIDs(); len(outstandingIDs) > 0 {
-				p.endAttempt(rapid.SampledFrom(outstandingIDs).Draw(t, "which"), Result(rapid.IntRange(0, 7).Draw(t, "result")))
+			if outstandingIDs := env.outstandingIDs(); len(outstandingIDs) > 0 {
+				env.endAttempt(rapid.SampledFrom(outstandingIDs).Draw(t, "which"), Result(rapid.IntRange(0, 7).Draw(t, "result")))
 			}
 		},
 		"client leaves": func(t *rapid.T) {
-			if len(p.ids) > 0 {
-				id := rapid.SampledFrom(p.ids).Draw(t, "which")
-				p.remove(id)
-				p.step(ClientLeft{ID: id})
+			if len(env.ids) > 0 {
+				id := rapid.SampledFrom(env.ids).Draw(t, "which")
+				env.remove(id)
+				env.step(ClientLeft{ID: id})
 			}
 		},
 		"health check ends": func(t *rapid.T) {
-			if len(p.healthChecks) > 0 {
-				node := p.healthChecks[0]
-				p.healthChecks = p.healthChecks[1:]
-				p.step(HealthChecked{Node: node, OK: rapid.Bool().Draw(t, "ok"), Queue: float64(rapid.IntRange(-1, 9).Draw(t, "queue"))})
+			if len(env.healthChecks) > 0 {
+				node := env.healthChecks[0]
+				env.healthChecks = env.healthChecks[1:]
+				env.step(HealthChecked{Node: node, OK: rapid.Bool().Draw(t, "ok"), Queue: float64(rapid.IntRange(-1, 9).Draw(t, "queue"))})
 			}
 		},
 		"capacity requested": func(t *rapid.T) {
-			p.step(CapacityRequested{
+			env.step(CapacityRequested{
 				From: rapid.IntRange(-1, 9).Draw(t, "from"), Node: fmt.Sprint("n", rapid.IntRange(0, 6).Draw(t, "node")),
 				CapacityRequest: slowstart.CapacityRequest{Units: float64(rapid.IntRange(0, 9).Draw(t, "units")), MinUnits: 1, Report: slowstart.LoadReport{Units: 5, Time: 1}},
 			})
 		},
 		"capacity granted": func(t *rapid.T) {
-			p.step(CapacityGranted{
+			env.step(CapacityGranted{
 				From: rapid.IntRange(0, 4).Draw(t, "from"), Node: fmt.Sprint("n", rapid.IntRange(0, 6).Draw(t, "node")),
-				Units: rapid.Float64Range(0, 9).Draw(t, "units"), ValidUntil: p.now + Micros(rapid.IntRange(-1000, 200_000).Draw(t, "validity")),
+				Units: rapid.Float64Range(0, 9).Draw(t, "units"), ValidUntil: env.now + Micros(rapid.IntRange(-1000, 200_000).Draw(t, "validity")),
 			})
 		},
-		"time passes": func(t *rapid.T) { p.advance(Micros(rapid.IntRange(1, 700_000).Draw(t, "wait"))) },
+		"time passes": func(t *rapid.T) { env.advance(Micros(rapid.IntRange(1, 700_000).Draw(t, "wait"))) },
 	})
-	for _, id := range p.outstandingIDs() {
-		p.endAttempt(id, NotStarted)
+	for _, id := range env.outstandingIDs() {
+		env.endAttempt(id, NotStarted)
 	}
-	p.advance(4_000_000)
-	if len(p.open) > 0 {
-		t.Fatalf("%d requests have no final answer", len(p.open))
+	env.advance(4_000_000)
+	if len(env.open) > 0 {
+		t.Fatalf("%d requests have no final answer", len(env.open))
 	}
 	for range 40 {
-		p.advance(2_000_000)
+		env.advance(2_000_000)
 	}
 	if count := len(s.requests) + s.volumes.Len() + s.flows.Len() + s.rejected.Len() + s.busyShards.Len() + len(s.allocators); count > 0 {
 		t.Fatalf("%d requests, %d volumes, %d flows, %d rejected requests, %d shards with queued requests and %d allocators remain", len(s.requests), s.volumes.Len(),
--- a/scheduler/learned.go
+++ b/scheduler/learned.go
@@ -30,7 +30,7 @@
 	return part, end
 }
 
-// exportLearned returns a copy of the learned state of a node.
+// learned returns a copy of the learned state of a node.
 func (n *node) learned() LearnedNode {
 	out := LearnedNode{n.Endpoint, n.NodeStats}
 	out.Curve = slices.Clone(out.Curve)
--- a/scheduler/learned_test.go
+++ b/scheduler/learned_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// newHarnessWithLearned returns a front that starts with the state that another one learned and with the given endpoint list.
+// newHarnessWithLearned returns a front that starts with the state that another one learned and with the given endpoint
+// list.
 func newHarnessWithLearned(t *testing.T, l Learned, list ...Endpoint) *harness {
 	h := newHarness(t, testSettings())
 	h.s.now, h.now = l.At, l.At
--- a/scheduler/silence_test.go
+++ b/scheduler/silence_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// silenceReport returns a report of other fronts on a node without a known start.
+// silenceReport returns a report of other fronts that a node without a known start is silent.
 func silenceReport(node string, at Micros) NodeSilent { return NodeSilent{Node: node, ObservedAt: at} }
 
 // checkedNodes returns the nodes of which a health check is started.
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -49,8 +49,8 @@
 	return units
 }
 
-// maxGrantedUnits is the maximum that two fronts may be granted within an overload span: 8 units less a third, multiplied by the
-// guaranteed growth of the capacity within 6 s.
+// maxGrantedUnits is the maximum that two fronts may be granted within an overload span: 8 units less a third, multiplied
+// by the guaranteed growth of the capacity within 6 s.
 const maxGrantedUnits = 8.0 * 2 / 3 * (1 + 3*0.6)
 
 func newColdHarness(t *testing.T) *harness { return newColdHarnessWith(t, testSettings()) }
