--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -31,7 +31,7 @@
 	Endpoints []Endpoint `cbor:"List"`
 }
 
-// Request is a client's request. It gets exactly one final answer.
+// Request is a client's request. One final answer is owed for it, unless its client leaves.
 type Request struct {
 	ID       string
 	Class    int // index into Settings.Classes
