--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -9,102 +9,104 @@
 	"otterturn/scheduler/slowstart"
 )
 
-// any legal stream of events keeps the promises, and leaves nothing behind once all is over.
-func promises(t *rapid.T) {
-	set := testSettings()
-	set.PeerMessages, set.Fronts = rapid.Bool().Draw(t, "peers"), rapid.SampledFrom([]int{1, 2, 5}).Draw(t, "hosts")
-	set.CancelAttempts, set.MaxOpen = rapid.Bool().Draw(t, "cancel"), rapid.SampledFrom([]int{0, 8, 40}).Draw(t, "most open")
-	if rapid.Bool().Draw(t, "allowance") {
-		set.RetryBudgetSpan, set.RetryBudgetMin, set.RetryBudgetShare = 5_000_000, 2, 0.2
+// checkGuarantees checks that any valid sequence of events keeps the guarantees of the interface, and that no state
+// remains in the end.
+func checkGuarantees(t *rapid.T) {
+	settings := testSettings()
+	settings.PeerMessages, settings.Fronts = rapid.Bool().Draw(t, "peer messages"), rapid.SampledFrom([]int{1, 2, 5}).Draw(t, "fronts")
+	settings.CancelAttempts, settings.MaxOpen = rapid.Bool().Draw(t, "cancel"), rapid.SampledFrom([]int{0, 8, 40}).Draw(t, "max open")
+	if rapid.Bool().Draw(t, "retry budget") {
+		settings.RetryBudgetSpan, settings.RetryBudgetMin, settings.RetryBudgetShare = 5_000_000, 2, 0.2
 	}
-	s, err := New(set, rapid.Int64().Draw(t, "seed"))
+	s, err := New(settings, rapid.Int64().Draw(t, "seed"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{t: t, s: s, now: 1_800_000_000_000_000, open: map[string]*asked{}, spent: map[string]float64{}}
-	p.began = p.now
+	env := &environment{t: t, s: s, now: 1_800_000_000_000_000, open: map[string]*clientRequest{}, drawnUnits: map[string]float64{}}
+	env.startedAt = env.now
 	list := func(t *rapid.T) {
-		p.known = nil
+		env.endpoints = nil
 		for i := range rapid.IntRange(0, 5).Draw(t, "nodes") {
-			l := Endpoint{Node: fmt.Sprint("n", i), Shard: i % 4, Zone: i % 2, State: rapid.SampledFrom([]NodeState{Running, Running, Draining}).Draw(t, "state")}
-			if rapid.IntRange(0, 3).Draw(t, "starts") == 0 {
-				l.StartedAt = p.now
+			endpoint := Endpoint{Node: fmt.Sprint("n", i), Shard: i % 4, Zone: i % 2, State: rapid.SampledFrom([]NodeState{Running, Running, Draining}).Draw(t, "state")}
+			if rapid.IntRange(0, 3).Draw(t, "started") == 0 {
+				endpoint.StartedAt = env.now
 			}
-			p.known = append(p.known, l)
+			env.endpoints = append(env.endpoints, endpoint)
 		}
-		p.step(EndpointsChanged{Full: true, Endpoints: append([]Endpoint{}, p.known...)})
+		env.step(EndpointsChanged{Full: true, Endpoints: append([]Endpoint{}, env.endpoints...)})
 	}
 	list(t)
 	t.Repeat(map[string]func(*rapid.T){
-		"list": list,
-		"ask": func(t *rapid.T) {
-			p.sent++
-			r := &asked{Request: Request{
-				ID: fmt.Sprint("r", p.sent), Class: rapid.IntRange(0, len(set.Classes)-1).Draw(t, "class"),
-				Plan: rapid.IntRange(0, len(set.Plans)-1).Draw(t, "plan"), Key: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key"),
-				Units: float64(rapid.IntRange(1, int(set.MaxUnits)).Draw(t, "units")), Shard: rapid.IntRange(-1, 4).Draw(t, "shard"),
-				Fronts: 1, TimeLeft: Micros(rapid.IntRange(1000, 3_000_000).Draw(t, "left")),
+		"endpoint list": list,
+		"request": func(t *rapid.T) {
+			env.created++
+			r := &clientRequest{Request: Request{
+				ID: fmt.Sprint("r", env.created), Class: rapid.IntRange(0, len(settings.Classes)-1).Draw(t, "class"),
+				Plan:  rapid.IntRange(0, len(settings.Plans)-1).Draw(t, "plan"),
+				Key:   rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key"),
+				Units: float64(rapid.IntRange(1, int(settings.MaxUnits)).Draw(t, "units")), Shard: rapid.IntRange(-1, 4).Draw(t, "shard"),
+				Fronts: 1, TimeLeft: Micros(rapid.IntRange(1000, 3_000_000).Draw(t, "time left")),
 			}}
 			r.Volume = fmt.Sprint("v", r.Plan, rapid.IntRange(0, 2).Draw(t, "volume"))
-			r.deadline = p.now + r.TimeLeft
-			p.open[r.ID], p.ids = r, append(p.ids, r.ID)
-			p.step(r.Request)
+			r.deadline = env.now + r.TimeLeft
+			env.open[r.ID], env.ids = r, append(env.ids, r.ID)
+			env.step(r.Request)
 		},
-		"answer": func(t *rapid.T) {
-			if outs := p.outs(); len(outs) > 0 {
-				p.answer(rapid.SampledFrom(outs).Draw(t, "which"), Result(rapid.IntRange(0, 7).Draw(t, "result")))
+		"attempt ends": func(t *rapid.T) {
+			if outstandingIDs := env.outstandingIDs(); len(outstandingIDs) > 0 {
+				env.endAttempt(rapid.SampledFrom(outstandingIDs).Draw(t, "which"), Result(rapid.IntRange(0, 7).Draw(t, "result")))
 			}
 		},
-		"leave": func(t *rapid.T) {
-			if len(p.ids) > 0 {
-				id := rapid.SampledFrom(p.ids).Draw(t, "which")
-				p.forget(id)
-				p.step(ClientLeft{ID: id})
+		"client leaves": func(t *rapid.T) {
+			if len(env.ids) > 0 {
+				id := rapid.SampledFrom(env.ids).Draw(t, "which")
+				env.remove(id)
+				env.step(ClientLeft{ID: id})
 			}
 		},
-		"probed": func(t *rapid.T) {
-			if len(p.probe) > 0 {
-				node := p.probe[0]
-				p.probe = p.probe[1:]
-				p.step(HealthChecked{Node: node, OK: rapid.Bool().Draw(t, "alive"), Queue: float64(rapid.IntRange(-1, 9).Draw(t, "queue"))})
+		"health check ends": func(t *rapid.T) {
+			if len(env.healthChecks) > 0 {
+				node := env.healthChecks[0]
+				env.healthChecks = env.healthChecks[1:]
+				env.step(HealthChecked{Node: node, OK: rapid.Bool().Draw(t, "ok"), Queue: float64(rapid.IntRange(-1, 9).Draw(t, "queue"))})
 			}
 		},
-		"asked": func(t *rapid.T) {
-			p.step(CapacityRequested{
+		"capacity requested": func(t *rapid.T) {
+			env.step(CapacityRequested{
 				From: rapid.IntRange(-1, 9).Draw(t, "from"), Node: fmt.Sprint("n", rapid.IntRange(0, 6).Draw(t, "node")),
 				CapacityRequest: slowstart.CapacityRequest{Units: float64(rapid.IntRange(0, 9).Draw(t, "units")), MinUnits: 1, Report: slowstart.LoadReport{Units: 5, Time: 1}},
 			})
 		},
-		"granted": func(t *rapid.T) {
-			p.step(CapacityGranted{
+		"capacity granted": func(t *rapid.T) {
+			env.step(CapacityGranted{
 				From: rapid.IntRange(0, 4).Draw(t, "from"), Node: fmt.Sprint("n", rapid.IntRange(0, 6).Draw(t, "node")),
-				Units: rapid.Float64Range(0, 9).Draw(t, "units"), ValidUntil: p.now + Micros(rapid.IntRange(-1000, 200_000).Draw(t, "lasts")),
+				Units: rapid.Float64Range(0, 9).Draw(t, "units"), ValidUntil: env.now + Micros(rapid.IntRange(-1000, 200_000).Draw(t, "validity")),
 			})
 		},
-		"wait": func(t *rapid.T) { p.wait(Micros(rapid.IntRange(1, 700_000).Draw(t, "wait"))) },
+		"time passes": func(t *rapid.T) { env.advance(Micros(rapid.IntRange(1, 700_000).Draw(t, "wait"))) },
 	})
-	for _, id := range p.outs() {
-		p.answer(id, NotStarted)
+	for _, id := range env.outstandingIDs() {
+		env.endAttempt(id, NotStarted)
 	}
-	p.wait(4_000_000)
-	if len(p.open) > 0 {
-		t.Fatalf("%d requests have no answer", len(p.open))
+	env.advance(4_000_000)
+	if len(env.open) > 0 {
+		t.Fatalf("%d requests have no final answer", len(env.open))
 	}
 	for range 40 {
-		p.wait(2_000_000)
+		env.advance(2_000_000)
 	}
-	if left := len(s.requests) + s.volumes.Len() + s.flows.Len() + s.rejected.Len() + s.busyShards.Len() + len(s.allocators); left > 0 {
-		t.Fatalf("%d requests, %d volumes, %d flows, %d refused, %d shards with something held and %d allocators stay", len(s.requests), s.volumes.Len(),
+	if count := len(s.requests) + s.volumes.Len() + s.flows.Len() + s.rejected.Len() + s.busyShards.Len() + len(s.allocators); count > 0 {
+		t.Fatalf("%d requests, %d volumes, %d flows, %d rejected requests, %d shards with queued requests and %d allocators remain", len(s.requests), s.volumes.Len(),
 			s.flows.Len(), s.rejected.Len(), s.busyShards.Len(), len(s.allocators))
 	}
 	for _, n := range s.nodes {
 		if len(n.pending) > 0 || n.outstandingUnits != 0 {
-			t.Fatalf("%s: %d requests and %v units stay out", n.Node, len(n.pending), n.outstandingUnits)
+			t.Fatalf("%s: %d requests and %v units remain outstanding", n.Node, len(n.pending), n.outstandingUnits)
 		}
 	}
 }
 
-func TestStepKeepsItsPromises(t *testing.T) { rapid.Check(t, promises) }
+func TestStepKeepsGuarantees(t *testing.T) { rapid.Check(t, checkGuarantees) }
 
-// 'go test -fuzz FuzzStep ./rules' looks for streams that break a promise.
-func FuzzStep(f *testing.F) { f.Fuzz(rapid.MakeFuzz(promises)) }
+// FuzzStep searches for sequences of events that violate a guarantee: go test -fuzz FuzzStep ./scheduler
+func FuzzStep(f *testing.F) { f.Fuzz(rapid.MakeFuzz(checkGuarantees)) }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -11,12 +11,12 @@
 
 func TestDeterminism(t *testing.T) {
 	script := func() (all []Action) {
-		h := newHost(t, testSettings())
+		h := newHarness(t, testSettings())
 		for i := range 300 {
 			id := "r" + string(rune('A'+i/64)) + string(rune('0'+i%64))
 			a := h.after(3*ms, req(id, func(r *Request) { r.Shard = i%3 - 1; r.Plan = i % 3; r.Volume = id[:2] }))
 			all = append(all, a...)
-			for _, x := range sends(a) {
+			for _, x := range startedIDs(a) {
 				if i%7 != 0 {
 					all = append(all, h.after(ms, h.end(x, OK, 20*ms))...)
 				}
@@ -25,15 +25,15 @@
 		return all
 	}
 	if a, b := script(), script(); !reflect.DeepEqual(a, b) {
-		t.Error("the same events led to other actions")
+		t.Error("the same events led to different actions")
 	}
 }
 
-func TestNothingPilesUp(t *testing.T) {
+func TestFinishedRequestsAreRemoved(t *testing.T) {
 	for _, span := range []Micros{0, 1000 * ms} {
-		set := testSettings()
-		set.RetryBudgetSpan = span
-		h := newHost(t, set)
+		settings := testSettings()
+		settings.RetryBudgetSpan = span
+		h := newHarness(t, settings)
 		for i := range 500 {
 			id := fmt.Sprintf("r%d", i)
 			h.step(req(id, func(r *Request) { r.Class, r.Key = 3, id }))
@@ -41,25 +41,25 @@
 			o.Final = true
 			h.after(10*ms, o)
 		}
-		if left := len(h.s.requests); left > 0 {
-			t.Errorf("%d requests left", left)
+		if remaining := len(h.s.requests); remaining > 0 {
+			t.Errorf("%d requests remain", remaining)
 		}
 	}
 }
 
-func TestOddEvents(t *testing.T) {
-	h := newHost(t, testSettings())
+func TestUnknownIDsAndInvalidRequests(t *testing.T) {
+	h := newHarness(t, testSettings())
 	h.step()
 	h.step(AttemptEnded{ID: "?"}, ClientLeft{ID: "?"}, HealthChecked{Node: "?"}, TimerFired{})
-	refused, _ := finals(h.step(req("x", func(r *Request) { r.Class = 9 })))
-	if !reflect.DeepEqual(refused, []string{"x"}) {
-		t.Errorf("refused %v", refused)
+	rejected, _ := finalAnswers(h.step(req("x", func(r *Request) { r.Class = 9 })))
+	if !reflect.DeepEqual(rejected, []string{"x"}) {
+		t.Errorf("rejected %v", rejected)
 	}
-	h.wantSends(h.step(req("y", func(r *Request) { r.Units, r.Fronts = 0, 0 })), "y")
+	h.wantStarted(h.step(req("y", func(r *Request) { r.Units, r.Fronts = 0, 0 })), "y")
 	h.step(h.end("y", OK, ms), h.end("y", OK, ms))
 }
 
-func TestUnusableSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	cases := map[string]func(*Settings){
 		"Tick":             func(s *Settings) { s.Tick = 0 },
 		"MeanUnits":        func(s *Settings) { s.MeanUnits = 0 },
@@ -70,15 +70,15 @@
 		"Burst":            func(s *Settings) { s.Plans[3].Burst = 0 },
 	}
 	for field, edit := range cases {
-		set := testSettings()
-		edit(&set)
-		if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v", field, err)
+		settings := testSettings()
+		edit(&settings)
+		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), field) {
+			t.Errorf("%s: error %v, want one that names the field", field, err)
 		}
 	}
 }
 
-// The operators run no longer module, so its files are named and counted where they are built.
+// The operators accept no decision module of more than 1,000 lines. Its files are those that the deploy file names.
 func TestSizeOfTheModule(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -97,20 +97,20 @@
 				lines++
 			}
 			if n := utf8.RuneCountInString(strings.ReplaceAll(l, "\t", "    ")); n > 110 {
-				t.Errorf("%s, line %d has %d characters", name, i+1, n)
+				t.Errorf("%s:%d has %d characters, want at most 110", name, i+1, n)
 			}
 		}
 	}
 	if lines > 1000 {
-		t.Errorf("%d lines that are not blank", lines)
+		t.Errorf("the module has %d non-blank lines, want at most 1000", lines)
 	}
 }
 
-// Ever new volumes were all kept for good. What is idle goes, but a limit's store not before it is full
-// again: its volume would come back with more than is left.
-func TestIdleVolumesAreForgotten(t *testing.T) {
-	h := newHost(t, testSettings())
-	h.idle(5 * second) // the stores of the limit, 10 units a second up to 20, are full
+// All volumes used to be kept forever. Idle ones are removed, but one with a limit only when its bucket is full again: it
+// would come back with a higher level than it had.
+func TestIdleVolumesAreRemoved(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.advance(5 * second) // the buckets of the limit, 10 units per second up to 20, are full
 	for i := range 100 {
 		id := fmt.Sprint(i)
 		h.step(req(id, func(r *Request) { r.Plan = i % 3 }))
@@ -121,12 +121,12 @@
 		h.after(ms, req(id, limited))
 		h.step(h.end(id, OK, ms))
 	}
-	h.wantSends(h.idle(slowInterval))
+	h.wantStarted(h.advance(slowInterval))
 	if v, has := h.s.volumes.Get("limited"); !has || v.bucket.Level >= 20 {
-		t.Errorf("the store that is not full: %+v", v)
+		t.Errorf("volume whose bucket is not full: %+v", v)
 	}
-	h.idle(40 * second)
+	h.advance(40 * second)
 	if n, flows := h.s.volumes.Len(), h.s.flows.Len(); n+flows > 0 {
-		t.Errorf("%d volumes and %d flows stay", n, flows)
+		t.Errorf("%d volumes and %d flows remain", n, flows)
 	}
 }
