--- a/scheduler/curve/curve.go
+++ b/scheduler/curve/curve.go
@@ -1,28 +1,28 @@
-// Package curve estimates how a node's throughput goes with its latency, as the slow loop of SlowFast CoDel
-// needs it. It reads no clock.
+// Package curve estimates how a node's throughput depends on its latency, for the slow control loop of SlowFast CoDel.
+// It reads no clock.
 package curve
 
 import "math"
 
-// Point is what a node showed over one slow interval.
+// Point is the measurement of a node over one slow interval.
 type Point struct {
-	Throughput float64 // units a second
+	Throughput float64 // units per second
 	Latency    float64 // mean, in microseconds
-	Low        float64 // the lowest one
+	Low        float64 // minimum, in microseconds
 }
 
-// Curve is what a node showed of late, the oldest first.
+// Curve holds the latest points of a node, oldest first.
 type Curve []Point
 
-// Add takes in a point, and drops the oldest beyond so many.
+// Add appends a point and drops the oldest ones beyond a maximum number.
 func (c Curve) Add(p Point, most int) Curve {
 	c = append(c, p)
 	return c[max(0, len(c)-most):]
 }
 
-// LatencyAtSlope fits throughput = a + b x ln(latency) and returns the latency at which its slope, relative to the highest
-// throughput and the lowest latency, comes down to the one given, and the lowest latency. A curve that tells no
-// slope meets it at 0. It must not be empty.
+// LatencyAtSlope fits throughput = a + b x ln(latency) to the points. It returns the latency at which the slope of the fit,
+// relative to the highest throughput and the lowest latency, falls to the given slope, and the lowest latency. The first
+// result is 0 for points that determine no slope, such as a single one. The curve must not be empty.
 func (c Curve) LatencyAtSlope(slope float64) (latency, low float64) {
 	var n, x, y, xx, xy, top float64
 	low = c[0].Low
--- a/scheduler/expirymap/expirymap.go
+++ b/scheduler/expirymap/expirymap.go
@@ -1,13 +1,13 @@
-// Package expirymap implements a table whose entries expire by a condition of the caller's. They are removed by an
-// incremental sweep, a few in each call, so that no call takes long and the table stays in proportion to what is in use.
-// It reads no clock.
+// Package expirymap implements a map whose entries expire by a condition that the caller supplies. An incremental sweep
+// removes a few expired entries per call, so that no call takes long and the size of the map stays in proportion to the
+// number of live entries. It reads no clock.
 package expirymap
 
-// Map maps keys to values that may expire. New returns an empty one.
+// Map maps keys to values that may expire. It is created with New.
 type Map[K comparable, V any] struct {
 	byKey   map[K]*entry[K, V]
 	entries []*entry[K, V]
-	next    int // index at which the next sweep goes on
+	next    int // index at which the next sweep continues
 }
 
 type entry[K comparable, V any] struct {
@@ -16,16 +16,16 @@
 	index int
 }
 
-// New returns an empty table.
+// New returns an empty map.
 func New[K comparable, V any]() Map[K, V] { return Map[K, V]{byKey: map[K]*entry[K, V]{}} }
 
-// Len returns the number of entries, expired ones that were not swept yet included.
+// Len returns the number of entries, including expired ones that have not been removed yet.
 func (t *Map[K, V]) Len() int { return len(t.entries) }
 
-// At returns the value at an index from 0 to Len()-1. Indexes change when an entry is removed.
+// At returns the value at an index from 0 to Len()-1. Indices change when an entry is removed.
 func (t *Map[K, V]) At(index int) V { return t.entries[index].value }
 
-// GetOrCreate returns the value of a key. Where there is none, or it has expired, create makes a new one.
+// GetOrCreate returns the value of a key. If there is none, or it has expired, it stores and returns the result of create.
 func (t *Map[K, V]) GetOrCreate(key K, expired func(V) bool, create func() V) V {
 	e := t.byKey[key]
 	if e != nil && expired(e.value) {
@@ -57,14 +57,14 @@
 	t.byKey[key], t.entries = e, append(t.entries, e)
 }
 
-// Sweep checks the next entries, at most limit of them, and removes those that have expired.
+// Sweep checks up to limit entries, beginning where the last call ended, and removes those that have expired.
 func (t *Map[K, V]) Sweep(limit int, expired func(V) bool) {
 	for range min(limit, len(t.entries)) {
 		if t.next >= len(t.entries) {
 			t.next = 0
 		}
 		if len(t.entries) > 0 && expired(t.entries[t.next].value) {
-			t.remove(t.entries[t.next]) // the last entry takes its index, and is checked next
+			t.remove(t.entries[t.next]) // moves the last entry to this index, so it is checked next
 		} else {
 			t.next++
 		}
--- a/scheduler/interval/interval.go
+++ b/scheduler/interval/interval.go
@@ -1,19 +1,19 @@
-// Package interval implements recurring intervals of one length for many members. Those of idle members are renewed
-// without touching any of them: idle members whose intervals end at the same step form a group, which goes on as one.
+// Package interval implements recurring intervals of one length for many members. Idle members whose intervals end at the
+// same step form a group with a single interval, so the intervals of idle members are renewed without visiting the members.
 // It reads no clock.
 //
-// Groups are merged by union by rank with path halving, so a member finds its group in a number of links that is at most
+// Groups are merged by union by rank with path halving, so the path from a member to its group has at most as many links as
 // the logarithm of the number of groups merged (Tarjan, Efficiency of a good but not linear set union algorithm, 1975).
 package interval
 
-// Group is the interval of some idle members. Once merged it stands for the group that it was merged into.
+// Group is the shared interval of some idle members. A group that was merged into another one represents that one.
 type Group[T ~int64] struct {
 	end    T
 	rank   int
 	parent *Group[T]
 }
 
-// End returns when the current interval of a group ends.
+// End returns the time at which the current interval of a group ends.
 func (g *Group[T]) End() T { return g.root().end }
 
 func (g *Group[T]) root() *Group[T] {
@@ -30,13 +30,14 @@
 type Schedule[T ~int64] struct {
 	length  T
 	queue   []*Group[T] // earliest end first
-	current *Group[T]   // the one whose interval began at the last step, nil for none
+	current *Group[T]   // group whose interval began at the last step, or nil
 }
 
-// NewSchedule returns a schedule of intervals of a length.
+// NewSchedule returns a schedule for intervals of the given length.
 func NewSchedule[T ~int64](length T) Schedule[T] { return Schedule[T]{length: length} }
 
-// Advance merges the groups whose intervals have ended by now and begins their next one. Times must not go back.
+// Advance merges the groups whose intervals have ended by now and begins their next interval. Times must not decrease from
+// call to call.
 func (s *Schedule[T]) Advance(now T) {
 	ended := 0
 	s.current = nil
@@ -59,7 +60,7 @@
 	}
 }
 
-// Begin returns the group of members whose interval begins now, which is the time of the last Advance.
+// Begin returns the group of the members whose interval begins now. now must be the time of the last Advance.
 func (s *Schedule[T]) Begin(now T) *Group[T] {
 	if s.current == nil {
 		s.current = &Group[T]{end: now + s.length}
@@ -68,14 +69,14 @@
 	return s.current
 }
 
-// Interval is the interval of one member. That of an idle member belongs to a group; that of a member with something to
+// Interval is the interval of one member. The interval of an idle member belongs to a group; that of a member with work to
 // do at its end is separate.
 type Interval[T ~int64] struct {
 	group *Group[T]
 	end   T
 }
 
-// Separate takes an interval out of its group. It ends when it would have.
+// Separate takes an interval out of its group without changing its end.
 func (i *Interval[T]) Separate() {
 	if i.group != nil {
 		i.end, i.group = i.group.End(), nil
@@ -88,5 +89,5 @@
 // Ended reports whether an interval is separate and has ended.
 func (i *Interval[T]) Ended(now T) bool { return i.group == nil && now >= i.end }
 
-// Restart begins the member's next interval, as an idle one.
+// Restart begins the member's next interval as that of an idle member.
 func (i *Interval[T]) Restart(s *Schedule[T], now T) { i.group, i.end = s.Begin(now), 0 }
--- a/scheduler/interval/interval_test.go
+++ b/scheduler/interval/interval_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Every member's interval ends where it would if each were looked at in every step.
+// Compares grouped intervals with a model that checks every member's interval in every step.
 func TestGroupedIntervalsEndAsSeparateOnes(t *testing.T) {
 	const length, members = 200, 300
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -18,7 +18,7 @@
 		if rng.IntN(100) == 0 {
 			now += 500 // nothing happens for a while
 		}
-		out := map[int]bool{} // they had something to do
+		out := map[int]bool{} // members with work to do in this step
 		for range rng.IntN(4) {
 			i := rng.IntN(members)
 			if groups[i] != nil && groups[i].End() != ends[i] {
@@ -46,6 +46,6 @@
 		}
 	}
 	if most > length {
-		t.Errorf("%d groups at a time", most)
+		t.Errorf("%d groups at the same time, want at most 200", most)
 	}
 }
--- a/scheduler/orderedset/orderedset.go
+++ b/scheduler/orderedset/orderedset.go
@@ -1,5 +1,5 @@
-// Package orderedset implements a set of values that are ordered by an integer key. It is meant for sets that stay small,
-// such as those members of a large collection that have work to do.
+// Package orderedset implements a set of values that are ordered by an integer key. It is meant for small sets, such as the
+// members of a large collection that have work to do.
 package orderedset
 
 import (
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Set is an ordered set, smallest key first, kept in a sorted slice: to add or remove a value takes O(log n) comparisons
-// and a move of the values behind it. The zero value is an empty set.
+// Set is a set of values in ascending order of their keys, kept in a sorted slice: adding or removing a value takes O(log n)
+// comparisons and moves the values after it. The zero value is an empty set.
 type Set[V any] struct {
 	entries []entry[V]
 }
@@ -22,14 +22,14 @@
 	return slices.BinarySearchFunc(s.entries, key, func(e entry[V], key int) int { return cmp.Compare(e.key, key) })
 }
 
-// Add adds a value, unless the set has one of that key.
+// Add adds a value, unless the set already has one with that key.
 func (s *Set[V]) Add(key int, value V) {
 	if i, found := s.find(key); !found {
 		s.entries = slices.Insert(s.entries, i, entry[V]{key, value})
 	}
 }
 
-// Remove removes the value of a key, if there is one.
+// Remove removes the value with the given key, if there is one.
 func (s *Set[V]) Remove(key int) {
 	if i, found := s.find(key); found {
 		s.entries = slices.Delete(s.entries, i, i+1)
@@ -40,7 +40,7 @@
 func (s *Set[V]) Len() int { return len(s.entries) }
 
 // All iterates over the values in the order of their keys. The set may be changed during the iteration: no value is
-// visited twice, and one that is added with a larger key than the current one's is visited.
+// visited twice, and a value added with a larger key than that of the current one is visited.
 func (s *Set[V]) All(yield func(V) bool) {
 	for i := 0; i < len(s.entries); {
 		e := s.entries[i]
--- a/scheduler/orderedset/orderedset_test.go
+++ b/scheduler/orderedset/orderedset_test.go
@@ -10,7 +10,7 @@
 	for i, name := range []string{"c", "a", "d", "b"} {
 		s.Add([]int{30, 10, 40, 20}[i], name)
 	}
-	s.Add(20, "not again")
+	s.Add(20, "duplicate key")
 	var seen []string
 	for name := range s.All {
 		seen = append(seen, name)
@@ -18,13 +18,13 @@
 		case "a":
 			s.Remove(10)
 			s.Remove(20)
-			s.Add(5, "passed")
-			s.Add(35, "added behind")
+			s.Add(5, "added before")
+			s.Add(35, "added after")
 		case "c":
 			s.Remove(30)
 		}
 	}
-	if want := []string{"a", "c", "added behind", "d"}; !slices.Equal(seen, want) || s.Len() != 3 {
-		t.Errorf("%v, want %v; %d are left", seen, want, s.Len())
+	if want := []string{"a", "c", "added after", "d"}; !slices.Equal(seen, want) || s.Len() != 3 {
+		t.Errorf("visited %v, want %v; %d values remain, want 3", seen, want, s.Len())
 	}
 }
--- a/scheduler/quantile/quantile.go
+++ b/scheduler/quantile/quantile.go
@@ -1,8 +1,9 @@
-// Package quantile follows a low quantile of a stream of samples in one number.
+// Package quantile estimates a low quantile of a stream of samples; the estimate is its only state.
 package quantile
 
-// Low moves an estimate, 0 for none yet, towards a sample: down by a quarter of the way, up by a 32nd of it and
-// never by more than a 32nd of itself, so that few samples lie below it and a slow spell hardly lifts it.
+// Low returns an estimate, 0 for none yet, moved towards a sample: down by a quarter of the difference, or up by a 32nd of
+// the difference and at most by a 32nd of the estimate. So few samples are below the estimate, and a period of high samples
+// hardly raises it.
 func Low(estimate, sample float64) float64 {
 	switch {
 	case estimate == 0:
--- a/scheduler/quantile/quantile_test.go
+++ b/scheduler/quantile/quantile_test.go
@@ -15,9 +15,9 @@
 		}
 	}
 	if share := float64(below) / n; share < 0.02 || share > 0.4 {
-		t.Errorf("a share of %.2f lies below the estimate", share)
+		t.Errorf("a share of %.2f of the samples is below the estimate, want 0.02 to 0.4", share)
 	}
 	if got := Low(10, 1e9); got != 10+10.0/32 {
-		t.Errorf("one slow sample lifted the estimate to %v", got)
+		t.Errorf("one high sample raised the estimate from 10 to %v, want at most a 32nd more", got)
 	}
 }
--- a/scheduler/slowstart/allocator.go
+++ b/scheduler/slowstart/allocator.go
@@ -6,13 +6,13 @@
 	"otterturn/scheduler/window"
 )
 
-// Allocator grants room at one node, while this host is its granter.
+// Allocator grants capacity at one node while this front is its granter.
 type Allocator[T ~int64] struct {
 	config   *Config[T]
-	granted  window.Window[T]
-	served   window.Window[T] // answered, as hosts told
-	requests []request[T]     // the last one of each host, while it waits or its news counts
-	reports  []report[T]      // what each host told last of the node's speed, while it counts
+	granted  window.Window[T] // units granted
+	served   window.Window[T] // units answered, as reported by the fronts
+	requests []request[T]     // latest request of each front until it is too old; Units is 0 once granted
+	reports  []report[T]      // latest report of each front, while it counts
 }
 
 type report[T ~int64] struct {
@@ -27,43 +27,43 @@
 	at    T
 }
 
-// LoadReport is what a node has shown a host of its capacity, in units.
+// LoadReport is what a front has measured of a node's capacity, in units.
 type LoadReport struct {
-	Served float64 // answered since it told last
-	Units  float64 // answered since it started,
-	Time   float64 // one by one in so many spans
+	Served float64 // answered since the last report
+	Units  float64 // answered since the node started, where the latency shows the node's speed
+	Time   float64 // sum of the latencies of these, in multiples of OverloadSpan
 }
 
-// CapacityRequest is for room, in units.
+// CapacityRequest asks the granter for capacity, in units, or only reports to it.
 type CapacityRequest struct {
-	Units    float64    // for the request that is next; 0 for nothing
-	MinUnits float64    `cbor:"Least"` // for the smallest, if there is no room for that
+	Units    float64    // units of the next request, 0 to ask for nothing
+	MinUnits float64    `cbor:"Least"` // units of the smallest request, to be granted if Units is too much
 	Report   LoadReport `cbor:"Shown"`
 }
 
-// Grant is so many units for a host, to be sent until a time.
+// Grant allows a front to send a number of units until a time.
 type Grant[T ~int64] struct {
 	Front      int
 	Units      float64
 	ValidUntil T
 }
 
-// NewAllocator returns an allocator that granted nothing yet.
+// NewAllocator returns an allocator without grants, requests and reports.
 func (c *Config[T]) NewAllocator() *Allocator[T] {
 	return &Allocator[T]{config: c, granted: window.New(c.GrantLifetime()), served: window.New(c.OverloadSpan)}
 }
 
-// Reset forgets what the node showed, where it may have begun anew: it may be far slower now.
+// Reset discards the measurements of a node that may have restarted, because it may be far slower now.
 func (r *Allocator[T]) Reset() {
 	r.reports = nil
 	r.served.Clear()
 }
 
-// Report takes in what a host has seen of the node's speed, in the place of what it told before. It counts for a while
-// after the host asked last: a node becomes no slower while it warms, and of many hosts few ask at a time.
+// Report records a front's measurements of the node's speed in place of its previous ones. They count for a while after the
+// front's last request: a node does not become slower while it warms up, and few of many fronts request capacity at a time.
 func (r *Allocator[T]) Report(now T, host int, s LoadReport) {
 	if s.Served > 0 && !slices.ContainsFunc(r.reports, func(t report[T]) bool { return t.front == host && t.LoadReport == s }) {
-		r.served.Add(now, s.Served) // a message that came twice tells once
+		r.served.Add(now, s.Served) // a duplicate message counts once
 	}
 	r.reports = slices.DeleteFunc(r.reports, func(t report[T]) bool { return t.front == host || !r.isCurrent(now, t) })
 	if s.Units > 0 || s.Served > 0 {
@@ -71,12 +71,13 @@
 	}
 }
 
-// isCurrent tells that what a host told counts yet.
+// isCurrent reports whether a report still counts.
 func (r *Allocator[T]) isCurrent(now T, t report[T]) bool {
 	return t.at >= now-reportLifetimeSpans*r.config.OverloadSpan
 }
 
-// Request has a host wait for room. One that waits already keeps its place, so there are no more requests than hosts.
+// Request queues a front's request for capacity. A front that is already waiting keeps its position, so there are no more
+// requests than fronts.
 func (r *Allocator[T]) Request(now T, host int, w CapacityRequest) {
 	r.Report(now, host, w.Report)
 	i := slices.IndexFunc(r.requests, func(a request[T]) bool { return a.front == host })
@@ -89,8 +90,9 @@
 	r.requests = append(r.requests, request[T]{w, host, now})
 }
 
-// Allocate grants what may be sent within a span to a node that bears so much in any case, in the order in which it was
-// asked for. Hosts whose request is too old have asked anew, or need nothing more.
+// Allocate grants the waiting requests, in their order, as far as the units granted within a span stay within what the node
+// withstands; borne units are withstood in any case. It drops requests that are too old: their fronts have sent new ones, or
+// need nothing more.
 func (r *Allocator[T]) Allocate(now T, borne float64) (grants []Grant[T]) {
 	rest, served, units, time := max(r.config.OverloadMultiple, 1)-1, r.served.Sum(now), 0.0, 0.0
 	r.requests = slices.DeleteFunc(r.requests, func(a request[T]) bool { return a.at < now-r.config.OverloadSpan/requestDivisor })
@@ -114,7 +116,7 @@
 		switch {
 		case a.Units == 0 || a.Units > most:
 		case granted+a.Units > most:
-			return grants // those behind wait too, or a large one might never find room
+			return grants // later requests wait too, otherwise a large one might never be granted
 		default:
 			r.granted.Add(now, a.Units)
 			granted += a.Units
@@ -125,16 +127,16 @@
 	return grants
 }
 
-// Idle reports whether no host waits, and nothing that was granted or reported counts any more.
+// Idle reports whether there is no request, and no grant or report that still counts.
 func (r *Allocator[T]) Idle(now T) bool {
 	return len(r.requests) == 0 && r.granted.Sum(now) <= 0 &&
 		!slices.ContainsFunc(r.reports, func(t report[T]) bool { return r.isCurrent(now, t) })
 }
 
-// Pending reports whether a host waits for room.
+// Pending reports whether a front waits for capacity.
 func (r *Allocator[T]) Pending() bool {
 	return slices.ContainsFunc(r.requests, func(a request[T]) bool { return a.Units > 0 })
 }
 
-// DropRequests forgets all requests.
+// DropRequests discards all requests.
 func (r *Allocator[T]) DropRequests() { r.requests = nil }
--- a/scheduler/slowstart/allocator_test.go
+++ b/scheduler/slowstart/allocator_test.go
@@ -12,8 +12,8 @@
 	return &Config[int64]{Fronts: hosts, InitialShare: 0.2, Ramp: 17000 * ms, OverloadMultiple: 2.5, OverloadSpan: 1000 * ms, SafeUnits: 8, MeasurementDoubt: 500 * ms, PeerMessages: peers}
 }
 
-// Whatever hosts restart, whoever asks and however much: what all of them may send on grants within any span is no
-// more than the part. A former granter's grants must count with the next one's, and a former self's too.
+// Guards against grants that together exceed the limit of a span because a granter does not know of the grants of the last
+// granter, or of its own before a restart. Fronts restart and request capacity at random.
 func TestGrantsOfAllHostsAddUpToThePart(t *testing.T) {
 	for _, peers := range []bool{true, false} {
 		for seed := range uint64(4) {
@@ -28,7 +28,7 @@
 			granted := 0
 			start := 1_800_000_000_000_000 + rng.Int64N(1<<40)
 			for now := start; now < start+40_000*ms; now += 10 * ms {
-				if rng.IntN(300) == 0 { // seven in ten forget at once
+				if rng.IntN(300) == 0 { // seven in ten fronts restart at once
 					for i := range rations {
 						if rng.IntN(10) < 7 {
 							rations[i], began[i] = nil, now
@@ -50,9 +50,9 @@
 					continue
 				}
 				for _, g := range rations[granter].Allocate(now, f.SafeUnitsAt(0)) {
-					at := now + rng.Int64N(f.grantValidity()+1) // used as late as may be
+					at := now + rng.Int64N(f.grantValidity()+1) // used at a random time within its validity
 					if !f.MayHaveGranted("node", granter, at, g.ValidUntil) {
-						t.Fatalf("a grant of %v is not taken at %v", g, at)
+						t.Fatalf("the grant %v is not accepted at %v", g, at)
 					}
 					used = append(used, use{at, g.Units})
 					granted++
@@ -66,23 +66,22 @@
 					}
 				}
 				if sum > f.SafeUnitsAt(0)+1e-9 {
-					t.Fatalf("peers %v, seed %d: %.2f units within a span, the part is %.2f", peers, seed, sum, f.SafeUnitsAt(0))
+					t.Fatalf("peers %v, seed %d: %.2f units sent within a span, want at most %.2f", peers, seed, sum, f.SafeUnitsAt(0))
 				}
 			}
 			if granted < 10 {
-				t.Errorf("peers %v, seed %d: only %d grants", peers, seed, granted)
+				t.Errorf("peers %v, seed %d: %d grants, want at least 10", peers, seed, granted)
 			}
 		}
 	}
 }
 
-// With what is granted and as much as is answered no more is sent than is borne, whatever the node can do and however
-// many hosts were answered by it.
+// Guards against overload by grants together with as many units as are answered, for nodes of any capacity.
 func TestGrantsAndAnswersAreBorne(t *testing.T) {
 	f := config(300, true)
 	for c := 0.1; c < 50; c += 0.1 {
 		r, now := f.NewAllocator(), 1_000_000*ms
-		for host := range f.Fronts { // one in ten was answered; a core does half of what the node does
+		for host := range f.Fronts { // one in ten got answers; a core has half of the node's capacity
 			shown := LoadReport{Units: 2 * c, Time: 4}
 			if host%10 == 0 {
 				shown.Served = c / 30
@@ -94,15 +93,15 @@
 			sum += g.Units
 		}
 		if most := max(f.OverloadMultiple*c, f.SafeUnits); sum > most+1e-9 {
-			t.Errorf("capacity %.1f: %.2f units, %.2f are borne", c, sum, most)
+			t.Errorf("capacity %.1f: %.2f units, want at most %.2f", c, sum, most)
 		}
 		if c > f.SafeUnits && sum < 1.5*c {
-			t.Errorf("capacity %.1f: only %.2f units", c, sum)
+			t.Errorf("capacity %.1f: %.2f units, want at least 1.5 times the capacity", c, sum)
 		}
 	}
 }
 
-// Where no request is as small as what may be granted, one goes alone, so that the node can show what it does.
+// If each request is larger than the amount that may be granted, a single one is granted so that the node can show its speed.
 func TestALoneRequestGoesAhead(t *testing.T) {
 	f := config(300, true)
 	f.SafeUnits = 1
@@ -110,11 +109,11 @@
 	r.Request(now, 0, CapacityRequest{Units: 2, MinUnits: 1})
 	r.Request(now, 1, CapacityRequest{Units: 1, MinUnits: 1})
 	if got := r.Allocate(now, f.SafeUnitsAt(0)); len(got) != 1 || got[0] != (Grant[int64]{0, 1, now + f.grantValidity()}) {
-		t.Errorf("grants %v", got)
+		t.Errorf("grants %v, want a single one of 1 unit for front 0", got)
 	}
 	r.Request(now, 2, CapacityRequest{Units: 6, MinUnits: 6, Report: LoadReport{Units: 36, Time: 2}})
 	if got := r.Allocate(now+1, f.SafeUnitsAt(0)); len(got) != 2 || got[1].Units != 6 {
-		t.Errorf("grants %v once a speed is shown", got)
+		t.Errorf("grants %v after a report of the node's speed, want two with 6 units in the second", got)
 	}
 }
 
@@ -126,15 +125,15 @@
 		seen[host] = true
 	}
 	if len(seen) != f.Fronts {
-		t.Errorf("hosts %v of %d deal", seen, f.Fronts)
+		t.Errorf("granters %v, want all %d fronts", seen, f.Fronts)
 	}
 	if f.MayHaveGranted("node", 0, 0, 1<<40) {
-		t.Error("a grant for years is taken")
+		t.Error("a grant that is valid for 12 days is accepted")
 	}
 }
 
-// An ask that is larger than all that may be granted must not keep the others waiting, and one that only has to wait must
-// not be passed over for ever.
+// Guards against a request that is too large to be granted at all and blocks the others, and against smaller requests that
+// overtake a waiting one for ever.
 func TestAsksWaitInTurn(t *testing.T) {
 	f := config(4, true)
 	r := f.NewAllocator()
@@ -142,27 +141,27 @@
 	r.Request(now, 0, CapacityRequest{Units: 9})
 	r.Request(now, 1, CapacityRequest{Units: 3})
 	if got := r.Allocate(now, 8); len(got) != 1 || got[0].Front != 1 {
-		t.Fatalf("grants %v", got)
+		t.Fatalf("grants %v, want a single one for front 1", got)
 	}
 	r.Request(now, 2, CapacityRequest{Units: 4})
 	r.Request(now, 3, CapacityRequest{Units: 1})
 	if got := r.Allocate(now, 8); len(got) != 0 || !r.Pending() {
-		t.Errorf("grants %v ahead of one that waits", got)
+		t.Errorf("grants %v while an earlier request waits, want none and a pending request", got)
 	}
 	r.Request(now+f.GrantLifetime(), 2, CapacityRequest{Units: 4})
 	if got := r.Allocate(now+f.GrantLifetime()+1, 8); fmt.Sprint(len(got), got[0].Front) != "1 2" {
-		t.Errorf("grants %v once there is room", got)
+		t.Errorf("grants %v after the first grant no longer counts, want one for front 2", got)
 	}
 	if r.Idle(now) {
-		t.Error("idle while what was granted counts")
+		t.Error("idle while a grant counts")
 	}
 	if got := r.Allocate(now+3*f.GrantLifetime(), 8); len(got) != 0 || !r.Idle(now+3*f.GrantLifetime()) {
-		t.Errorf("grants %v of asks that are old, or never idle", got)
+		t.Errorf("grants %v of requests that are too old, or not idle after all grants have ended", got)
 	}
 }
 
-// Of many hosts few ask at a time, and what the others saw of the node counts as well, for a while and for its present
-// start: with what those who ask know alone a node was sent a third of what it can do.
+// Of many fronts few request capacity at a time; the reports of the others count as well, for a while and until the node
+// restarts. With the reports of the requesting fronts alone a node was sent a third of its capacity.
 func TestWhatAHostShowedCountsWhileOthersAsk(t *testing.T) {
 	f := config(300, true)
 	now := 1_000_000 * ms
@@ -178,33 +177,33 @@
 		return units
 	}
 	for host := range 20 {
-		r.Report(now, host, LoadReport{Units: 2, Time: 0.1}) // a core does 20 a span
+		r.Report(now, host, LoadReport{Units: 2, Time: 0.1}) // a core does 20 units per span
 		r.Report(now, host, LoadReport{Units: 2, Time: 0.1})
 	}
-	if got := most(2 * f.OverloadSpan); got < 20 || got > 24 { // 1.5 times 40 units in 2 spans and a half of doubt
-		t.Errorf("%v units granted by what twenty hosts showed", got)
+	if got := most(2 * f.OverloadSpan); got < 20 || got > 24 { // 1.5 times 40 units in 2 spans and half a span of doubt
+		t.Errorf("%v units granted after the reports of twenty fronts, want 20 to 24", got)
 	}
 	if got := most(2*f.OverloadSpan + 3*f.GrantLifetime()/2); got < 20 {
-		t.Errorf("%v units granted a little later", got)
+		t.Errorf("%v units granted 1.5 grant lifetimes later, want at least 20", got)
 	}
 	r.Reset()
 	if got := most(2*f.OverloadSpan + 4*f.GrantLifetime()); got > f.SafeUnitsAt(0) {
-		t.Errorf("%v units granted at a node that began anew", got)
+		t.Errorf("%v units granted after the node restarted, want at most the safe units", got)
 	}
 	r.Report(now, 1, LoadReport{Units: 100, Time: 1})
 	if later := now + (reportLifetimeSpans+1)*f.OverloadSpan + 5*f.GrantLifetime(); !r.Idle(later) || most(later-now) > f.SafeUnitsAt(0) {
-		t.Error("what was shown long ago counts yet")
+		t.Error("a report counts after its lifetime")
 	}
 }
 
-// All that hosts told was answered within a span counts, whoever asks: that shows more than one core. A message that comes
-// twice counts once.
+// All units that fronts reported as answered within a span count, whichever front requests capacity: they show the capacity
+// of all cores, not of one. A duplicate message counts once.
 func TestWhatAllHostsWereAnsweredCounts(t *testing.T) {
 	f := config(300, true)
 	r, now := f.NewAllocator(), 1_000_000*ms
 	for host := range 30 {
 		for range 2 {
-			r.Report(now, host, LoadReport{Served: 2, Units: 2, Time: 1}) // a core does 2 a span, the node 60
+			r.Report(now, host, LoadReport{Served: 2, Units: 2, Time: 1}) // a core does 2 units per span, the node 60
 		}
 	}
 	sum := 0.0
@@ -215,11 +214,11 @@
 		sum += g.Units
 	}
 	if sum < 70 || sum > 1.5*60 {
-		t.Errorf("%v units granted where 60 were answered", sum)
+		t.Errorf("%v units granted after 60 were answered, want 70 to 90", sum)
 	}
 }
 
-// Periods begin at other times at other nodes: in each there is a while in which nothing is granted.
+// Nothing is granted at the beginning of a period, so the periods of different nodes must begin at different times.
 func TestPeriodsDoNotBeginTogether(t *testing.T) {
 	f := config(80, true)
 	for now := int64(0); now < periodSpans*f.GrantLifetime(); now += 100 * ms {
@@ -230,7 +229,7 @@
 			}
 		}
 		if deals < 40 {
-			t.Fatalf("at %d: only %d of 60 nodes have a granter", now, deals)
+			t.Fatalf("at %d: %d of 60 nodes have a granter that may grant, want at least 40", now, deals)
 		}
 	}
 }
--- a/scheduler/slowstart/config.go
+++ b/scheduler/slowstart/config.go
@@ -1,27 +1,33 @@
-// Package slowstart guards nodes that have just started against what all hosts send them together. It does no I/O and reads
+// Package slowstart limits the units that all fronts together send to nodes that have just started. It does no I/O and reads
 // no clock.
 //
-// A cold node falls over once it is sent more than Multiple times its present capacity within Span; Units are always
-// borne. With hundreds of hosts an even part of that is far below one request, and a chance that makes up the part in
-// the mean holds neither where a host misjudges its own demand, as just behind a restart, nor where many draw well. So
-// a host sends for two reasons alone, each of which adds up over hosts that don't hear of each other:
+// A cold node fails if it is sent more than OverloadMultiple times its present capacity c within OverloadSpan; it withstands
+// SafeUnits within a span in any case. With hundreds of fronts, an equal share of this limit is far less than one request.
+// Sending at random so that the mean is the share does not keep the limit if a front misjudges its own demand, such as just
+// after a restart, or if many fronts send at the same time by chance. So a front sends for only two reasons, and the units
+// that these allow stay within the limit in total although the fronts do not know of each other:
 //
-//   - It was answered. Within any span a host sends no more than the node answered it, and all answers together are
-//     at most once the capacity c.
-//   - It was granted. One host at a time grants the rest to those who ask: the most of what the settings and the
-//     node itself have shown to be borne beside c.
+//   - Answers: within any span a front sends at most the units that the node answered it, and all answers together are at
+//     most the capacity c.
+//   - Grants: one front at a time, the granter, grants the rest to the fronts that request it.
 //
-// These are: Units x (1 - 1/Multiple), which with c is no more than max(Multiple x c, Units) whatever c is, as the two
-// meet at c = Units/Multiple. (Multiple - 1) times what all hosts told was answered, which is at most c, less what may
-// have been told late. As much of the speed that requests were served with, one by one: a node does that much on one of
-// its cores, and becomes no slower while it warms. A request of one unit may cost hardly any work, so what all of them
-// saw is taken together, with some time of doubt. And as often as nothing else counts a lone request of up to Units, or
-// no node would show anything.
+// The granter grants the largest of these amounts, which a node withstands in addition to c:
 //
-// Which host grants follows from the node's name and the time, which all hosts share. A host is the granter for a
-// period, but grants nothing before a span of it has passed, nor before a span since its own start: by then what others
-// granted, or a former process of its own, counts no more. A lost message, a dead granter or a cut costs service and
-// breaks nothing. Where hosts may not send each other messages each asks itself, in short periods.
+//   - SafeUnits x (1 - 1/OverloadMultiple). With c this is at most max(OverloadMultiple x c, SafeUnits) for each c, as both
+//     are equal at c = SafeUnits/OverloadMultiple.
+//   - (OverloadMultiple - 1) x the units that all fronts reported as answered, which are at most c, less those that may have
+//     been reported late.
+//   - (OverloadMultiple - 1) x the speed of single requests: the units answered over the sum of their latencies. A node does
+//     that much on one of its cores, and does not become slower while it warms up. A request of one unit may cost hardly any
+//     work, so the reports of all fronts are added up, and MeasurementDoubt is added to the time.
+//   - A single request of up to SafeUnits while no grant and no answer counts, because otherwise no node would ever show its
+//     capacity.
+//
+// The granter follows from the node's name and the time, which all fronts share. A front is the granter for a period. It
+// grants nothing for the first GrantLifetime of the period, nor for the first GrantLifetime after its own start: after that
+// time the grants of other fronts, and of an earlier process of its own, no longer count. A lost message, a granter that has
+// failed or a network partition reduces throughput but overloads no node. If fronts cannot send messages to each other, a
+// front requests capacity only from itself while it is the granter, and the periods are short.
 package slowstart
 
 import (
@@ -30,44 +36,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Config has the figures of a deployment. Times are microseconds.
+// Config holds the settings of a deployment. Times are in microseconds.
 type Config[T ~int64] struct {
-	Fronts           int     // in all
-	InitialShare     float64 // share of its capacity with which a node starts
-	Ramp             T       // after this a node is warm at the latest
-	OverloadMultiple float64 // of its capacity
-	OverloadSpan     T       // sent for so long
-	SafeUnits        float64 // that are borne within Span in any case, over all hosts
-	MeasurementDoubt T       // what was answered counts as having taken so much longer
-	PeerMessages     bool    // hosts may ask each other
+	Fronts           int     // number of all fronts
+	InitialShare     float64 // share of its capacity that a node has when it starts
+	Ramp             T       // time after which a node is warm at the latest
+	OverloadMultiple float64 // a node fails if it is sent more than this multiple of its capacity
+	OverloadSpan     T       // within this time
+	SafeUnits        float64 // units that a node withstands within OverloadSpan in any case, from all fronts together
+	MeasurementDoubt T       // added to the sum of the measured latencies
+	PeerMessages     bool    // fronts may send each other requests for capacity
 }
 
 const (
-	validityDivisor     = 10   // a grant may be used for one in so many parts of a span
-	reportDivisor       = 10   // of an answer the granter hears after one in so many at least
-	requestDivisor      = 2    // a request for room that brings nothing is repeated after one in so many
-	periodSpans         = 12   // a host is the granter for so long, less one to hand over
-	reportedInTimeShare = 0.88 // of what was told within a span was answered within it: the rest was told late
-	maxMeasuredSpans    = 4    // spans of answers that a host tells of at most
-	reportLifetimeSpans = 4    // what a host showed counts for so long after it asked last
-	cachedPieceCost     = 0.25 // of its work, that a request for a piece costs which a node remembers: 27 to 51%
-	cachedPieces        = 4    // pieces that a node remembers at most
-	soloPeriodSpans     = 2    // the same where each host asks itself: one that has nothing to send keeps the others waiting
+	validityDivisor     = 10   // a grant may be used for OverloadSpan / validityDivisor
+	reportDivisor       = 10   // answers are reported to the granter at intervals of OverloadSpan / reportDivisor
+	requestDivisor      = 2    // a request that gets no grant is repeated after OverloadSpan / requestDivisor
+	periodSpans         = 12   // grant lifetimes in a granter's period, in the first of which it grants nothing
+	reportedInTimeShare = 0.88 // share of the units reported within a span that were answered within it; the rest was late
+	maxMeasuredSpans    = 4    // largest sum of latencies that a front reports, in spans
+	reportLifetimeSpans = 4    // spans for which a front's report counts after its last request
+	cachedPieceCost     = 0.25 // share of a request's units that counts if the node has its piece cached: the work is 27 to 51%
+	cachedPieces        = 4    // largest number of pieces that a node has cached
+	soloPeriodSpans     = 2    // periodSpans without peer messages: a granter with nothing to send keeps the others waiting
 )
 
-// grantValidity is for how long a grant may be used.
+// grantValidity returns how long a grant may be used.
 func (c *Config[T]) grantValidity() T { return c.OverloadSpan / validityDivisor }
 
-// MayHaveGranted reports whether a host may have made a grant that is valid until a time.
+// MayHaveGranted reports whether a front may have made a grant that is valid until a time.
 func (c *Config[T]) MayHaveGranted(node string, host int, now, until T) bool {
 	granter, may := c.Granter(node, until-c.grantValidity())
 	return granter == host && may && now <= until && until <= now+c.OverloadSpan
 }
 
-// GrantLifetime is for how long a grant counts: until it is no longer valid, and a span.
+// GrantLifetime returns how long a grant counts: while it is valid, and for a span after that.
 func (c *Config[T]) GrantLifetime() T { return c.OverloadSpan + c.grantValidity() }
 
-// Granter returns the host that grants room at a node at a time, and whether it may do so by then.
+// Granter returns the front that grants capacity at a node at a time, and whether it may do so at that time.
 func (c *Config[T]) Granter(node string, now T) (host int, may bool) {
 	period := max(1, periodSpans*c.GrantLifetime())
 	if !c.PeerMessages {
@@ -77,23 +83,23 @@
 		return 0, true
 	}
 	sum := xxhash.Sum64String(node)
-	// Consecutive periods are those of consecutive hosts, from a place and a time of the node's own: were they the same
-	// for all nodes, no cold node would get anything while the periods begin.
+	// In consecutive periods consecutive fronts are the granter. Each node has its own first front and its own offset in time:
+	// if the periods of all nodes began together, no cold node would get grants at that time.
 	now += T(sum>>32) % period
 	host = int((int64(sum&math.MaxUint32) + int64(now/period)) % int64(max(c.Fronts, 1)))
 	return host, now%period > c.GrantLifetime()
 }
 
-// SafeUnitsAt is how many units a node that has been up for so long bears within a span in any case. They grow with the
-// capacity that it has at least, a span late: of a window the least counts.
+// SafeUnitsAt returns the units that a node which has been up for the given time withstands within a span in any case. They
+// grow with its minimum capacity of a span ago, as the lowest capacity within the span counts.
 func (c *Config[T]) SafeUnitsAt(age T) float64 {
 	return c.SafeUnits * c.capacityShare(age-c.OverloadSpan) / c.InitialShare
 }
 
-// Slowdown is how many times as slow as a warm node one may be that has been up for so long.
+// Slowdown returns how many times slower than a warm node a node may be that has been up for the given time.
 func (c *Config[T]) Slowdown(age T) float64 { return 1 / c.capacityShare(age) }
 
-// capacityShare is the part of its capacity that a node has at least.
+// capacityShare returns the minimum share of its full capacity that a node has at an age.
 func (c *Config[T]) capacityShare(age T) float64 {
 	return c.InitialShare + (1-c.InitialShare)*float64(min(max(0, age), c.Ramp))/float64(max(c.Ramp, 1))
 }
--- a/scheduler/slowstart/guard_test.go
+++ b/scheduler/slowstart/guard_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Room comes from answers, for a span, and from grants, until they end.
+// Answers add capacity for a span, grants until they end.
 func TestRoomFades(t *testing.T) {
 	f := config(4, true)
 	g := f.NewGuard()
@@ -10,26 +10,27 @@
 	g.Granted(now, 3, now+f.grantValidity())
 	g.Sent(now, 2)
 	if got := g.Capacity(now); got != 1 {
-		t.Errorf("room for %v of a grant of 3, 2 sent", got)
+		t.Errorf("capacity %v after 2 of 3 granted units were sent, want 1", got)
 	}
 	g.Granted(now+f.grantValidity()/2, 1, now+f.grantValidity()+f.grantValidity()/2)
 	if got := g.Capacity(now + f.grantValidity()/2); got != 1 {
-		t.Errorf("room for %v: what is left of a grant lasts as long as the next one", got)
+		t.Errorf("capacity %v after a second grant, want its 1 unit without the rest of the first grant", got)
 	}
 	g.Answered(now, "piece", 2, 100*ms)
 	if got := g.Capacity(now + 2*f.grantValidity()); got != 2 {
-		t.Errorf("room for %v behind an answer of 2, the grant over", got)
+		t.Errorf("capacity %v after an answer of 2 units and the end of the grant, want 2", got)
 	}
 	g.Sent(now+2*f.grantValidity(), 2)
 	if got := g.Capacity(now + 3*f.grantValidity()); got != 0 {
-		t.Errorf("room for %v, all used", got)
+		t.Errorf("capacity %v after all of it was sent, want 0", got)
 	}
 	if got := g.Capacity(now + 2*f.OverloadSpan); got != 0 {
-		t.Errorf("room for %v a span later", got)
+		t.Errorf("capacity %v more than a span after the answer, want 0", got)
 	}
 }
 
-// A run of requests for one piece costs a node little. As many others behind it would push it over.
+// A series of requests for one piece costs a node little work. Guards against sending it as many units of other requests
+// afterwards, which would overload it.
 func TestARunOnOnePieceMakesLittleRoom(t *testing.T) {
 	f := config(4, true)
 	g := f.NewGuard()
@@ -38,7 +39,7 @@
 		g.Answered(now, "piece", 2, 10*ms)
 	}
 	if got := g.Capacity(now); got > 2+19*2*cachedPieceCost {
-		t.Errorf("room for %v units behind a run", got)
+		t.Errorf("capacity %v after 20 requests for one piece, want at most 2 units and a quarter of 38", got)
 	}
 	slow := f.NewGuard()
 	slow.Answered(now, "piece", 2, 200*ms)
@@ -46,6 +47,6 @@
 		slow.Answered(now, "piece", 2, 10*ms)
 	}
 	if got := slow.TakeReport(); got.Units != 2 || got.Time != 0.2 {
-		t.Errorf("shown %+v, the first request alone shows 2 units in a fifth of a span", got)
+		t.Errorf("report %+v, want 2 units in a fifth of a span from the first request alone", got)
 	}
 }
--- a/scheduler/timers/timers.go
+++ b/scheduler/timers/timers.go
@@ -1,16 +1,16 @@
-// Package timers keeps members by the time at which each is due. It reads no clock.
+// Package timers keeps members ordered by the time at which each is due. It reads no clock.
 package timers
 
 import "container/heap"
 
-// Timer is a member's place among the others. Its zero value is set to nothing.
+// Timer is the timer of one member. The zero value is a timer that is not set.
 type Timer[T ~int64, M any] struct {
 	Member M
 	at     T
-	place  int // in the heap, from 1; 0 where it is not set
+	place  int // position in the heap, from 1; 0 if the timer is not set
 }
 
-// Timers are those that are set.
+// Timers holds the timers that are set, in a heap. The zero value is empty.
 type Timers[T ~int64, M any] struct{ heap timerHeap[T, M] }
 
 type timerHeap[T ~int64, M any] []*Timer[T, M]
@@ -36,7 +36,7 @@
 	return t
 }
 
-// Set has a timer go off at a time, in the place of the time that it was set to.
+// Set sets a timer to a time, which replaces an earlier setting.
 func (ts *Timers[T, M]) Set(t *Timer[T, M], at T) {
 	t.at = at
 	if t.place > 0 {
@@ -46,14 +46,14 @@
 	}
 }
 
-// Stop takes a timer back, if it is set.
+// Stop removes a timer, if it is set.
 func (ts *Timers[T, M]) Stop(t *Timer[T, M]) {
 	if t.place > 0 {
 		heap.Remove(&ts.heap, t.place-1)
 	}
 }
 
-// Due takes out and returns a member whose time has come, if there is one.
+// Due removes and returns the member that is due first, if one is due by now.
 func (ts *Timers[T, M]) Due(now T) (m M, ok bool) {
 	if len(ts.heap) == 0 || ts.heap[0].at > now {
 		return m, false
--- a/scheduler/timers/timers_test.go
+++ b/scheduler/timers/timers_test.go
@@ -22,13 +22,13 @@
 		}
 		for m, ok := ts.Due(now); ok; m, ok = ts.Due(now) {
 			if at[m] == 0 || at[m] > now {
-				t.Fatalf("%d went off at %d, it was set to %d", m, now, at[m])
+				t.Fatalf("timer %d fired at %d, want %d (0 for not set)", m, now, at[m])
 			}
 			at[m] = 0
 		}
 		for m, a := range at {
 			if a > 0 && a <= now {
-				t.Fatalf("%d is due since %d at %d", m, a, now)
+				t.Fatalf("timer %d was due at %d and has not fired at %d", m, a, now)
 			}
 		}
 	}
--- a/scheduler/window/window.go
+++ b/scheduler/window/window.go
@@ -1,12 +1,12 @@
-// Package window adds up amounts over a sliding span of time. It reads no clock.
+// Package window sums amounts over a sliding time window. It reads no clock.
 package window
 
-// Window holds the amounts of the last span, each with its time. Times must not go back.
+// Window holds the amounts of the last span, each with its time. Times must not decrease from call to call.
 type Window[T ~int64] struct {
 	span  T
 	items []item[T]
-	first int     // what stands before has left
-	sum   float64 // of the others
+	first int     // index of the first item that is within the span
+	sum   float64 // of the items from first on
 }
 
 type item[T ~int64] struct {
@@ -14,24 +14,24 @@
 	amount float64
 }
 
-// New returns an empty window over a span.
+// New returns an empty window of the given span.
 func New[T ~int64](span T) Window[T] { return Window[T]{span: span} }
 
-// Add takes in an amount.
+// Add adds an amount at the time now.
 func (w *Window[T]) Add(now T, amount float64) {
 	w.evict(now)
 	w.items = append(w.items, item[T]{now, amount})
 	w.sum += amount
 }
 
-// Sum adds up what is not older than the span.
+// Sum returns the sum of the amounts that are not older than the span.
 func (w *Window[T]) Sum(now T) (sum float64) {
 	w.evict(now)
 	return w.sum
 }
 
-// evict lets go of what is too old. Places are given back once half of them are empty, and the sum is made anew then:
-// what was added and taken off again leaves a rest of rounding.
+// evict removes the items that are older than the span. Once they make up half of the slice, it compacts the slice and
+// recomputes the sum, because adding and subtracting amounts accumulates rounding errors.
 func (w *Window[T]) evict(now T) {
 	before := w.first
 	for w.first < len(w.items) && w.items[w.first].at < now-w.span {
--- a/scheduler/worklist/worklist.go
+++ b/scheduler/worklist/worklist.go
@@ -1,5 +1,5 @@
-// Package worklist tells which members are to be looked at in a step: those that something happened at, and those that
-// something is due at. The others cost nothing. It reads no clock.
+// Package worklist determines which members are processed in a step: those at which something happened and those at which
+// something is due. The other members cost no time. It reads no clock.
 package worklist
 
 import (
@@ -19,22 +19,22 @@
 	now        T
 }
 
-// Entry is a member's place.
+// Entry is a member's place in a list.
 type Entry[T ~int64, M any] struct {
 	Fast, Slow interval.Interval[T]
 	member     M
 	number     int
-	queued     bool // among those to be looked at
+	queued     bool // in the list's queue
 	removed    bool
 	timer      timers.Timer[T, *Entry[T, M]]
 }
 
-// New returns an agenda without members, with the lengths of the intervals.
+// New returns a list without members. fast and slow are the lengths of the intervals.
 func New[T ~int64, M any](fast, slow T) List[T, M] {
 	return List[T, M]{fast: interval.NewSchedule(fast), slow: interval.NewSchedule(slow)}
 }
 
-// Add takes a member in, behind all others. Its intervals have ended, so it is looked at in this step.
+// Add adds a member after all others. Its intervals have ended, so it is processed in this step.
 func (a *List[T, M]) Add(e *Entry[T, M], member M) {
 	*e = Entry[T, M]{member: member, number: a.added}
 	e.timer.Member = e
@@ -42,30 +42,32 @@
 	a.Queue(e)
 }
 
-// Remove takes a member out. It may be looked at once more.
+// Remove removes a member. If it is queued, it is processed once more.
 func (a *List[T, M]) Remove(e *Entry[T, M]) {
 	a.timers.Stop(&e.timer)
 	e.removed = true
 }
 
-// Compare is the order of two members.
+// Compare compares two members by the order in which they were added.
 func (e *Entry[T, M]) Compare(other *Entry[T, M]) int { return e.number - other.number }
 
-// Queue has a member looked at in this step, or in the next if this one's look is over.
+// Queue has a member processed in this step, or in the next one if this step has finished. For a member that is queued
+// between Due and Finish, Finish sets the time at which it is processed.
 func (a *List[T, M]) Queue(e *Entry[T, M]) {
 	if !e.queued {
 		e.queued, a.queued = true, append(a.queued, e)
 	}
 }
 
-// Activate does so, and separates the member's intervals, as something is to be done when they end.
+// Activate queues a member and separates its intervals, because there is work to do when they end.
 func (a *List[T, M]) Activate(e *Entry[T, M]) {
 	a.Queue(e)
 	e.Fast.Separate()
 	e.Slow.Separate()
 }
 
-// Due are the members to be looked at in the step of a time, in their order. Call it once in each step.
+// Due returns the members to process in the step at the time now, in the order in which they were added. It is called once
+// per step.
 func (a *List[T, M]) Due(now T) func(yield func(M) bool) {
 	a.now = now
 	a.fast.Advance(now)
@@ -83,17 +85,17 @@
 	}
 }
 
-// RestartFast and RestSlow begin a member's next interval.
+// RestartFast begins a member's next fast interval.
 func (a *List[T, M]) RestartFast(e *Entry[T, M]) { e.Fast.Restart(&a.fast, a.now) }
 
-// RestartSlow begins the slow one.
+// RestartSlow begins a member's next slow interval.
 func (a *List[T, M]) RestartSlow(e *Entry[T, M]) { e.Slow.Restart(&a.slow, a.now) }
 
-// Never is the time of what is not due.
+// Never is the time of a member at which nothing is due.
 const Never = math.MaxInt64
 
-// Finish ends a step: each member that was looked at, or touched since, is looked at again when a separate
-// interval of its ends, or at the time that next tells.
+// Finish ends a step. Each member that was processed in it, or queued since Due, is processed again when one of its separate
+// intervals ends or at the time that next returns, whichever is earlier.
 func (a *List[T, M]) Finish(next func(M) T) {
 	for _, e := range a.queued {
 		e.queued = false
--- a/scheduler/worklist/worklist_test.go
+++ b/scheduler/worklist/worklist_test.go
@@ -25,18 +25,18 @@
 	want := func(now int64, looked string) {
 		t.Helper()
 		if got := step(now); got != looked {
-			t.Errorf("at %d: %q were looked at, want %q", now, got, looked)
+			t.Errorf("at %d: processed %q, want %q", now, got, looked)
 		}
 	}
-	want(1, "xy") // as they entered
+	want(1, "xy") // in the order in which they were added
 	want(5, "")
-	want(50, "") // intervals of idle members end without a look
+	want(50, "") // idle members are not processed when their intervals end
 	a.Activate(&y)
-	want(52, "y") // the fast one ends at 60 for itself
+	want(52, "y") // its fast interval is separate now and ends at 60
 	want(59, "")
 	want(61, "y")
 	want(80, "")
-	want(102, "y") // and the slow one at 101
+	want(102, "y") // its slow interval ended at 101
 	next["x"] = 150
 	a.Queue(&x)
 	want(110, "x")
@@ -49,6 +49,6 @@
 	want(160, "y")
 	want(170, "")
 	if x.Compare(&y) >= 0 {
-		t.Error("the order in which they entered is lost")
+		t.Error("x does not compare as added before y")
 	}
 }
