--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -2,19 +2,20 @@
 
 import "math"
 
-// Arrival is what becomes of a request that comes.
+// Arrival is the result of Arrive. A request that is neither admitted nor rejected waits.
 type Arrival struct {
 	Admitted          bool
-	Ticket            Ticket // its place, where it waits
+	Ticket            Ticket // identifies the request if it waits
 	Refused           bool
-	RetryAfter        int64  // time after which a refused one should come back
-	Evicted           Ticket // the waiting request that is refused in its place, below 0 for none
-	EvictedRetryAfter int64  // time after which that one should come back
+	RetryAfter        int64  // time after which the client of a rejected request should retry
+	Evicted           Ticket // waiting request that is rejected in place of this one, below 0 for none
+	EvictedRetryAfter int64  // time after which the client of the evicted request should retry
 }
 
-// Arrive admits a request of a project and a client, queues it, or refuses it, or evicts one that waits in its place: the
-// last of the client that has most waiting in the project that has. Its cost is in the units that Release is told; the
-// weight is its plan's share beyond what is reserved (scheduler.Plan.Weight).
+// Arrive admits, queues or rejects a request of a project and a client. If no place is free, a waiting request may be evicted
+// for it: the last request of the client with the most waiting requests, in the project queue with the highest waiting cost.
+// cost is in the unit of Release's cost. weight is the plan's share of the capacity that is not reserved
+// (scheduler.Plan.Weight).
 func (q *Queue) Arrive(now int64, name, by string, cost, weight float64) Arrival {
 	p, c := q.find(name, by)
 	a, step := Arrival{Evicted: none}, step(cost, weight)
@@ -30,7 +31,7 @@
 				longest, most = other, other.cost
 			}
 		}
-		// Who floods pays for it: a project that has no more than others, with this request, is not pushed out by them.
+		// A flood is at the expense of the project that causes it: no other project's request is rejected or evicted for it.
 		if longest == p && q.heaviest(p).count <= c.count+1 {
 			a.Refused, a.RetryAfter = true, q.retryAfter(now, p, cost)
 			return a
@@ -56,7 +57,7 @@
 	return a
 }
 
-// least is the lowest tag of the clients that wait, where one that comes begins.
+// least returns the lowest tag of the clients with waiting requests, at which a client's queue begins, or 0.
 func (p *project) least() int64 {
 	least := int64(math.MaxInt64)
 	for i := range p.clients {
@@ -70,7 +71,7 @@
 	return least
 }
 
-// heaviest is the client that has most waiting.
+// heaviest returns the client with the most waiting requests.
 func (q *Queue) heaviest(p *project) *client {
 	most := &p.clients[0]
 	for i := range p.clients {
@@ -88,10 +89,10 @@
 	q.admitted++
 }
 
-// Release ends a request that was admitted, held for a time in microseconds, and returns those admitted in its place.
+// Release ends an admitted request, which was held for a time in microseconds, and returns the requests admitted in its place.
 func (q *Queue) Release(cost float64, held int64) (admitted []Ticket) {
 	q.admitted--
-	// By Little's law room full of such requests leaves at this rate, also where it is not full now.
+	// By Little's law, requests leave at this rate while the maximum is admitted, even if fewer are admitted now.
 	if q.meanHeld == 0 {
 		q.meanHeld, q.meanCost = float64(max(held, 1)), cost
 	}
@@ -108,7 +109,7 @@
 		}
 		t := next.first
 		step := q.pool[t].step
-		q.active.Set(&p.timer, p.tag) // remove takes it out again where nothing is left
+		q.active.Set(&p.timer, p.tag) // remove stops the timer if no request is left
 		q.remove(t)
 		q.admit(p, next, step)
 		if p.count > 0 {
--- a/internal/admission/gate/gate.go
+++ b/internal/admission/gate/gate.go
@@ -1,4 +1,4 @@
-// Package gate is the shell of package admission: requests wait in it for room, each in a goroutine of its own.
+// Package gate is the shell of package admission. Each request waits for its admission in its own goroutine.
 package gate
 
 import (
@@ -12,23 +12,23 @@
 	"otterturn/internal/net/routing"
 )
 
-// Gate admits requests as its queue decides. It is safe for concurrent use.
+// Gate admits requests by the decisions of an admission queue. It is safe for concurrent use.
 type Gate struct {
 	patience time.Duration
 	began    time.Time
 
 	mu    sync.Mutex
 	queue *admission.Queue
-	waits []chan verdict // by ticket; each holds one
+	waits []chan verdict // by ticket; each has a buffer of one
 }
 
-// verdict is what became of a request that waited.
+// verdict is the decision on a waiting request.
 type verdict struct {
 	taken bool
 	after time.Duration
 }
 
-// New returns a gate whose requests wait for so long at the most.
+// New returns a gate at which a request waits at most for patience.
 func New(config admission.Config, patience time.Duration) *Gate {
 	return &Gate{
 		patience: patience, began: time.Now(), queue: admission.New(config, maphash.MakeSeed(), rand.Uint64()),
@@ -40,9 +40,10 @@
 
 func (g *Gate) now() int64 { return time.Since(g.began).Microseconds() }
 
-// Enter waits for room, no longer than most, and returns what to call once the request is over; or a routing.Refused with
-// when to come back, or why ctx ended. What waits too long is refused at once when its time is up, not held back. cost
-// and weight are as admission.Queue.Arrive takes them.
+// Enter waits until a request is admitted, at most for the time most and the gate's patience. It returns a function to call
+// when the request has ended. If the request is rejected, also because its time has run out, the error is a
+// *routing.RejectedError with the time to retry; if ctx ends, it is the cause. cost and weight are those of
+// admission.Queue.Arrive.
 func (g *Gate) Enter(ctx context.Context, project, client string, cost, weight float64, most time.Duration) (leave func(), err error) {
 	g.mu.Lock()
 	a := g.queue.Arrive(g.now(), project, client, cost, weight)
@@ -51,7 +52,7 @@
 	}
 	var wait chan verdict
 	if !a.Admitted && !a.Refused {
-		// A new one each time: a verdict for the ticket's last holder may still be on its way to it.
+		// The channel of the ticket's last request is not reused: a verdict for that request may still be in it.
 		wait = make(chan verdict, 1)
 		g.waits[a.Ticket] = wait
 	}
@@ -72,7 +73,7 @@
 	}
 	g.mu.Lock()
 	select {
-	case v := <-wait: // it was told meanwhile
+	case v := <-wait: // decided before the lock was taken
 		g.mu.Unlock()
 		return g.told(v, cost)
 	default:
@@ -92,7 +93,7 @@
 	return nil, &routing.RejectedError{RetryAfter: v.after}
 }
 
-// in returns what ends a request that was taken just now.
+// in returns the function that ends a request which was just admitted.
 func (g *Gate) in(cost float64) (leave func()) {
 	since := g.now()
 	return func() {
@@ -104,7 +105,7 @@
 	}
 }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of waiting requests.
 func (g *Gate) Waiting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/admission/gate/gate_test.go
+++ b/internal/admission/gate/gate_test.go
@@ -14,7 +14,8 @@
 	"otterturn/internal/standin"
 )
 
-// Many clients at once: no more are in than there is room for, every one is let in or refused, and the room is free after.
+// Many concurrent calls: at most 8 requests are admitted at the same time, each one is admitted or rejected, and a request is
+// admitted at once afterwards.
 func TestManyAtOnce(t *testing.T) {
 	g := New(admission.Config{Room: 8, Waiting: 64, MaxRetryAfter: 1000}, standin.Patience)
 	var in, most, served, refused atomic.Int64
@@ -36,10 +37,11 @@
 	}
 	all.Wait()
 	if most.Load() > 8 || served.Load()+refused.Load() != 5000 || served.Load() < 8 || g.Waiting() != 0 {
-		t.Errorf("%d were in at a time, %d served, %d refused, %d wait", most.Load(), served.Load(), refused.Load(), g.Waiting())
+		t.Errorf("%d admitted at the same time, want at most 8; %d served and %d rejected, want 5000 in total; %d waiting, want 0",
+			most.Load(), served.Load(), refused.Load(), g.Waiting())
 	}
 	if leave, err := g.Enter(t.Context(), "after", "", 1, 1, 0); err != nil {
-		t.Errorf("after all of it: %v", err)
+		t.Errorf("request after all others: %v", err)
 	} else {
 		leave()
 	}
@@ -53,7 +55,7 @@
 	}
 	var refused *routing.RejectedError
 	if _, err := g.Enter(t.Context(), "b", "", 1, 1, time.Millisecond); !errors.As(err, &refused) || refused.RetryAfter <= 0 {
-		t.Errorf("one whose time is up: %v", err)
+		t.Errorf("request whose time ran out: error %v, want a rejection with a time to retry", err)
 	}
 	gone := errors.New("gone")
 	ctx, end := context.WithCancelCause(t.Context())
@@ -62,10 +64,10 @@
 		_, err := g.Enter(ctx, "c", "", 1, 1, standin.Patience)
 		done <- err
 	}()
-	standin.Until(t, "a wait", func() bool { return g.Waiting() == 1 })
+	standin.Until(t, "a waiting request", func() bool { return g.Waiting() == 1 })
 	end(gone)
-	if err := standin.Await(t, "the end of a client that left", done); !errors.Is(err, gone) || g.Waiting() != 0 {
-		t.Errorf("%v, %d wait", err, g.Waiting())
+	if err := standin.Await(t, "the end of a request whose client disconnected", done); !errors.Is(err, gone) || g.Waiting() != 0 {
+		t.Errorf("request whose client disconnected: error %v, want gone; %d waiting, want 0", err, g.Waiting())
 	}
 	go func() {
 		last, err := g.Enter(t.Context(), "d", "", 1, 1, standin.Patience)
@@ -74,9 +76,9 @@
 		}
 		done <- err
 	}()
-	standin.Until(t, "a wait", func() bool { return g.Waiting() == 1 })
+	standin.Until(t, "a waiting request", func() bool { return g.Waiting() == 1 })
 	leave()
-	if err := standin.Await(t, "the next one", done); err != nil {
+	if err := standin.Await(t, "the admission of the waiting request", done); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/admission/leave.go
+++ b/internal/admission/leave.go
@@ -1,15 +1,15 @@
 package admission
 
-// Expire removes a request that waits, as its time is up or another takes its place, and returns the time in microseconds
-// after which it should come back. That time is promised to its project.
+// Expire removes a waiting request whose time has run out or that is evicted. It returns the time in microseconds after which
+// its client should retry, and counts that time as promised to the project.
 func (q *Queue) Expire(now int64, t Ticket) (after int64) {
 	w := q.pool[t]
 	q.remove(t)
 	return q.retryAfter(now, w.project, w.cost)
 }
 
-// Cancel removes a request that waits and whose client left: nobody is told when to come back, so its project is
-// promised nothing, and those who stay are not put off by it.
+// Cancel removes a waiting request whose client disconnected. As no client is told when to retry, the project is promised no
+// time, and the retries of other clients are not delayed.
 func (q *Queue) Cancel(t Ticket) { q.remove(t) }
 
 func (q *Queue) remove(t Ticket) {
@@ -37,10 +37,11 @@
 	q.free = t
 }
 
-// retryAfter is when a refused request of a project will find room: once what waits has left, and what was promised to its
-// project before. Each project that holds a promise has an equal part of the rate at which all leave, so a flood puts its
-// own returns off and no one else's. It is spread by a twentieth to both sides, so that those refused together don't
-// return as one: spread to one side alone, the last of them came back a tenth late and left room idle meanwhile.
+// retryAfter returns the time after which a rejected request of a project can be admitted: when the waiting requests have left,
+// and those that were promised a time to the same project before. Each project with a promised time has an equal share of the
+// rate at which requests leave, so a flood delays only its own retries. The time is spread at random by up to a twentieth in
+// both directions, so that requests which are rejected together are not retried together. With a spread in one direction, the
+// last of them came back a tenth late and capacity was unused until then.
 func (q *Queue) retryAfter(now int64, p *project, cost float64) int64 {
 	for due, ok := q.promised.Due(now); ok; due, ok = q.promised.Due(now) {
 		due.claims, q.claims = false, q.claims-1
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -1,12 +1,12 @@
-// Package admission decides which requests are admitted when a front is full: fair queues by project and, within it, by
-// client, in a fixed amount of memory whatever the number of either. It does no I/O and reads no clock. Package gate's
-// Gate is its shell.
+// Package admission decides which requests are admitted when a front is full. It has fair queues by project and, within a
+// project, by client, in a fixed amount of memory for any number of projects and clients. It does no I/O and reads no clock.
+// Package gate is its shell.
 //
-// The queues are those of start-time fair queueing (Goyal, Vin, Cheng, SIGCOMM 1996): a request that is admitted moves its
-// queue's tag on by its cost over its plan's weight, so that projects share the room as their plans are weighed; the queue
-// with the lowest tag is next, and one that was empty begins at the tag of the last request admitted, so nobody saves up.
-// Projects and clients share queues by a keyed hash (McKenney, Stochastic fairness queueing, INFOCOM 1990); the key is
-// drawn at the start, so ids that are made to collide with another's can't be found from outside.
+// The queues use start-time fair queueing (Goyal, Vin, Cheng, SIGCOMM 1996): an admitted request advances its queue's tag by
+// its cost over its plan's weight, so projects share the capacity in proportion to their plans' weights. The queue with the
+// lowest tag is next, and a queue that was empty begins at the tag of the last request admitted, so unused capacity cannot be
+// saved. Projects and clients are assigned to queues by a keyed hash (McKenney, Stochastic fairness queueing, INFOCOM 1990).
+// The key is drawn at random at the start, so that ids which collide with another id can't be computed from outside.
 package admission
 
 import (
@@ -17,54 +17,54 @@
 	"otterturn/scheduler/timers"
 )
 
-// Sizes of the set of queues.
+// Numbers of queues.
 const (
-	projects = 1024 // queues that projects are spread over
-	clients  = 8    // and, within each, queues that its clients are spread over
+	projects = 1024 // queues for all projects
+	clients  = 8    // queues for the clients of each of them
 )
 
-// Config bounds a queue. Times are microseconds.
+// Config bounds a queue. Times are in microseconds.
 type Config struct {
-	Room          int   // requests admitted at a time
-	Waiting       int   // requests that wait for room at most
-	MaxRetryAfter int64 // longest time after which clients are told to come back
+	Room          int   // maximum of requests admitted at the same time
+	Waiting       int   // maximum of waiting requests
+	MaxRetryAfter int64 // longest time after which clients of rejected requests are told to retry
 }
 
-// Ticket names a request that waits.
+// Ticket identifies a waiting request.
 type Ticket int32
 
 const none Ticket = -1
 
-// Queue is the admission queue of one front. New returns one; it must not be used by several goroutines at once.
+// Queue is the admission queue of one front. It is created with New and is not safe for concurrent use.
 type Queue struct {
 	config   Config
 	hash     maphash.Seed
 	rng      *rand.Rand
-	admitted int // requests that were admitted and not released
+	admitted int // requests that were admitted and not released yet
 	waiting  int
 	tag      int64 // of the last request admitted
 	queues   [projects]project
-	active   timers.Timers[int64, *project] // those in which something waits, by their tags
+	active   timers.Timers[int64, *project] // queues with waiting requests, ordered by tag
 	pool     []waiter
-	free     Ticket
-	cost     float64 // that waits
-	rate     float64 // cost that leaves in a microsecond while there is no room to spare
+	free     Ticket  // head of the list of free places in pool
+	cost     float64 // of all waiting requests
+	rate     float64 // cost released per microsecond while the maximum of requests is admitted
 	meanHeld float64 // mean time between admission and release, in microseconds
-	meanCost float64 // and its mean cost
-	// Those that refused requests were told to come back to, by when the last of them is due.
+	meanCost float64 // mean cost of released requests
+	// Queues whose rejected requests were told when to retry, ordered by the last of these times.
 	promised timers.Timers[int64, *project]
-	claims   int
+	claims   int // number of queues in promised
 }
 
-// project is a queue of projects that share it.
+// project is a queue of one or more projects.
 type project struct {
 	timer   timers.Timer[int64, *project]
 	tag     int64
 	count   int
-	cost    float64 // that waits
+	cost    float64 // of its waiting requests
 	promise timers.Timer[int64, *project]
-	claims  bool  // it holds a promise
-	until   int64 // the last one's time
+	claims  bool  // a rejected request was told a time to retry that has not passed
+	until   int64 // the last such time
 	clients [clients]client
 }
 
@@ -78,11 +78,11 @@
 	project    *project
 	client     *client
 	cost       float64
-	step       int64  // what it moves its queues' tags on by
-	prev, next Ticket // in the client's queue; next of a free one is the next free one
+	step       int64  // by which it advances the tags of its queues
+	prev, next Ticket // in the client's queue; next of a free place is the next free place
 }
 
-// New returns an empty queue. The seed is for the spread of retry times; the hash has a key of its own, which no one knows.
+// New returns an empty queue. seed is for the random part of the retry times, hash is the secret key of the hash.
 func New(config Config, hash maphash.Seed, seed uint64) *Queue {
 	q := &Queue{config: config, hash: hash, rng: rand.New(rand.NewPCG(seed, 5)), pool: make([]waiter, max(config.Waiting, 1)), free: 0}
 	for i := range q.pool {
@@ -99,14 +99,14 @@
 	return q
 }
 
-// smooth is how many requests the means are taken over, about.
+// smooth is the inverse weight of a request in the moving averages, and so about the number of requests in them.
 const smooth = 64
 
-// scale turns a cost into tags, which are whole numbers.
+// scale converts costs to tags, which are integers.
 const scale = 1000
 
-// step is what a request of so much cost moves its queue's tag on by under a plan of that weight; a weight of 0 or
-// less, which a checked file doesn't have, counts as the least that a float keeps apart from it.
+// step returns by how much a request advances its queue's tag. A weight of 0 or less, which a validated configuration does
+// not have, counts as a tiny positive one, so that the division is defined.
 func step(cost, weight float64) int64 {
 	return int64(math.Ceil(cost * scale / max(weight, 1e-9)))
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -8,16 +8,16 @@
 	"unsafe"
 )
 
-// site is a front behind a queue in virtual time: what is admitted stays for 20 ms.
+// site simulates a front with a queue. An admitted request takes 20 ms.
 type site struct {
 	q       *Queue
 	rng     *rand.Rand
-	ends    []int64 // of those taken, in turn
-	who     map[Ticket]string
-	out     func(project string, later int64) // hears of one that was refused in another's place
-	served  map[string]int
-	refused map[string]int
-	weights map[string]float64 // of the projects' plans, 1 where none is named
+	ends    []int64                           // end times of the admitted requests, in order
+	who     map[Ticket]string                 // projects of the waiting requests
+	out     func(project string, later int64) // called for an evicted request, if set
+	served  map[string]int                    // by project
+	refused map[string]int                    // by project
+	weights map[string]float64                // by project, 1 if absent
 }
 
 const stay = 20_000
@@ -68,14 +68,14 @@
 	}
 }
 
-// One project with 5,000 clients floods, 200 with one each ask for half of what there is: they get what they would have
-// had alone.
+// Guards against a project with 5,000 clients that takes capacity from others by a flood: 200 projects with a client each,
+// which together need about half of the capacity, are served as without it.
 func TestFloodTakesNoOneElsesShare(t *testing.T) {
 	served := func(flood bool) (others, all int) {
-		s := newSite(50, 400) // 2,500 a second
+		s := newSite(50, 400) // 2,500 requests per second
 		for now := int64(0); now < 10_000_000; now += 1000 {
 			s.until(now)
-			for range 1 + s.rng.IntN(2) { // 1,500 a second of the 200
+			for range 1 + s.rng.IntN(2) { // 1,500 requests per second of the 200 projects
 				n := s.rng.IntN(200)
 				s.ask(now, fmt.Sprint("project-", n), "client")
 			}
@@ -94,49 +94,51 @@
 	}
 	alone, _ := served(false)
 	beside, all := served(true)
-	t.Logf("others served %d alone, %d beside a flood, %d in all", alone, beside, all)
+	t.Logf("requests of the others served: %d without a flood, %d with it; %d in total with it", alone, beside, all)
 	if float64(beside) < 0.95*float64(alone) || all < 24_000 {
-		t.Errorf("others served %d alone, %d beside a flood, %d of 25,000 in all", alone, beside, all)
+		t.Errorf("requests of the others served: %d without a flood, %d with it, want 95%%; %d in total with it, want 24,000 of 25,000",
+			alone, beside, all)
 	}
 }
 
-// Two projects that both ask for all of the room share it as their plans are weighed, 3 to 1, and both are served.
+// Two projects that each need more than the whole capacity share it by the weights of their plans, 3 to 1.
 func TestPlansShareByWeight(t *testing.T) {
 	s := newSite(50, 400)
 	s.weights = map[string]float64{"heavy": 3, "light": 1}
 	for now := int64(0); now < 5_000_000; now += 1000 {
 		s.until(now)
-		for i := range 8 { // 4,000 a second each, where 2,500 leave
+		for i := range 8 { // 8,000 requests per second each, of which 2,500 in total can be served
 			s.ask(now, "heavy", fmt.Sprint(i))
 			s.ask(now, "light", fmt.Sprint(i))
 		}
 	}
 	ratio := float64(s.served["heavy"]) / float64(s.served["light"])
-	t.Logf("served heavy %d, light %d: %.2f", s.served["heavy"], s.served["light"], ratio)
+	t.Logf("served %d of weight 3 and %d of weight 1, ratio %.2f", s.served["heavy"], s.served["light"], ratio)
 	if ratio < 2.7 || ratio > 3.3 {
-		t.Errorf("served heavy %d, light %d: %.2f to 1, want 3", s.served["heavy"], s.served["light"], ratio)
+		t.Errorf("served %d of weight 3 and %d of weight 1, ratio %.2f, want 2.7 to 3.3", s.served["heavy"], s.served["light"], ratio)
 	}
 }
 
-// A request whose client left while it waited is told nothing, so its project is promised nothing either; one whose
-// time ran out is told when to come back, and that time is its project's.
+// Guards against a promised retry time for a request whose client disconnected while it waited: no client would use it. A request
+// whose time ran out does get one.
 func TestWhoLeftTakesNoPromise(t *testing.T) {
 	q := New(Config{Room: 1, Waiting: 4, MaxRetryAfter: 2_000_000}, maphash.MakeSeed(), 1)
 	q.Arrive(0, "a", "", 1, 1)
 	q.Arrive(0, "b", "", 1, 1)
 	left := q.Arrive(0, "c", "", 1, 1).Ticket
-	q.Release(1, stay) // the rate at which requests leave is known now, and "b" is taken
+	q.Release(1, stay) // the rate at which requests leave is known now, and "b" is admitted
 	q.Cancel(left)
 	if q.claims != 0 {
-		t.Errorf("%d promises after a client left", q.claims)
+		t.Errorf("%d queues with a promised time after a client disconnected, want 0", q.claims)
 	}
 	timed := q.Arrive(1000, "d", "", 1, 1).Ticket
 	if after := q.Expire(1000, timed); after <= 0 || q.claims != 1 {
-		t.Errorf("one whose time ran out: after %d, %d promises, want more than 0 and 1", after, q.claims)
+		t.Errorf("expired request: retry after %d, %d queues with a promised time, want more than 0 and 1", after, q.claims)
 	}
 }
 
-// Ids that are made to collide under one key don't under another, and so don't push others out.
+// Guards against ids that are chosen to share a queue with another project's: those that collide under one key must not collide
+// under another one.
 func TestCollidingIdsAreOfNoUse(t *testing.T) {
 	known := New(Config{Room: 1, Waiting: 1}, maphash.MakeSeed(), 1)
 	victim, _ := known.find("victim", "")
@@ -155,11 +157,11 @@
 		}
 	}
 	if hits > 5 {
-		t.Errorf("%d of 200 ids collide under a key that they were not made for", hits)
+		t.Errorf("%d of 200 ids collide under a key other than the one they were chosen for, want at most 5", hits)
 	}
 }
 
-// Whatever comes, nothing is lost or told twice, and memory stays what it was.
+// Random calls: each request is admitted, expires or is evicted exactly once, and the memory is constant.
 func TestQueueKeepsCount(t *testing.T) {
 	q := New(Config{Room: 5, Waiting: 20, MaxRetryAfter: 1000}, maphash.MakeSeed(), 1)
 	rng := rand.New(rand.NewPCG(2, 2))
@@ -170,7 +172,7 @@
 			a := q.Arrive(now, fmt.Sprint(rng.IntN(50)), fmt.Sprint(rng.IntN(9)), 1+rng.Float64(), 1)
 			if a.Evicted != none {
 				if !waits[a.Evicted] {
-					t.Fatal("one that didn't wait was refused")
+					t.Fatal("a request that was not waiting was evicted")
 				}
 				delete(waits, a.Evicted)
 			}
@@ -179,10 +181,10 @@
 				taken++
 			case a.Refused:
 				if a.RetryAfter < 0 || a.RetryAfter > 1000 {
-					t.Fatalf("advice %d", a.RetryAfter)
+					t.Fatalf("retry after %d, want 0 to 1000", a.RetryAfter)
 				}
 			case waits[a.Ticket]:
-				t.Fatal("two wait at one place")
+				t.Fatal("two waiting requests have the same ticket")
 			default:
 				waits[a.Ticket] = true
 			}
@@ -191,7 +193,7 @@
 				taken--
 				for _, w := range q.Release(1, 20_000) {
 					if !waits[w] {
-						t.Fatal("one that didn't wait was taken")
+						t.Fatal("a request that was not waiting was admitted")
 					}
 					delete(waits, w)
 					taken++
@@ -205,12 +207,13 @@
 			}
 		}
 		if q.Waiting() != len(waits) || q.admitted != taken || taken > 5 || len(waits) > 20 || taken < 5 && len(waits) > 0 {
-			t.Fatalf("%d wait and %d are taken, the queue counts %d and %d", len(waits), taken, q.Waiting(), q.admitted)
+			t.Fatalf("%d waiting (at most 20) and %d admitted (at most 5, fewer only if none waits), the queue counts %d and %d",
+				len(waits), taken, q.Waiting(), q.admitted)
 		}
 	}
 	bytes := unsafe.Sizeof(*q) + uintptr(len(q.pool))*unsafe.Sizeof(waiter{})
-	t.Logf("%d bytes, whatever comes", bytes)
+	t.Logf("the queue takes %d bytes", bytes)
 	if bytes > 1<<20 {
-		t.Errorf("%d bytes", bytes)
+		t.Errorf("the queue takes %d bytes, want at most 1 MiB", bytes)
 	}
 }
--- a/internal/admission/retryafter_test.go
+++ b/internal/admission/retryafter_test.go
@@ -5,25 +5,25 @@
 	"testing"
 )
 
-// Clients that heed the advice find room when they come back, and little room stands idle meanwhile; also where the
-// clients of every other project ignore it and ask again each millisecond.
+// Clients that retry when they are told to are admitted or queued then, even if the clients of every second project retry each
+// millisecond instead. Guards against retry times that are too short, and against so long ones that capacity is unused.
 func TestAdviceIsHonest(t *testing.T) {
 	for _, others := range []string{"heed it", "ignore it"} {
 		again, found, over := returns(others == "ignore it")
 		least := 3000 / 2.5 * 1000 // microseconds, at 50 every 20 ms
-		t.Logf("others %s: %d came back, %d found room or a place to wait; over after %d ms, %.0f at the least", others,
+		t.Logf("others %s: %d retries on time, %d of them admitted or queued; finished after %d ms, at least %.0f needed", others,
 			again, found, over/1000, least/1000)
-		// Room that stands idle is the time past the least: under 5% of it, as the issue asks.
+		// The time beyond the minimum is unused capacity, which must stay under 5%.
 		if float64(found) < 0.9*float64(again) || others == "heed it" && float64(over) > 1.05*least {
-			t.Errorf("others %s: %d came back and %d of them found room; over after %d ms, %.0f at the least", others,
+			t.Errorf("others %s: %d retries on time, %d of them admitted or queued; finished after %d ms, at least %.0f needed", others,
 				again, found, over/1000, least/1000)
 		}
 	}
 }
 
-// returns plays 3,000 requests of 300 projects that come at once to a queue whose rate is known, and those who are refused
-// come back when they are told; where ignore is, those of every second project come back after a millisecond instead. It
-// tells how many of those who heed came back, how many of them found room or a place to wait, and when all was taken.
+// returns simulates 3,000 requests of 300 projects that arrive at once at a queue whose rate is known. Rejected ones are retried
+// when they were told to; if ignore is set, those of every second project after a millisecond instead. It returns the number of
+// retries on time, how many of them were admitted or queued, and after which time no request was left to admit.
 func returns(ignore bool) (again, found int, over int64) {
 	type client struct {
 		at    int64
@@ -33,13 +33,13 @@
 	}
 	s := newSite(50, 200)
 	now := int64(0)
-	for ; now < 500_000; now += 1000 { // the rate at which requests leave is learned
+	for ; now < 500_000; now += 1000 { // so that the queue knows the rate at which requests leave
 		s.until(now)
 		s.ask(now, fmt.Sprint("before-", s.rng.IntN(50)), "client")
 	}
 	begin := now
 	var out []client
-	own := map[*project]bool{} // projects that share a queue share its promises, and are told to come later
+	own := map[*project]bool{} // one project per queue, as projects that share one share its promised times and are told later ones
 	var names []string
 	for i := 0; len(names) < 300; i++ {
 		name := fmt.Sprint("project-", i)
@@ -47,7 +47,7 @@
 			own[p], names = true, append(names, name)
 		}
 	}
-	for i := range 3000 { // at once
+	for i := range 3000 { // all at the same time
 		out = append(out, client{now, names[i%300], false, !ignore || i%2 == 0})
 	}
 	var pushed []client
--- a/internal/lifecycle/decision.go
+++ b/internal/lifecycle/decision.go
@@ -7,29 +7,29 @@
 	"otterturn/internal/limits"
 )
 
-// Operation is what a path of the program is about to do.
+// Operation is a kind of action that the guard allows or denies.
 type Operation int
 
-// The operations that are decided on.
+// The operations.
 const (
-	Accept          Operation = iota // take a client's connection
-	Take                             // take a request that was read whole
+	Accept          Operation = iota // accept a client's connection
+	Take                             // accept a request that was read completely
 	Send                             // begin the first attempt of a request at a node
-	Retry                            // begin a further one
-	Stream                           // send a piece of a long request ahead of its attempt
+	Retry                            // begin a further attempt
+	Stream                           // send a part of a long request before its attempt begins
 	Answer                           // write a final answer
-	EndIdle                          // end a connection between two requests
-	EndIncomplete                    // end a connection, or answer, within a request that has not come whole
-	HandOver                         // give state and connections to another process of this front
-	StartBackground                  // begin work that no client waits for: a watch, a health check, a save
-	operationCount                   // not an operation
+	EndIdle                          // close a connection between two requests
+	EndIncomplete                    // close a connection, or answer, while a request has been received only in part
+	HandOver                         // pass state and connections to another process of this front
+	StartBackground                  // start work that no client waits for: a discovery watch, a health check, a save
+	operationCount                   // number of operations
 )
 
 var operationNames = [operationCount]string{
 	"accept", "take", "send", "retry", "stream", "answer", "end_idle", "end_incomplete", "hand_over", "start_background",
 }
 
-// String is the operation's name in logs and figures.
+// String returns the operation's name in logs and metrics.
 func (o Operation) String() string {
 	if o < 0 || o >= operationCount {
 		return "unknown"
@@ -37,7 +37,7 @@
 	return operationNames[o]
 }
 
-// Operations lists all operations.
+// Operations returns all operations.
 func Operations() []Operation {
 	all := make([]Operation, operationCount)
 	for i := range all {
@@ -49,7 +49,7 @@
 // Reason is why an operation is denied.
 type Reason int
 
-// The reasons; Allowed is none.
+// The reasons. Allowed means that the operation is not denied.
 const (
 	Allowed Reason = iota
 	PastDeadline
@@ -60,10 +60,10 @@
 
 var reasonNames = [...]string{"allowed", "past its deadline", "too little time left", "shutting down", "not shutting down"}
 
-// String is the reason in words.
+// String returns the reason in words.
 func (r Reason) String() string { return reasonNames[r] }
 
-// DeniedError tells that an operation must not be carried out now.
+// DeniedError reports that an operation must not be carried out now.
 type DeniedError struct {
 	Operation Operation
 	Reason    Reason
@@ -71,26 +71,26 @@
 
 func (e *DeniedError) Error() string { return fmt.Sprintf("%v denied: %v", e.Operation, e.Reason) }
 
-// Phase is how far a shutdown has come.
+// Phase is a phase of a shutdown.
 type Phase int
 
-// The phases, in their order.
+// The phases, in order.
 const (
 	Serving  Phase = iota // no shutdown
-	Draining              // open connections bring requests
-	Closing               // idle connections are ended; requests that were under way are taken
-	Ending                // all requests must be answered: what comes is rejected at once
+	Draining              // open connections may bring new requests
+	Closing               // idle connections are closed; requests in transit are still accepted
+	Ending                // all requests must be answered: new ones are rejected at once
 )
 
 var phaseNames = [...]string{"serving", "draining", "closing", "ending"}
 
-// String is the phase's name in logs.
+// String returns the phase's name in logs.
 func (p Phase) String() string { return phaseNames[p] }
 
-// state is what decisions go by. It is never changed, but replaced.
+// state holds the data on which decisions are based. It is immutable: a change replaces it.
 type state struct {
-	limits limits.StopLimits // of the settings in force; in a shutdown, the strictest in force since it began
-	began  time.Time         // of the shutdown, zero before
+	limits limits.StopLimits // of the settings in force; during a shutdown, the strictest in force since it began
+	began  time.Time         // start of the shutdown, zero before
 }
 
 func (s state) stopping() bool { return !s.began.IsZero() }
@@ -109,10 +109,10 @@
 	return Draining
 }
 
-// answerBy is when all requests must be answered, in a shutdown.
+// answerBy returns the time at which all requests must be answered during a shutdown.
 func (s state) answerBy() time.Time { return s.began.Add(s.limits.Answer) }
 
-// decide tells whether an operation that has time until by may be carried out now.
+// decide returns why an operation must not be carried out now, or Allowed. by is the operation's own deadline, zero for none.
 func (s state) decide(op Operation, now, by time.Time) Reason {
 	phase := s.phase(now)
 	switch op {
@@ -145,7 +145,7 @@
 	return Allowed
 }
 
-// deadline is until when a request may take that has so long from now.
+// deadline returns the deadline of a request that has the time left, which is earlier during a shutdown.
 func (s state) deadline(now time.Time, left time.Duration) time.Time {
 	own := now.Add(left)
 	if by := s.answerBy(); s.stopping() && by.Before(own) {
@@ -154,7 +154,8 @@
 	return own
 }
 
-// overdue tells by how much an operation that ended now was late, 0 where it was not. by is the time it had.
+// overdue returns by how much an operation that ended now was late, or 0. by is its deadline, zero for none. A stall of the
+// process up to the limit does not count as late.
 func (s state) overdue(op Operation, now, by time.Time) time.Duration {
 	var late time.Duration
 	if !by.IsZero() {
--- a/internal/lifecycle/guard.go
+++ b/internal/lifecycle/guard.go
@@ -1,10 +1,10 @@
-// Package lifecycle is the one place that decides whether work may begin, be sent, be repeated, be ended or be started now.
-// Every decision goes by the clock at the call and by the settings in force then: a bound that was computed as a request's head
-// came, as the process started or as a signal was handled is older than the moment in which it acts. The decisions are pure
-// functions in decision.go; Guard is the shell that owns the clock, the state and the counts. Times are monotonic: a step of
-// the system's clock moves none of them.
+// Package lifecycle decides whether an operation may be carried out now, such as accepting, sending, retrying or closing. All
+// such decisions are made here, by the clock and the settings at the time of the call: a deadline that was computed when a
+// request's header arrived, the process started or a signal was handled may be out of date when it is applied. The decisions
+// are pure functions in decision.go; Guard is the shell with the clock, the state and the counters. Times are monotonic, so a
+// change of the system clock does not affect them.
 //
-// The package sends, closes and starts nothing itself.
+// The package does not send, close or start anything itself.
 package lifecycle
 
 import (
@@ -22,24 +22,24 @@
 	log   *slog.Logger
 	state atomic.Pointer[state]
 
-	mu        sync.Mutex // held while the state is replaced
+	mu        sync.Mutex // guards changes of state, and the timer
 	endTimer  *time.Timer
-	ending    chan struct{} // closed as the Ending phase begins
-	stopping  chan struct{} // closed as a shutdown begins
+	ending    chan struct{} // closed when the Ending phase begins
+	stopping  chan struct{} // closed when a shutdown begins
 	endClosed bool
 
 	denied, violations [operationCount]atomic.Int64
 }
 
-// New returns the guard of a process that serves under these limits. log hears of phases and violations.
+// New returns the guard of a serving process with the given limits. It logs denials, phases and violations to log.
 func New(l limits.StopLimits, log *slog.Logger) *Guard {
 	g := &Guard{clock: time.Now, log: log, ending: make(chan struct{}), stopping: make(chan struct{})}
 	g.state.Store(&state{limits: l})
 	return g
 }
 
-// Reconfigure has the limits of other settings hold. In a shutdown only what ends it earlier does: SIGKILL may come by the
-// settings of any moment since SIGTERM.
+// Reconfigure replaces the limits. During a shutdown a limit changes only if it becomes earlier, because SIGKILL may come at
+// the time set by any settings that were in force since SIGTERM.
 func (g *Guard) Reconfigure(l limits.StopLimits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -51,8 +51,8 @@
 	g.replace(next)
 }
 
-// BeginShutdown notes that SIGTERM came at a moment, now or before. Further calls change nothing: the time until SIGKILL runs
-// from the first.
+// BeginShutdown begins a shutdown for a SIGTERM that was received at a time, now or earlier. Further calls have no effect: the
+// time until SIGKILL runs from the first SIGTERM.
 func (g *Guard) BeginShutdown(at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -66,7 +66,7 @@
 	g.log.Info("shutdown began", "answers_due_in", next.limits.Answer.String(), "kill_in", next.limits.Kill.String())
 }
 
-// replace stores a state, and has the Ending phase be told at its time. The lock is held.
+// replace stores a state and sets the timer for the Ending phase. The caller holds mu.
 func (g *Guard) replace(next state) {
 	g.state.Store(&next)
 	if !next.stopping() || g.endClosed {
@@ -78,7 +78,7 @@
 	g.endTimer = time.AfterFunc(next.answerBy().Sub(g.clock()), g.announceEnding)
 }
 
-// announceEnding closes the channel of Ending, unless the time was moved meanwhile.
+// announceEnding closes the channel of Ending, or resets the timer if the phase begins later by now.
 func (g *Guard) announceEnding() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -94,16 +94,16 @@
 	g.log.Info("shutdown phase", "phase", Ending.String())
 }
 
-// Stopping is closed as a shutdown begins.
+// Stopping returns a channel that is closed when a shutdown begins.
 func (g *Guard) Stopping() <-chan struct{} { return g.stopping }
 
-// Ending is closed as the Ending phase begins: what is open then must be answered at once.
+// Ending returns a channel that is closed when the Ending phase begins: open requests must be answered at once then.
 func (g *Guard) Ending() <-chan struct{} { return g.ending }
 
-// Phase tells how far a shutdown has come.
+// Phase returns the phase of the shutdown, Serving before one.
 func (g *Guard) Phase() Phase { return g.state.Load().phase(g.clock()) }
 
-// Since tells for how long a shutdown has been under way, 0 before.
+// Since returns the time since the start of the shutdown, 0 before one.
 func (g *Guard) Since() time.Duration {
 	s := g.state.Load()
 	if !s.stopping() {
@@ -112,18 +112,18 @@
 	return g.clock().Sub(s.began)
 }
 
-// Limits are those that decisions go by now.
+// Limits returns the limits in force.
 func (g *Guard) Limits() limits.StopLimits { return g.state.Load().limits }
 
-// Deadline is until when a request may take whose client waits for so long from now.
+// Deadline returns the deadline of a request whose client waits for the time left, which is earlier during a shutdown.
 func (g *Guard) Deadline(left time.Duration) time.Time {
 	return g.state.Load().deadline(g.clock(), left)
 }
 
-// minWait is what a wait has at the least: a shutdown that nobody kills still writes its answers.
+// minWait is the minimum of BeforeKill: a process that is not killed in time still writes its answers.
 const minWait = 50 * time.Millisecond
 
-// BeforeKill bounds a wait that begins now, so that it is over ahead of SIGKILL where there is time for it.
+// BeforeKill returns a wait that begins now, shortened during a shutdown so that it ends before SIGKILL, if there is time.
 func (g *Guard) BeforeKill(wait time.Duration) time.Duration {
 	s := g.state.Load()
 	if !s.stopping() {
@@ -132,8 +132,8 @@
 	return max(minWait, min(wait, s.began.Add(s.limits.Kill-s.limits.HoldUp).Sub(g.clock())))
 }
 
-// Allow tells whether an operation may be carried out now; the error is a *DeniedError. by is the time that the operation has
-// for reasons of its own, such as its client's patience or a window for repetitions, zero for none.
+// Allow returns nil if an operation may be carried out now, and a *DeniedError otherwise. by is the operation's own deadline,
+// such as the time for which its client waits or the deduplication window of a retry, zero for none.
 func (g *Guard) Allow(op Operation, by time.Time) error {
 	if reason := g.state.Load().decide(op, g.clock(), by); reason != Allowed {
 		g.denied[op].Add(1)
@@ -143,32 +143,33 @@
 	return nil
 }
 
-// Permits is Allow for callers that look again and again: what is not permitted yet is not counted as denied.
+// Permits reports whether an operation may be carried out now. Unlike Allow it is for repeated checks: it counts no denials.
 func (g *Guard) Permits(op Operation) bool {
 	return g.state.Load().decide(op, g.clock(), time.Time{}) == Allowed
 }
 
-// Done checks an operation that was carried out just now: one that is later than its time, and the hold-up that is allowed for,
-// is a violation.
+// Done checks an operation that was just carried out. It is a violation if the operation was later than its deadline by more
+// than the stall that is allowed for.
 func (g *Guard) Done(op Operation, by time.Time) {
 	if late := g.state.Load().overdue(op, g.clock(), by); late > 0 {
 		g.Violated(op, "late by "+late.String())
 	}
 }
 
-// Violated counts an operation that must not have been carried out.
+// Violated counts and logs an operation that should not have been carried out.
 func (g *Guard) Violated(op Operation, what string) {
 	g.violations[op].Add(1)
 	g.log.Error("rule violated", "operation", op.String(), "what", what, "phase", g.Phase().String(), "since_shutdown", g.Since().String())
 }
 
-// Count is how often an operation was denied, and carried out against the rules, since the process started.
+// Count holds how often an operation was denied, and how often it was carried out in violation of the rules, since the process
+// started.
 type Count struct {
 	Operation          Operation
 	Denied, Violations int64
 }
 
-// Counts lists the counts of all operations.
+// Counts returns the counts of all operations.
 func (g *Guard) Counts() []Count {
 	var out []Count
 	for _, op := range Operations() {
@@ -177,7 +178,7 @@
 	return out
 }
 
-// Violations is the sum over all operations.
+// Violations returns the number of violations of all operations.
 func (g *Guard) Violations() (sum int64) {
 	for _, c := range g.Counts() {
 		sum += c.Violations
--- a/internal/lifecycle/guard_test.go
+++ b/internal/lifecycle/guard_test.go
@@ -21,7 +21,7 @@
 	return g, clock
 }
 
-// Each operation in each phase. What is allowed goes by the clock at the call, not at the shutdown's beginning.
+// Checks each operation in each phase. The phase depends on the clock at the call, not at the start of the shutdown.
 func TestWhatIsAllowedInEachPhase(t *testing.T) {
 	g, clock := newGuard(time.Second)
 	stop := g.Limits()
@@ -41,19 +41,19 @@
 		began := clock.now
 		clock.now = began.Add(moment.since)
 		if got := g.Phase(); got != moment.phase {
-			t.Fatalf("%v after SIGTERM: %v, want %v", moment.since, got, moment.phase)
+			t.Fatalf("%v after SIGTERM: phase %v, want %v", moment.since, got, moment.phase)
 		}
 		for _, op := range Operations() {
 			if err := g.Allow(op, time.Time{}); (err == nil) != allowed[moment.phase][op] {
-				t.Errorf("%v while %v: %v", op, moment.phase, err)
+				t.Errorf("operation %v in phase %v: error %v", op, moment.phase, err)
 			}
 		}
 		clock.now = began
 	}
 }
 
-// Guards against lost requests whose time was taken ahead of the moment in which they are sent: the deadline of a request that
-// comes late in a shutdown ends ahead of SIGKILL by a hold-up on either side, and too little time is none.
+// Guards against lost requests whose deadline was computed before they were sent. The deadline of a request that arrives
+// late in a shutdown is at least two stalls before SIGKILL, and a request with too little time left is denied.
 func TestDeadlineEndsAheadOfTheKill(t *testing.T) {
 	for _, longest := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second} {
 		g, clock := newGuard(longest)
@@ -62,18 +62,18 @@
 		for clock.now.Sub(began) < stop.Kill {
 			clock.now = clock.now.Add(10 * time.Millisecond)
 			if left := began.Add(stop.Kill).Sub(g.Deadline(longest)); left < 2*stop.HoldUp {
-				t.Fatalf("longest deadline %v, %v after SIGTERM: answered %v ahead of the kill", longest, clock.now.Sub(began), left)
+				t.Fatalf("longest deadline %v, %v after SIGTERM: answer due %v before SIGKILL, want two stalls", longest, clock.now.Sub(began), left)
 			}
 			err := g.Allow(Take, clock.now.Add(longest))
 			if fits := began.Add(stop.Answer).Sub(clock.now) >= stop.MinTime; (err == nil) != fits {
-				t.Errorf("longest deadline %v, %v after SIGTERM: %v", longest, clock.now.Sub(began), err)
+				t.Errorf("longest deadline %v, %v after SIGTERM: Allow returned %v", longest, clock.now.Sub(began), err)
 			}
 		}
 	}
 }
 
-// Guards against a shutdown by the settings of the start: a reload counts, before SIGTERM whatever it brings, behind it where it
-// ends the process earlier.
+// Guards against a shutdown by the settings of the process's start. A reload before SIGTERM always applies, one after it only if
+// it ends the process earlier.
 func TestReloadMovesTheShutdown(t *testing.T) {
 	short, long := limits.Stop(500*time.Millisecond), limits.Stop(3*time.Second)
 	g, clock := newGuard(time.Second)
@@ -81,14 +81,14 @@
 	g.BeginShutdown(clock.now)
 	began := clock.now
 	if by := g.Deadline(time.Minute); by != began.Add(long.Answer) {
-		t.Errorf("reloaded ahead of SIGTERM: answers are due %v behind it", by.Sub(began))
+		t.Errorf("reload before SIGTERM: answers are due %v after it, want the limit of the reload", by.Sub(began))
 	}
 	g.Reconfigure(short)
 	g.Reconfigure(long)
 	clock.now = began.Add(100 * time.Millisecond)
-	g.BeginShutdown(clock.now) // signals come in series
+	g.BeginShutdown(clock.now) // a second SIGTERM
 	if by := g.Deadline(time.Minute); by != began.Add(short.Answer) {
-		t.Errorf("reloaded behind SIGTERM: answers are due %v behind it", by.Sub(began))
+		t.Errorf("reload after SIGTERM: answers are due %v after it, want the earliest limit", by.Sub(began))
 	}
 }
 
@@ -98,14 +98,14 @@
 	g := New(l, slog.New(slog.DiscardHandler))
 	select {
 	case <-g.Ending():
-		t.Fatal("announced ahead of a shutdown")
+		t.Fatal("Ending is closed before a shutdown")
 	default:
 	}
 	g.BeginShutdown(time.Now())
 	<-g.Stopping()
 	<-g.Ending()
 	if g.Phase() != Ending {
-		t.Errorf("phase %v", g.Phase())
+		t.Errorf("phase %v, want ending", g.Phase())
 	}
 }
 
@@ -114,11 +114,11 @@
 	holdUp := g.Limits().HoldUp
 	var denied *DeniedError
 	if err := g.Allow(Retry, clock.now); !errors.As(err, &denied) || denied.Reason != PastDeadline {
-		t.Errorf("at its deadline: %v", err)
+		t.Errorf("retry at its deadline: error %v, want past its deadline", err)
 	}
 	g.Done(Send, clock.now.Add(-holdUp))
 	if n := g.Violations(); n != 0 {
-		t.Errorf("within the hold-up: %d violations", n)
+		t.Errorf("late by the allowed stall: %d violations, want 0", n)
 	}
 	g.Done(Send, clock.now.Add(-holdUp-time.Millisecond))
 	g.BeginShutdown(clock.now)
@@ -131,9 +131,9 @@
 		}
 	}
 	if n := g.Counts()[Retry].Denied; n != 1 {
-		t.Errorf("%d retries denied", n)
+		t.Errorf("%d retries denied, want 1", n)
 	}
 	if wait := g.BeforeKill(time.Minute); wait != minWait {
-		t.Errorf("a wait of %v behind the kill", wait)
+		t.Errorf("wait of %v after the time of SIGKILL, want 50 ms", wait)
 	}
 }
--- a/internal/limits/operation.go
+++ b/internal/limits/operation.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// A front's own agent answers at once and at no cost, or not at all while discovery is down, and what it has counts as
-// told: so a call that is not answered is given up, and the next one made, within the time in which a drain has to be
-// heeded, less a hold-up of the front. Three of these parts of it are gone then at the latest, and an eighth.
+// A front counts as knowing what its own discovery agent knows. The agent answers at once and at no cost, or not at all while
+// discovery is down. So an unanswered watch has to be given up, and the next one begun, within the drain grace less one stall
+// of the front. WatchHold, AnswerTimeout and the longest pause take three and a half of the 4 parts of that time, which leaves
+// an eighth.
 const (
 	agentParts    = 4
-	minDrainGrace = 250 * time.Millisecond // the grace is reckoned within these bounds
-	maxDrainGrace = 2 * time.Second
+	minDrainGrace = 250 * time.Millisecond // a drain grace below this counts as this
+	maxDrainGrace = 2 * time.Second        // a drain grace above this counts as this
 )
 
-// What one discovery answers, for all fronts that ask it: as 80 fronts began to ask together it answered one watch that
-// begins in 30 ms, and nothing was seen of one that goes on. Half of it is left to it, as far as that can be waited for:
-// whether it hears of it or not, a front counts as told 6 s behind the news, and 4 s behind SIGHUP. The longest way to news
-// is a watch that falls silent, and the pause before the next call, or a call that fails, and that pause.
+// Limits for one discovery that all fronts share. When 80 fronts began their watches together, it answered one first watch per
+// 30 ms; its rate for later watches was not observed. The limits use half of that rate, as far as the time allows: a front
+// counts as informed 6 s after a change and 4 s after SIGHUP, whether or not it received an answer. The slowest way to learn of
+// a change is a watch that gets no answer, or a call that fails, followed by the pause before the next call.
 const (
 	sharedSpreadPerFront = 60 * time.Millisecond
-	sharedMaxSpread      = 3 * time.Second         // first watches begin within this, whatever the number of fronts
-	sharedWatchHold      = 2 * time.Second         // a watch that goes on is asked anew as seldom as this
-	sharedAnswerTimeout  = 2 * time.Second         // and one that begins may wait in turn for so long
-	sharedRetryMax       = 1300 * time.Millisecond // a pause is one and a half times as long at most
+	sharedMaxSpread      = 3 * time.Second         // first watches begin within this for any number of fronts
+	sharedWatchHold      = 2 * time.Second         // a watch without changes is renewed at this interval
+	sharedAnswerTimeout  = 2 * time.Second         // a first watch may wait in the queue of discovery for this
+	sharedRetryMax       = 1300 * time.Millisecond // a pause lasts at most one and a half times this
 )
 
 const (
-	minListBytes = 1 << 20 // 2,000 nodes take 400 KiB, and twice that while they are read
+	minListBytes = 1 << 20 // a list of 2,000 nodes takes 400 KiB, and twice that while it is parsed
 	watchRetry   = 50 * time.Millisecond
 )
 
@@ -46,18 +47,17 @@
 	return out
 }
 
-// A process is killed after SIGTERM no earlier than its longest deadline, counted as stopMaxDeadline where that is
-// longer, and stopExtra. Ahead of that SIGTERM may have been noticed late by one hold-up, and an answer be written late by
-// another one.
+// After SIGTERM a process is killed no earlier than after its longest deadline, or stopMaxDeadline if that is shorter, plus
+// stopExtra. Within that time, SIGTERM may be noticed late by one stall, and an answer be written late by another one.
 const (
 	stopMaxDeadline     = 3 * time.Second
 	stopExtra           = 700 * time.Millisecond
-	holdUp              = 150 * time.Millisecond           // a process may stand still so long between its clock and a write
-	stopAnswerMargin    = 2*holdUp + stopWriteTime         // before the kill all requests are answered
-	stopWriteTime       = 50 * time.Millisecond            // for writing the answers that are due together
-	stopServeMargin     = stopAnswerMargin + stopCloseTime // before the kill connections bring no requests any more
-	stopCloseTime       = 150 * time.Millisecond           // for ending idle connections, and for what crosses that
-	stopMinTime         = 20 * time.Millisecond            // with less a request is rejected, as no node answers in so little
+	holdUp              = 150 * time.Millisecond           // longest stall of a process between reading its clock and a write
+	stopAnswerMargin    = 2*holdUp + stopWriteTime         // all requests are answered this long before the kill
+	stopWriteTime       = 50 * time.Millisecond            // for writing the answers that are due at the same time
+	stopServeMargin     = stopAnswerMargin + stopCloseTime // connections bring no more requests this long before the kill
+	stopCloseTime       = 150 * time.Millisecond           // for closing idle connections, and for requests already in transit
+	stopMinTime         = 20 * time.Millisecond            // a request with less is rejected, as no node answers so fast
 	stopAccept          = 500 * time.Millisecond
 	stopAtMostExtra     = 2 * time.Second // beyond the longest deadline
 	stopConnsPerRequest = 2
@@ -65,7 +65,7 @@
 	handoverTimeout     = 2 * time.Second
 )
 
-// Stop computes the limits of a stop for the longest deadline of any class.
+// Stop computes the limits of a graceful shutdown for the longest deadline of any class.
 func Stop(longest time.Duration) StopLimits {
 	kill := min(longest, stopMaxDeadline) + stopExtra
 	return StopLimits{
@@ -82,7 +82,7 @@
 	}
 }
 
-// Strictest returns the earlier end of each phase of two stops.
+// Strictest returns the limits with the earlier end of each phase.
 func (l StopLimits) Strictest(other StopLimits) StopLimits {
 	l.Accept = min(l.Accept, other.Accept)
 	l.Serve = min(l.Serve, other.Serve)
--- a/internal/limits/site.go
+++ b/internal/limits/site.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Site is what a deployment allows, from which all limits are computed.
+// Site describes a deployment, from which all limits are computed.
 type Site struct {
 	MemoryMB   int           // memory of the process, in MiB
 	Sockets    int           // file descriptors of the process
-	Open       int           // open requests at most, 0 for as many as there are clients
-	ConnIdle   time.Duration // after which a node closes an idle connection
-	Connect    time.Duration // for connecting to a node
-	Deadline   time.Duration // the longest of any request
-	DrainGrace time.Duration // time in which a drain has to be heeded once it was announced, 0 where unknown
-	Askers     int           // fronts that watch one discovery, 0 where each has an agent of its own
+	Open       int           // maximum of open requests, 0 for one per client connection
+	ConnIdle   time.Duration // time after which a node closes an idle connection
+	Connect    time.Duration // timeout for connecting to a node
+	Deadline   time.Duration // the longest deadline of any request
+	DrainGrace time.Duration // time after its announcement within which a drain has to take effect, 0 if unknown
+	Askers     int           // fronts that watch one shared discovery, 0 if each front has its own agent
 }
 
 // For computes the limits of a deployment.
@@ -30,30 +30,30 @@
 	}
 }
 
-// How the sockets are shared out: clients keep a connection each while their requests are held, and may hold a third
-// of all with requests. Nodes get few at a time, but all of a front's requests may go to few nodes or to many.
+// Division of the sockets. Each client keeps a connection while its request is open, and clients may use a third of all sockets
+// for open requests. A node has few requests at a time, but all requests of a front may go to few nodes or to many.
 const (
-	reservedSockets = 32 // for listeners, discovery, the console and the run time
+	reservedSockets = 32 // for listeners, discovery, the console and the Go runtime
 	spareConns      = 24 // see ClientLimits.SpareConns
-	minShared       = 16 // sockets that are shared out at the least
-	nodeShare       = 3  // one in so many of the shared sockets leads to a node
-	scheduledShare  = 4  // requests may be open on one in so many of all sockets: clients have a third at most
+	minShared       = 16 // minimum of the sockets for clients and nodes
+	nodeShare       = 3  // one in this many of the sockets for clients and nodes is for nodes
+	scheduledShare  = 4  // open requests may use one in this many of all sockets, as clients have at most a third
 )
 
-// Memory that is reckoned with, in bytes.
+// Estimates of memory, in bytes.
 const (
-	connBytes      = 32 << 10  // a connection at most, beside a body: its buffers and its goroutines' stacks
-	bufferedBytes  = 64 << 10  // the largest body that is held whole
-	streamedBytes  = 256 << 20 // the largest body that is passed on in pieces
-	headerBytes    = 16 << 10  // the largest head of a message
-	idBytes        = 256       // an id that is remembered at most
-	memoryPercent  = 60        // of the process's memory that the run time aims to stay under
-	memoryFraction = 32        // ids, and the node list, take one in so many bytes of that
+	connBytes      = 32 << 10  // maximum per connection, without a body: its buffers and the stacks of its goroutines
+	bufferedBytes  = 64 << 10  // largest body that is buffered completely
+	streamedBytes  = 256 << 20 // largest body that is streamed
+	headerBytes    = 16 << 10  // largest header of a message
+	idBytes        = 256       // maximum per remembered id
+	memoryPercent  = 60        // soft memory limit of the Go runtime, as a share of the process's memory
+	memoryFraction = 32        // ids, and likewise the endpoint list, take one in this many bytes of that limit
 )
 
 const acceptRetry = 20 * time.Millisecond
 
-// shares are what the parts get of memory and sockets.
+// shares holds the memory and the numbers of connections that the parts of the program get.
 type shares struct {
 	memory  int64 // soft limit, in bytes
 	clients int   // connections of clients
@@ -64,7 +64,7 @@
 	sockets := max(site.Sockets-reservedSockets-spareConns, minShared)
 	nodes := sockets / nodeShare
 	out := shares{memory: int64(site.MemoryMB) << 20 * memoryPercent / 100, clients: sockets - nodes, nodes: nodes}
-	// Every client may send a longest body, and every node answer with one.
+	// Every client may send a body of the largest size, and every node answer with one.
 	if most := int(out.memory / (connBytes + bufferedBytes)); out.clients+out.nodes > most {
 		out.clients, out.nodes = most-most/nodeShare, most/nodeShare
 	}
--- a/internal/limits/traffic.go
+++ b/internal/limits/traffic.go
@@ -4,8 +4,8 @@
 
 const (
 	inboxPerClient = 4                      // events that may be queued for each client connection
-	minPastIDs     = 1024                   // ids that are remembered at the least
-	answerGrace    = 350 * time.Millisecond // with holdUp, the half second within which a late answer is not lost
+	minPastIDs     = 1024                   // minimum number of remembered ids
+	answerGrace    = 350 * time.Millisecond // with holdUp half a second, within which a late answer is not lost
 )
 
 func requestLimits(site Site, got shares) RequestLimits {
@@ -18,7 +18,7 @@
 		Open:      open,
 		Scheduled: min(open, site.Sockets/scheduledShare),
 		PastIDs:   max(minPastIDs, int(got.memory/memoryFraction/idBytes)),
-		// A copy of a request comes within the time that its client waits, or its nodes drop repeats for.
+		// A duplicate of a request arrives while its client waits, or within the deduplication window of the nodes.
 		IDRetention:   2 * site.Deadline,
 		AnswerGrace:   answerGrace,
 		HeaderBytes:   headerBytes,
@@ -27,18 +27,18 @@
 	}
 }
 
-// A client that sends what can't be read is owed an error or a close within 3 s of connecting: the timeouts for a
-// request's head, body and challenge stay under that.
+// A client that sends an unreadable request must get an error, or its connection must be closed, within 3 s of connecting. So
+// the timeouts for a request's header, its body and a challenge are shorter.
 const (
 	clientHeaderTimeout = 2400 * time.Millisecond
 	challengeTimeout    = 2500 * time.Millisecond
 	clientBodySilence   = 2500 * time.Millisecond
-	clientWriteExtra    = 5 * time.Second // for writing an answer, beyond twice the longest deadline
+	clientWriteExtra    = 5 * time.Second // for writing an answer, in addition to twice the longest deadline
 	clientIdleTimeout   = 5 * time.Second
 	clientMinIdle       = 20 * time.Millisecond
 	clientLastAnswer    = 250 * time.Millisecond
 	handshakeTimeout    = 3 * time.Second
-	handshakeShare      = 8 // one in so many client connections may be in a handshake
+	handshakeShare      = 8 // one in this many client connections may be in a handshake
 	minHandshakes       = 8
 )
 
@@ -62,14 +62,14 @@
 
 const (
 	responseHeads    = 8
-	attemptTries     = 3  // for writing, connecting and probing alike
-	nodeIdlePercent  = 60 // of the time after which a node closes an idle connection
+	attemptTries     = 3  // for writing, connecting and health checks
+	nodeIdlePercent  = 60 // share of the time after which a node closes an idle connection
 	nodeReuseDelay   = 5 * time.Millisecond
-	nodeMinTimeout   = 250 * time.Millisecond // for an answer's head, and between its pieces, at the least
+	nodeMinTimeout   = 250 * time.Millisecond // minimum for an answer's header, and for the next part of its body
 	nodeBufferTime   = 250 * time.Millisecond
 	streamSilence    = 10 * time.Second
-	hedgesPerTimeout = 8 // so many delays before a further attempt make the time for connecting
-	connectsPerProbe = 2 // a probe takes as long as so many connections may
+	hedgesPerTimeout = 8 // hedge delays in the timeout for connecting
+	connectsPerProbe = 2 // connect timeouts in the timeout for a health check
 )
 
 func nodeLimits(site Site, got shares) NodeLimits {
@@ -95,7 +95,7 @@
 	filesMaxConns       = 32
 	filesHandles        = 256
 	filesTransfers      = 8
-	filesPacketBytes    = 64<<10 + 1024 // the longest write and the packet's other fields
+	filesPacketBytes    = 64<<10 + 1024 // the longest write and the other fields of its packet
 	filesReadBytes      = 32 << 10
 	filesResponseBytes  = 2 << 20
 	filesAdmitTimeout   = 30 * time.Second
