--- a/scheduler/slowstart/config.go
+++ b/scheduler/slowstart/config.go
@@ -51,12 +51,12 @@
 const (
 	validityDivisor     = 10   // a grant may be used for OverloadSpan / validityDivisor
 	reportDivisor       = 10   // answers are reported to the granter at intervals of OverloadSpan / reportDivisor
-	requestDivisor      = 2    // a request that gets no grant is repeated after OverloadSpan / requestDivisor
+	requestDivisor      = 2    // a request without a grant expires, and is repeated, after OverloadSpan / requestDivisor
 	periodSpans         = 12   // grant lifetimes in a granter's period, in the first of which it grants nothing
 	reportedInTimeShare = 0.88 // share of the units reported within a span that were answered within it; the rest was late
 	maxMeasuredSpans    = 4    // largest sum of latencies that a front reports, in spans
 	reportLifetimeSpans = 4    // spans for which a front's report counts after its last request
-	cachedPieceCost     = 0.25 // share of a request's units that counts if the node has its piece cached: the work is 27 to 51%
+	cachedPieceCost     = 0.25 // share of a request's units that counts if the node has its piece cached; it takes 27 to 51% of the work
 	cachedPieces        = 4    // largest number of pieces that a node has cached
 	soloPeriodSpans     = 2    // periodSpans without peer messages: a granter with nothing to send keeps the others waiting
 )
