--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -6,7 +6,7 @@
 type Arrival struct {
 	Admitted          bool
 	Ticket            Ticket // identifies the request if it waits
-	Refused           bool
+	Rejected          bool
 	RetryAfter        int64  // time after which the client of a rejected request should retry
 	Evicted           Ticket // waiting request that is rejected in place of this one, below 0 for none
 	EvictedRetryAfter int64  // time after which the client of the evicted request should retry
@@ -16,37 +16,37 @@
 // for it: the last request of the client with the most waiting requests, in the project queue with the highest waiting cost.
 // cost is in the unit of Release's cost. weight is the plan's share of the capacity that is not reserved
 // (scheduler.Plan.Weight).
-func (q *Queue) Arrive(now int64, name, by string, cost, weight float64) Arrival {
-	p, c := q.find(name, by)
-	a, step := Arrival{Evicted: none}, step(cost, weight)
+func (q *Queue) Arrive(now int64, projectID, clientID string, cost, weight float64) Arrival {
+	p, c := q.find(projectID, clientID)
+	a, increment := Arrival{Evicted: noTicket}, tagIncrement(cost, weight)
 	if q.admitted < q.config.Room && q.waiting == 0 {
-		q.admit(p, c, step)
+		q.admit(p, c, increment)
 		a.Admitted = true
 		return a
 	}
-	if q.free == none {
-		longest, most := p, p.cost+cost
+	if q.firstFree == noTicket {
+		costliest, maxCost := p, p.cost+cost
 		for i := range q.queues {
-			if other := &q.queues[i]; other.cost > most {
-				longest, most = other, other.cost
+			if other := &q.queues[i]; other.cost > maxCost {
+				costliest, maxCost = other, other.cost
 			}
 		}
 		// A flood is at the expense of the project that causes it: no other project's request is rejected or evicted for it.
-		if longest == p && q.heaviest(p).count <= c.count+1 {
-			a.Refused, a.RetryAfter = true, q.retryAfter(now, p, cost)
+		if costliest == p && q.busiestClient(p).count <= c.count+1 {
+			a.Rejected, a.RetryAfter = true, q.retryAfter(now, p, cost)
 			return a
 		}
-		a.Evicted = q.heaviest(longest).last
+		a.Evicted = q.busiestClient(costliest).last
 		a.EvictedRetryAfter = q.Expire(now, a.Evicted)
 	}
-	a.Ticket = q.free
+	a.Ticket = q.firstFree
 	w := &q.pool[a.Ticket]
-	q.free = w.next
-	*w = waiter{project: p, client: c, cost: cost, step: step, prev: c.last, next: none}
-	if c.last != none {
+	q.firstFree = w.next
+	*w = waiter{project: p, client: c, cost: cost, increment: increment, prev: c.last, next: noTicket}
+	if c.last != noTicket {
 		q.pool[c.last].next = a.Ticket
 	} else {
-		c.first, c.tag = a.Ticket, max(c.tag, p.least())
+		c.first, c.tag = a.Ticket, max(c.tag, p.minTag())
 	}
 	c.last = a.Ticket
 	if p.count == 0 {
@@ -57,35 +57,35 @@
 	return a
 }
 
-// least returns the lowest tag of the clients with waiting requests, at which a client's queue begins, or 0.
-func (p *project) least() int64 {
-	least := int64(math.MaxInt64)
+// minTag returns the lowest tag of the clients with waiting requests, at which a client's queue begins, or 0.
+func (p *project) minTag() int64 {
+	lowest := int64(math.MaxInt64)
 	for i := range p.clients {
 		if c := &p.clients[i]; c.count > 0 {
-			least = min(least, c.tag)
+			lowest = min(lowest, c.tag)
 		}
 	}
-	if least == math.MaxInt64 {
+	if lowest == math.MaxInt64 {
 		return 0
 	}
-	return least
+	return lowest
 }
 
-// heaviest returns the client with the most waiting requests.
-func (q *Queue) heaviest(p *project) *client {
-	most := &p.clients[0]
+// busiestClient returns the client with the most waiting requests.
+func (q *Queue) busiestClient(p *project) *client {
+	busiest := &p.clients[0]
 	for i := range p.clients {
-		if p.clients[i].count > most.count {
-			most = &p.clients[i]
+		if p.clients[i].count > busiest.count {
+			busiest = &p.clients[i]
 		}
 	}
-	return most
+	return busiest
 }
 
-func (q *Queue) admit(p *project, c *client, step int64) {
+func (q *Queue) admit(p *project, c *client, increment int64) {
 	p.tag = max(p.tag, q.tag)
 	q.tag = p.tag
-	p.tag, c.tag = p.tag+step, c.tag+step
+	p.tag, c.tag = p.tag+increment, c.tag+increment
 	q.admitted++
 }
 
@@ -96,8 +96,8 @@
 	if q.meanHeld == 0 {
 		q.meanHeld, q.meanCost = float64(max(held, 1)), cost
 	}
-	q.meanHeld += (float64(max(held, 1)) - q.meanHeld) / smooth
-	q.meanCost += (cost - q.meanCost) / smooth
+	q.meanHeld += (float64(max(held, 1)) - q.meanHeld) / averagedRequests
+	q.meanCost += (cost - q.meanCost) / averagedRequests
 	q.rate = float64(q.config.Room) * q.meanCost / q.meanHeld
 	for q.admitted < q.config.Room && q.waiting > 0 {
 		p, _ := q.active.Due(math.MaxInt64)
@@ -108,10 +108,10 @@
 			}
 		}
 		t := next.first
-		step := q.pool[t].step
+		increment := q.pool[t].increment
 		q.active.Set(&p.timer, p.tag) // remove stops the timer if no request is left
 		q.remove(t)
-		q.admit(p, next, step)
+		q.admit(p, next, increment)
 		if p.count > 0 {
 			q.active.Set(&p.timer, p.tag)
 		}
--- a/internal/admission/gate/gate_test.go
+++ b/internal/admission/gate/gate_test.go
@@ -16,48 +16,48 @@
 
 // Many concurrent calls: at most 8 requests are admitted at the same time, each one is admitted or rejected, and a request is
 // admitted at once afterwards.
-func TestManyAtOnce(t *testing.T) {
+func TestConcurrentRequests(t *testing.T) {
 	g := New(admission.Config{Room: 8, Waiting: 64, MaxRetryAfter: 1000}, standin.Patience)
-	var in, most, served, refused atomic.Int64
-	var all sync.WaitGroup
+	var admitted, maxAdmitted, served, rejected atomic.Int64
+	var callers sync.WaitGroup
 	for i := range 5000 {
-		all.Go(func() {
-			leave, err := g.Enter(t.Context(), fmt.Sprint(i%100), fmt.Sprint(i), 1, 1, standin.Patience)
+		callers.Go(func() {
+			release, err := g.Enter(t.Context(), fmt.Sprint(i%100), fmt.Sprint(i), 1, 1, standin.Patience)
 			if err != nil {
-				refused.Add(1)
+				rejected.Add(1)
 				return
 			}
-			now := in.Add(1)
-			for was := most.Load(); now > was && !most.CompareAndSwap(was, now); was = most.Load() {
+			now := admitted.Add(1)
+			for highest := maxAdmitted.Load(); now > highest && !maxAdmitted.CompareAndSwap(highest, now); highest = maxAdmitted.Load() {
 			}
 			served.Add(1)
-			in.Add(-1)
-			leave()
+			admitted.Add(-1)
+			release()
 		})
 	}
-	all.Wait()
-	if most.Load() > 8 || served.Load()+refused.Load() != 5000 || served.Load() < 8 || g.Waiting() != 0 {
+	callers.Wait()
+	if maxAdmitted.Load() > 8 || served.Load()+rejected.Load() != 5000 || served.Load() < 8 || g.Waiting() != 0 {
 		t.Errorf("%d admitted at the same time, want at most 8; %d served and %d rejected, want 5000 in total; %d waiting, want 0",
-			most.Load(), served.Load(), refused.Load(), g.Waiting())
+			maxAdmitted.Load(), served.Load(), rejected.Load(), g.Waiting())
 	}
-	if leave, err := g.Enter(t.Context(), "after", "", 1, 1, 0); err != nil {
+	if release, err := g.Enter(t.Context(), "after", "", 1, 1, 0); err != nil {
 		t.Errorf("request after all others: %v", err)
 	} else {
-		leave()
+		release()
 	}
 }
 
-func TestWaitsEnd(t *testing.T) {
+func TestWaitEndsByTimeoutDisconnectOrAdmission(t *testing.T) {
 	g := New(admission.Config{Room: 1, Waiting: 4, MaxRetryAfter: 5_000_000}, standin.Patience)
-	leave, err := g.Enter(t.Context(), "a", "", 1, 1, 0)
+	release, err := g.Enter(t.Context(), "a", "", 1, 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var refused *routing.RejectedError
-	if _, err := g.Enter(t.Context(), "b", "", 1, 1, time.Millisecond); !errors.As(err, &refused) || refused.RetryAfter <= 0 {
+	var rejected *routing.RejectedError
+	if _, err := g.Enter(t.Context(), "b", "", 1, 1, time.Millisecond); !errors.As(err, &rejected) || rejected.RetryAfter <= 0 {
 		t.Errorf("request whose time ran out: error %v, want a rejection with a time to retry", err)
 	}
-	gone := errors.New("gone")
+	disconnected := errors.New("gone")
 	ctx, end := context.WithCancelCause(t.Context())
 	done := make(chan error, 2)
 	go func() {
@@ -65,19 +65,19 @@
 		done <- err
 	}()
 	standin.Until(t, "a waiting request", func() bool { return g.Waiting() == 1 })
-	end(gone)
-	if err := standin.Await(t, "the end of a request whose client disconnected", done); !errors.Is(err, gone) || g.Waiting() != 0 {
+	end(disconnected)
+	if err := standin.Await(t, "the end of a request whose client disconnected", done); !errors.Is(err, disconnected) || g.Waiting() != 0 {
 		t.Errorf("request whose client disconnected: error %v, want gone; %d waiting, want 0", err, g.Waiting())
 	}
 	go func() {
-		last, err := g.Enter(t.Context(), "d", "", 1, 1, standin.Patience)
+		releaseNext, err := g.Enter(t.Context(), "d", "", 1, 1, standin.Patience)
 		if err == nil {
-			last()
+			releaseNext()
 		}
 		done <- err
 	}()
 	standin.Until(t, "a waiting request", func() bool { return g.Waiting() == 1 })
-	leave()
+	release()
 	if err := standin.Await(t, "the admission of the waiting request", done); err != nil {
 		t.Error(err)
 	}
--- a/internal/admission/leave.go
+++ b/internal/admission/leave.go
@@ -2,7 +2,7 @@
 
 // Expire removes a waiting request whose time has run out or that is evicted. It returns the time in microseconds after which
 // its client should retry, and counts that time as promised to the project.
-func (q *Queue) Expire(now int64, t Ticket) (after int64) {
+func (q *Queue) Expire(now int64, t Ticket) (retryAfter int64) {
 	w := q.pool[t]
 	q.remove(t)
 	return q.retryAfter(now, w.project, w.cost)
@@ -14,12 +14,12 @@
 
 func (q *Queue) remove(t Ticket) {
 	w := q.pool[t]
-	if w.prev != none {
+	if w.prev != noTicket {
 		q.pool[w.prev].next = w.next
 	} else {
 		w.client.first = w.next
 	}
-	if w.next != none {
+	if w.next != noTicket {
 		q.pool[w.next].prev = w.prev
 	} else {
 		w.client.last = w.prev
@@ -33,8 +33,8 @@
 		w.project.cost = 0
 		q.active.Stop(&w.project.timer)
 	}
-	q.pool[t] = waiter{next: q.free}
-	q.free = t
+	q.pool[t] = waiter{next: q.firstFree}
+	q.firstFree = t
 }
 
 // retryAfter returns the time after which a rejected request of a project can be admitted: when the waiting requests have left,
@@ -44,16 +44,16 @@
 // last of them came back a tenth late and capacity was unused until then.
 func (q *Queue) retryAfter(now int64, p *project, cost float64) int64 {
 	for due, ok := q.promised.Due(now); ok; due, ok = q.promised.Due(now) {
-		due.claims, q.claims = false, q.claims-1
+		due.hasPromise, q.promisedCount = false, q.promisedCount-1
 	}
 	if q.rate <= 0 {
 		return int64(float64(q.config.MaxRetryAfter) * (0.5 + q.rng.Float64()/2))
 	}
-	if !p.claims {
-		p.claims, q.claims = true, q.claims+1
+	if !p.hasPromise {
+		p.hasPromise, q.promisedCount = true, q.promisedCount+1
 	}
-	p.until = max(p.until, now+int64(q.cost/q.rate)) + int64(cost/q.rate*float64(q.claims))
-	p.until = min(p.until, now+q.config.MaxRetryAfter)
-	q.promised.Set(&p.promise, p.until)
-	return min(q.config.MaxRetryAfter, int64(float64(p.until-now)*(0.95+q.rng.Float64()/10)))
+	p.promisedUntil = max(p.promisedUntil, now+int64(q.cost/q.rate)) + int64(cost/q.rate*float64(q.promisedCount))
+	p.promisedUntil = min(p.promisedUntil, now+q.config.MaxRetryAfter)
+	q.promised.Set(&p.promise, p.promisedUntil)
+	return min(q.config.MaxRetryAfter, int64(float64(p.promisedUntil-now)*(0.95+q.rng.Float64()/10)))
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -33,39 +33,39 @@
 // Ticket identifies a waiting request.
 type Ticket int32
 
-const none Ticket = -1
+const noTicket Ticket = -1
 
 // Queue is the admission queue of one front. It is created with New and is not safe for concurrent use.
 type Queue struct {
-	config   Config
-	hash     maphash.Seed
-	rng      *rand.Rand
-	admitted int // requests that were admitted and not released yet
-	waiting  int
-	tag      int64 // of the last request admitted
-	queues   [projects]project
-	active   timers.Timers[int64, *project] // queues with waiting requests, ordered by tag
-	pool     []waiter
-	free     Ticket  // head of the list of free places in pool
-	cost     float64 // of all waiting requests
-	rate     float64 // cost released per microsecond while the maximum of requests is admitted
-	meanHeld float64 // mean time between admission and release, in microseconds
-	meanCost float64 // mean cost of released requests
+	config    Config
+	hash      maphash.Seed
+	rng       *rand.Rand
+	admitted  int // requests that were admitted and not released yet
+	waiting   int
+	tag       int64 // of the last request admitted
+	queues    [projects]project
+	active    timers.Timers[int64, *project] // queues with waiting requests, ordered by tag
+	pool      []waiter
+	firstFree Ticket  // head of the list of free places in pool
+	cost      float64 // of all waiting requests
+	rate      float64 // cost released per microsecond while the maximum of requests is admitted
+	meanHeld  float64 // mean time between admission and release, in microseconds
+	meanCost  float64 // mean cost of released requests
 	// Queues whose rejected requests were told when to retry, ordered by the last of these times.
-	promised timers.Timers[int64, *project]
-	claims   int // number of queues in promised
+	promised      timers.Timers[int64, *project]
+	promisedCount int // number of queues in promised
 }
 
 // project is a queue of one or more projects.
 type project struct {
-	timer   timers.Timer[int64, *project]
-	tag     int64
-	count   int
-	cost    float64 // of its waiting requests
-	promise timers.Timer[int64, *project]
-	claims  bool  // a rejected request was told a time to retry that has not passed
-	until   int64 // the last such time
-	clients [clients]client
+	timer         timers.Timer[int64, *project]
+	tag           int64
+	count         int
+	cost          float64 // of its waiting requests
+	promise       timers.Timer[int64, *project]
+	hasPromise    bool  // a rejected request was told a time to retry that has not passed
+	promisedUntil int64 // the last such time
+	clients       [clients]client
 }
 
 type client struct {
@@ -78,43 +78,43 @@
 	project    *project
 	client     *client
 	cost       float64
-	step       int64  // by which it advances the tags of its queues
+	increment  int64  // by which it advances the tags of its queues
 	prev, next Ticket // in the client's queue; next of a free place is the next free place
 }
 
 // New returns an empty queue. seed is for the random part of the retry times, hash is the secret key of the hash.
 func New(config Config, hash maphash.Seed, seed uint64) *Queue {
-	q := &Queue{config: config, hash: hash, rng: rand.New(rand.NewPCG(seed, 5)), pool: make([]waiter, max(config.Waiting, 1)), free: 0}
+	q := &Queue{config: config, hash: hash, rng: rand.New(rand.NewPCG(seed, 5)), pool: make([]waiter, max(config.Waiting, 1)), firstFree: 0}
 	for i := range q.pool {
 		q.pool[i].next = Ticket(i + 1)
 	}
-	q.pool[len(q.pool)-1].next = none
+	q.pool[len(q.pool)-1].next = noTicket
 	for i := range q.queues {
 		p := &q.queues[i]
 		p.timer.Member, p.promise.Member = p, p
 		for j := range p.clients {
-			p.clients[j].first, p.clients[j].last = none, none
+			p.clients[j].first, p.clients[j].last = noTicket, noTicket
 		}
 	}
 	return q
 }
 
-// smooth is the inverse weight of a request in the moving averages, and so about the number of requests in them.
-const smooth = 64
+// averagedRequests is the inverse weight of a request in the moving averages, and so about the number of requests in them.
+const averagedRequests = 64
 
-// scale converts costs to tags, which are integers.
-const scale = 1000
+// tagsPerCost converts costs to tags, which are integers.
+const tagsPerCost = 1000
 
-// step returns by how much a request advances its queue's tag. A weight of 0 or less, which a validated configuration does
+// increment returns by how much a request advances its queue's tag. A weight of 0 or less, which a validated configuration does
 // not have, counts as a tiny positive one, so that the division is defined.
-func step(cost, weight float64) int64 {
-	return int64(math.Ceil(cost * scale / max(weight, 1e-9)))
+func tagIncrement(cost, weight float64) int64 {
+	return int64(math.Ceil(cost * tagsPerCost / max(weight, 1e-9)))
 }
 
-func (q *Queue) find(name, by string) (*project, *client) {
-	h := maphash.String(q.hash, name)
+func (q *Queue) find(projectID, clientID string) (*project, *client) {
+	h := maphash.String(q.hash, projectID)
 	p := &q.queues[h%projects]
-	return p, &p.clients[maphash.String(q.hash, name+"\x00"+by)%clients]
+	return p, &p.clients[maphash.String(q.hash, projectID+"\x00"+clientID)%clients]
 }
 
 // Waiting returns the number of requests that wait.
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -8,28 +8,28 @@
 	"unsafe"
 )
 
-// site simulates a front with a queue. An admitted request takes 20 ms.
-type site struct {
-	q       *Queue
-	rng     *rand.Rand
-	ends    []int64                           // end times of the admitted requests, in order
-	who     map[Ticket]string                 // projects of the waiting requests
-	out     func(project string, later int64) // called for an evicted request, if set
-	served  map[string]int                    // by project
-	refused map[string]int                    // by project
-	weights map[string]float64                // by project, 1 if absent
+// simulation simulates a front with a queue. An admitted request takes 20 ms.
+type simulation struct {
+	q         *Queue
+	rng       *rand.Rand
+	ends      []int64                           // end times of the admitted requests, in order
+	projectOf map[Ticket]string                 // projects of the waiting requests
+	onEvicted func(project string, later int64) // called for an evicted request, if set
+	served    map[string]int                    // by project
+	rejected  map[string]int                    // by project
+	weights   map[string]float64                // by project, 1 if absent
 }
 
-const stay = 20_000
+const serviceTime = 20_000
 
-func newSite(room, waiting int) *site {
-	return &site{
-		q: New(Config{Room: room, Waiting: waiting, MaxRetryAfter: 2_000_000}, maphash.MakeSeed(), 1), rng: rand.New(rand.NewPCG(1, 1)),
-		who: map[Ticket]string{}, served: map[string]int{}, refused: map[string]int{},
+func newSimulation(maxAdmitted, maxWaiting int) *simulation {
+	return &simulation{
+		q: New(Config{Room: maxAdmitted, Waiting: maxWaiting, MaxRetryAfter: 2_000_000}, maphash.MakeSeed(), 1), rng: rand.New(rand.NewPCG(1, 1)),
+		projectOf: map[Ticket]string{}, served: map[string]int{}, rejected: map[string]int{},
 	}
 }
 
-func (s *site) ask(now int64, project, client string) (after int64, refused bool) {
+func (s *simulation) arrive(now int64, project, client string) (retryAfter int64, rejected bool) {
 	weight, ok := s.weights[project]
 	if !ok {
 		weight = 1
@@ -38,50 +38,50 @@
 	switch {
 	case a.Admitted:
 		s.begin(now, project)
-	case a.Refused:
-		s.refused[project]++
+	case a.Rejected:
+		s.rejected[project]++
 		return a.RetryAfter, true
 	default:
-		if a.Evicted != none {
-			s.refused[s.who[a.Evicted]]++
-			if s.out != nil {
-				s.out(s.who[a.Evicted], a.EvictedRetryAfter)
+		if a.Evicted != noTicket {
+			s.rejected[s.projectOf[a.Evicted]]++
+			if s.onEvicted != nil {
+				s.onEvicted(s.projectOf[a.Evicted], a.EvictedRetryAfter)
 			}
 		}
-		s.who[a.Ticket] = project
+		s.projectOf[a.Ticket] = project
 	}
 	return 0, false
 }
 
-func (s *site) begin(now int64, project string) {
+func (s *simulation) begin(now int64, project string) {
 	s.served[project]++
-	s.ends = append(s.ends, now+stay)
+	s.ends = append(s.ends, now+serviceTime)
 }
 
-func (s *site) until(now int64) {
+func (s *simulation) advance(now int64) {
 	for len(s.ends) > 0 && s.ends[0] <= now {
 		at := s.ends[0]
 		s.ends = s.ends[1:]
-		for _, t := range s.q.Release(1, stay) {
-			s.begin(at, s.who[t])
+		for _, t := range s.q.Release(1, serviceTime) {
+			s.begin(at, s.projectOf[t])
 		}
 	}
 }
 
 // Guards against a project with 5,000 clients that takes capacity from others by a flood: 200 projects with a client each,
 // which together need about half of the capacity, are served as without it.
-func TestFloodTakesNoOneElsesShare(t *testing.T) {
+func TestFloodLeavesTheShareOfOthers(t *testing.T) {
 	served := func(flood bool) (others, all int) {
-		s := newSite(50, 400) // 2,500 requests per second
+		s := newSimulation(50, 400) // 2,500 requests per second
 		for now := int64(0); now < 10_000_000; now += 1000 {
-			s.until(now)
+			s.advance(now)
 			for range 1 + s.rng.IntN(2) { // 1,500 requests per second of the 200 projects
 				n := s.rng.IntN(200)
-				s.ask(now, fmt.Sprint("project-", n), "client")
+				s.arrive(now, fmt.Sprint("project-", n), "client")
 			}
 			if flood {
 				for range 10 {
-					s.ask(now, "flood", fmt.Sprint(s.rng.IntN(5000)))
+					s.arrive(now, "flood", fmt.Sprint(s.rng.IntN(5000)))
 				}
 			}
 		}
@@ -93,23 +93,23 @@
 		return others, all
 	}
 	alone, _ := served(false)
-	beside, all := served(true)
-	t.Logf("requests of the others served: %d without a flood, %d with it; %d in total with it", alone, beside, all)
-	if float64(beside) < 0.95*float64(alone) || all < 24_000 {
+	withFlood, all := served(true)
+	t.Logf("requests of the others served: %d without a flood, %d with it; %d in total with it", alone, withFlood, all)
+	if float64(withFlood) < 0.95*float64(alone) || all < 24_000 {
 		t.Errorf("requests of the others served: %d without a flood, %d with it, want 95%%; %d in total with it, want 24,000 of 25,000",
-			alone, beside, all)
+			alone, withFlood, all)
 	}
 }
 
 // Two projects that each need more than the whole capacity share it by the weights of their plans, 3 to 1.
 func TestPlansShareByWeight(t *testing.T) {
-	s := newSite(50, 400)
+	s := newSimulation(50, 400)
 	s.weights = map[string]float64{"heavy": 3, "light": 1}
 	for now := int64(0); now < 5_000_000; now += 1000 {
-		s.until(now)
+		s.advance(now)
 		for i := range 8 { // 8,000 requests per second each, of which 2,500 in total can be served
-			s.ask(now, "heavy", fmt.Sprint(i))
-			s.ask(now, "light", fmt.Sprint(i))
+			s.arrive(now, "heavy", fmt.Sprint(i))
+			s.arrive(now, "light", fmt.Sprint(i))
 		}
 	}
 	ratio := float64(s.served["heavy"]) / float64(s.served["light"])
@@ -121,94 +121,94 @@
 
 // Guards against a promised retry time for a request whose client disconnected while it waited: no client would use it. A request
 // whose time ran out does get one.
-func TestWhoLeftTakesNoPromise(t *testing.T) {
+func TestCancelPromisesNoRetryTime(t *testing.T) {
 	q := New(Config{Room: 1, Waiting: 4, MaxRetryAfter: 2_000_000}, maphash.MakeSeed(), 1)
 	q.Arrive(0, "a", "", 1, 1)
 	q.Arrive(0, "b", "", 1, 1)
-	left := q.Arrive(0, "c", "", 1, 1).Ticket
-	q.Release(1, stay) // the rate at which requests leave is known now, and "b" is admitted
-	q.Cancel(left)
-	if q.claims != 0 {
-		t.Errorf("%d queues with a promised time after a client disconnected, want 0", q.claims)
+	cancelled := q.Arrive(0, "c", "", 1, 1).Ticket
+	q.Release(1, serviceTime) // the rate at which requests leave is known now, and "b" is admitted
+	q.Cancel(cancelled)
+	if q.promisedCount != 0 {
+		t.Errorf("%d queues with a promised time after a client disconnected, want 0", q.promisedCount)
 	}
-	timed := q.Arrive(1000, "d", "", 1, 1).Ticket
-	if after := q.Expire(1000, timed); after <= 0 || q.claims != 1 {
-		t.Errorf("expired request: retry after %d, %d queues with a promised time, want more than 0 and 1", after, q.claims)
+	expired := q.Arrive(1000, "d", "", 1, 1).Ticket
+	if retryAfter := q.Expire(1000, expired); retryAfter <= 0 || q.promisedCount != 1 {
+		t.Errorf("expired request: retry after %d, %d queues with a promised time, want more than 0 and 1", retryAfter, q.promisedCount)
 	}
 }
 
 // Guards against ids that are chosen to share a queue with another project's: those that collide under one key must not collide
 // under another one.
-func TestCollidingIdsAreOfNoUse(t *testing.T) {
-	known := New(Config{Room: 1, Waiting: 1}, maphash.MakeSeed(), 1)
-	victim, _ := known.find("victim", "")
-	var made []string
-	for i := 0; len(made) < 200; i++ {
-		if p, _ := known.find(fmt.Sprint("made-", i), ""); p == victim {
-			made = append(made, fmt.Sprint("made-", i))
+func TestCollidingIDsDependOnTheKey(t *testing.T) {
+	knownKey := New(Config{Room: 1, Waiting: 1}, maphash.MakeSeed(), 1)
+	victim, _ := knownKey.find("victim", "")
+	var colliding []string
+	for i := 0; len(colliding) < 200; i++ {
+		if p, _ := knownKey.find(fmt.Sprint("made-", i), ""); p == victim {
+			colliding = append(colliding, fmt.Sprint("made-", i))
 		}
 	}
-	other := New(Config{Room: 1, Waiting: 1}, maphash.MakeSeed(), 1)
-	victim, _ = other.find("victim", "")
-	hits := 0
-	for _, name := range made {
-		if p, _ := other.find(name, ""); p == victim {
-			hits++
+	otherKey := New(Config{Room: 1, Waiting: 1}, maphash.MakeSeed(), 1)
+	victim, _ = otherKey.find("victim", "")
+	collisions := 0
+	for _, name := range colliding {
+		if p, _ := otherKey.find(name, ""); p == victim {
+			collisions++
 		}
 	}
-	if hits > 5 {
-		t.Errorf("%d of 200 ids collide under a key other than the one they were chosen for, want at most 5", hits)
+	if collisions > 5 {
+		t.Errorf("%d of 200 ids collide under a key other than the one they were chosen for, want at most 5", collisions)
 	}
 }
 
 // Random calls: each request is admitted, expires or is evicted exactly once, and the memory is constant.
-func TestQueueKeepsCount(t *testing.T) {
+func TestEachRequestIsCountedOnce(t *testing.T) {
 	q := New(Config{Room: 5, Waiting: 20, MaxRetryAfter: 1000}, maphash.MakeSeed(), 1)
 	rng := rand.New(rand.NewPCG(2, 2))
-	waits, taken := map[Ticket]bool{}, 0
+	waiting, admitted := map[Ticket]bool{}, 0
 	for now := range int64(200_000) {
 		switch rng.IntN(3) {
 		case 0:
 			a := q.Arrive(now, fmt.Sprint(rng.IntN(50)), fmt.Sprint(rng.IntN(9)), 1+rng.Float64(), 1)
-			if a.Evicted != none {
-				if !waits[a.Evicted] {
+			if a.Evicted != noTicket {
+				if !waiting[a.Evicted] {
 					t.Fatal("a request that was not waiting was evicted")
 				}
-				delete(waits, a.Evicted)
+				delete(waiting, a.Evicted)
 			}
 			switch {
 			case a.Admitted:
-				taken++
-			case a.Refused:
+				admitted++
+			case a.Rejected:
 				if a.RetryAfter < 0 || a.RetryAfter > 1000 {
 					t.Fatalf("retry after %d, want 0 to 1000", a.RetryAfter)
 				}
-			case waits[a.Ticket]:
+			case waiting[a.Ticket]:
 				t.Fatal("two waiting requests have the same ticket")
 			default:
-				waits[a.Ticket] = true
+				waiting[a.Ticket] = true
 			}
 		case 1:
-			if taken > 0 {
-				taken--
+			if admitted > 0 {
+				admitted--
 				for _, w := range q.Release(1, 20_000) {
-					if !waits[w] {
+					if !waiting[w] {
 						t.Fatal("a request that was not waiting was admitted")
 					}
-					delete(waits, w)
-					taken++
+					delete(waiting, w)
+					admitted++
 				}
 			}
 		default:
-			for w := range waits {
+			for w := range waiting {
 				q.Expire(now, w)
-				delete(waits, w)
+				delete(waiting, w)
 				break
 			}
 		}
-		if q.Waiting() != len(waits) || q.admitted != taken || taken > 5 || len(waits) > 20 || taken < 5 && len(waits) > 0 {
+		if q.Waiting() != len(waiting) || q.admitted != admitted || admitted > 5 || len(waiting) > 20 || admitted < 5 && len(waiting) > 0 {
 			t.Fatalf("%d waiting (at most 20) and %d admitted (at most 5, fewer only if none waits), the queue counts %d and %d",
-				len(waits), taken, q.Waiting(), q.admitted)
+				len(waiting), admitted, q.Waiting(), q.admitted)
 		}
 	}
 	bytes := unsafe.Sizeof(*q) + uintptr(len(q.pool))*unsafe.Sizeof(waiter{})
--- a/internal/lifecycle/decision.go
+++ b/internal/lifecycle/decision.go
@@ -89,17 +89,17 @@
 
 // state holds the data on which decisions are based. It is immutable: a change replaces it.
 type state struct {
-	limits limits.StopLimits // of the settings in force; during a shutdown, the strictest in force since it began
-	began  time.Time         // start of the shutdown, zero before
+	limits        limits.StopLimits // of the settings in force; during a shutdown, the strictest in force since it began
+	shutdownStart time.Time         // start of the shutdown, zero before
 }
 
-func (s state) stopping() bool { return !s.began.IsZero() }
+func (s state) stopping() bool { return !s.shutdownStart.IsZero() }
 
 func (s state) phase(now time.Time) Phase {
 	if !s.stopping() {
 		return Serving
 	}
-	since := now.Sub(s.began)
+	since := now.Sub(s.shutdownStart)
 	switch {
 	case since >= s.limits.Answer:
 		return Ending
@@ -110,10 +110,10 @@
 }
 
 // answerBy returns the time at which all requests must be answered during a shutdown.
-func (s state) answerBy() time.Time { return s.began.Add(s.limits.Answer) }
+func (s state) answerBy() time.Time { return s.shutdownStart.Add(s.limits.Answer) }
 
 // decide returns why an operation must not be carried out now, or Allowed. by is the operation's own deadline, zero for none.
-func (s state) decide(op Operation, now, by time.Time) Reason {
+func (s state) decide(op Operation, now, deadline time.Time) Reason {
 	phase := s.phase(now)
 	switch op {
 	case Accept:
@@ -122,7 +122,7 @@
 		}
 	case Take, Send, Retry, Stream:
 		switch {
-		case !by.IsZero() && !now.Before(by):
+		case !deadline.IsZero() && !now.Before(deadline):
 			return PastDeadline
 		case phase >= Ending:
 			return ShuttingDown
@@ -147,26 +147,26 @@
 
 // deadline returns the deadline of a request that has the time left, which is earlier during a shutdown.
 func (s state) deadline(now time.Time, left time.Duration) time.Time {
-	own := now.Add(left)
-	if by := s.answerBy(); s.stopping() && by.Before(own) {
+	clientDeadline := now.Add(left)
+	if by := s.answerBy(); s.stopping() && by.Before(clientDeadline) {
 		return by
 	}
-	return own
+	return clientDeadline
 }
 
 // overdue returns by how much an operation that ended now was late, or 0. by is its deadline, zero for none. A stall of the
 // process up to the limit does not count as late.
-func (s state) overdue(op Operation, now, by time.Time) time.Duration {
+func (s state) overdue(op Operation, now, deadline time.Time) time.Duration {
 	var late time.Duration
-	if !by.IsZero() {
-		late = now.Sub(by) - s.limits.HoldUp
+	if !deadline.IsZero() {
+		late = now.Sub(deadline) - s.limits.HoldUp
 	}
 	if s.stopping() {
 		bound := s.limits.Answer + s.limits.HoldUp
 		if op == Answer {
 			bound = s.limits.Kill
 		}
-		late = max(late, now.Sub(s.began)-bound)
+		late = max(late, now.Sub(s.shutdownStart)-bound)
 	}
 	return max(late, 0)
 }
--- a/internal/lifecycle/guard.go
+++ b/internal/lifecycle/guard.go
@@ -60,7 +60,7 @@
 	if next.stopping() {
 		return
 	}
-	next.began = at
+	next.shutdownStart = at
 	close(g.stopping)
 	g.replace(next)
 	g.log.Info("shutdown began", "answers_due_in", next.limits.Answer.String(), "kill_in", next.limits.Kill.String())
@@ -109,7 +109,7 @@
 	if !s.stopping() {
 		return 0
 	}
-	return g.clock().Sub(s.began)
+	return g.clock().Sub(s.shutdownStart)
 }
 
 // Limits returns the limits in force.
@@ -129,13 +129,13 @@
 	if !s.stopping() {
 		return wait
 	}
-	return max(minWait, min(wait, s.began.Add(s.limits.Kill-s.limits.HoldUp).Sub(g.clock())))
+	return max(minWait, min(wait, s.shutdownStart.Add(s.limits.Kill-s.limits.HoldUp).Sub(g.clock())))
 }
 
 // Allow returns nil if an operation may be carried out now, and a *DeniedError otherwise. by is the operation's own deadline,
 // such as the time for which its client waits or the deduplication window of a retry, zero for none.
-func (g *Guard) Allow(op Operation, by time.Time) error {
-	if reason := g.state.Load().decide(op, g.clock(), by); reason != Allowed {
+func (g *Guard) Allow(op Operation, deadline time.Time) error {
+	if reason := g.state.Load().decide(op, g.clock(), deadline); reason != Allowed {
 		g.denied[op].Add(1)
 		g.log.Debug("operation denied", "operation", op.String(), "reason", reason.String(), "since_shutdown", g.Since().String())
 		return &DeniedError{op, reason}
@@ -150,16 +150,16 @@
 
 // Done checks an operation that was just carried out. It is a violation if the operation was later than its deadline by more
 // than the stall that is allowed for.
-func (g *Guard) Done(op Operation, by time.Time) {
-	if late := g.state.Load().overdue(op, g.clock(), by); late > 0 {
+func (g *Guard) Done(op Operation, deadline time.Time) {
+	if late := g.state.Load().overdue(op, g.clock(), deadline); late > 0 {
 		g.Violated(op, "late by "+late.String())
 	}
 }
 
 // Violated counts and logs an operation that should not have been carried out.
-func (g *Guard) Violated(op Operation, what string) {
+func (g *Guard) Violated(op Operation, description string) {
 	g.violations[op].Add(1)
-	g.log.Error("rule violated", "operation", op.String(), "what", what, "phase", g.Phase().String(), "since_shutdown", g.Since().String())
+	g.log.Error("rule violated", "operation", op.String(), "what", description, "phase", g.Phase().String(), "since_shutdown", g.Since().String())
 }
 
 // Count holds how often an operation was denied, and how often it was carried out in violation of the rules, since the process
--- a/internal/lifecycle/guard_test.go
+++ b/internal/lifecycle/guard_test.go
@@ -14,17 +14,17 @@
 
 func (c *fakeClock) read() time.Time { return c.now }
 
-func newGuard(longest time.Duration) (*Guard, *fakeClock) {
+func newGuard(maxDeadline time.Duration) (*Guard, *fakeClock) {
 	clock := &fakeClock{now: time.Now()}
-	g := New(limits.Stop(longest), slog.New(slog.DiscardHandler))
+	g := New(limits.Stop(maxDeadline), slog.New(slog.DiscardHandler))
 	g.clock = clock.read
 	return g, clock
 }
 
 // Checks each operation in each phase. The phase depends on the clock at the call, not at the start of the shutdown.
-func TestWhatIsAllowedInEachPhase(t *testing.T) {
+func TestOperationsAllowedInEachPhase(t *testing.T) {
 	g, clock := newGuard(time.Second)
-	stop := g.Limits()
+	stopLimits := g.Limits()
 	allowed := map[Phase]map[Operation]bool{
 		Serving:  {Accept: true, Take: true, Send: true, Retry: true, Stream: true, Answer: true, HandOver: true, StartBackground: true},
 		Draining: {Accept: true, Take: true, Send: true, Retry: true, Stream: true, Answer: true, HandOver: true, StartBackground: true},
@@ -34,7 +34,7 @@
 	for _, moment := range []struct {
 		phase Phase
 		since time.Duration
-	}{{Serving, 0}, {Draining, 0}, {Closing, stop.Serve}, {Ending, stop.Answer}, {Ending, stop.Kill}} {
+	}{{Serving, 0}, {Draining, 0}, {Closing, stopLimits.Serve}, {Ending, stopLimits.Answer}, {Ending, stopLimits.Kill}} {
 		if moment.phase == Draining {
 			g.BeginShutdown(clock.now)
 		}
@@ -54,19 +54,19 @@
 
 // Guards against lost requests whose deadline was computed before they were sent. The deadline of a request that arrives
 // late in a shutdown is at least two stalls before SIGKILL, and a request with too little time left is denied.
-func TestDeadlineEndsAheadOfTheKill(t *testing.T) {
-	for _, longest := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second} {
-		g, clock := newGuard(longest)
+func TestDeadlineEndsBeforeTheKill(t *testing.T) {
+	for _, maxDeadline := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second} {
+		g, clock := newGuard(maxDeadline)
 		g.BeginShutdown(clock.now)
-		began, stop := clock.now, g.Limits()
-		for clock.now.Sub(began) < stop.Kill {
+		began, stopLimits := clock.now, g.Limits()
+		for clock.now.Sub(began) < stopLimits.Kill {
 			clock.now = clock.now.Add(10 * time.Millisecond)
-			if left := began.Add(stop.Kill).Sub(g.Deadline(longest)); left < 2*stop.HoldUp {
-				t.Fatalf("longest deadline %v, %v after SIGTERM: answer due %v before SIGKILL, want two stalls", longest, clock.now.Sub(began), left)
+			if left := began.Add(stopLimits.Kill).Sub(g.Deadline(maxDeadline)); left < 2*stopLimits.HoldUp {
+				t.Fatalf("longest deadline %v, %v after SIGTERM: answer due %v before SIGKILL, want two stalls", maxDeadline, clock.now.Sub(began), left)
 			}
-			err := g.Allow(Take, clock.now.Add(longest))
-			if fits := began.Add(stop.Answer).Sub(clock.now) >= stop.MinTime; (err == nil) != fits {
-				t.Errorf("longest deadline %v, %v after SIGTERM: Allow returned %v", longest, clock.now.Sub(began), err)
+			err := g.Allow(Take, clock.now.Add(maxDeadline))
+			if fits := began.Add(stopLimits.Answer).Sub(clock.now) >= stopLimits.MinTime; (err == nil) != fits {
+				t.Errorf("longest deadline %v, %v after SIGTERM: Allow returned %v", maxDeadline, clock.now.Sub(began), err)
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 
 // Guards against a shutdown by the settings of the process's start. A reload before SIGTERM always applies, one after it only if
 // it ends the process earlier.
-func TestReloadMovesTheShutdown(t *testing.T) {
+func TestReloadChangesTheShutdownLimits(t *testing.T) {
 	short, long := limits.Stop(500*time.Millisecond), limits.Stop(3*time.Second)
 	g, clock := newGuard(time.Second)
 	g.Reconfigure(long)
@@ -111,16 +111,16 @@
 
 func TestDeadlinesAndViolations(t *testing.T) {
 	g, clock := newGuard(time.Second)
-	holdUp := g.Limits().HoldUp
+	maxStall := g.Limits().HoldUp
 	var denied *DeniedError
 	if err := g.Allow(Retry, clock.now); !errors.As(err, &denied) || denied.Reason != PastDeadline {
 		t.Errorf("retry at its deadline: error %v, want past its deadline", err)
 	}
-	g.Done(Send, clock.now.Add(-holdUp))
+	g.Done(Send, clock.now.Add(-maxStall))
 	if n := g.Violations(); n != 0 {
 		t.Errorf("late by the allowed stall: %d violations, want 0", n)
 	}
-	g.Done(Send, clock.now.Add(-holdUp-time.Millisecond))
+	g.Done(Send, clock.now.Add(-maxStall-time.Millisecond))
 	g.BeginShutdown(clock.now)
 	clock.now = clock.now.Add(g.Limits().Kill + time.Millisecond)
 	g.Done(Answer, time.Time{})
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -7,7 +7,7 @@
 
 // Guards against too few sockets for clients, and against limits that together exceed the available sockets. On a busy day one
 // front held 507 descriptors, nearly all for clients with open requests: half of the sockets would soon have been too few.
-func TestSocketsAreShared(t *testing.T) {
+func TestSocketsAreDivided(t *testing.T) {
 	l := For(Site{MemoryMB: 192, Sockets: 1024, Open: 10_000})
 	if sum := l.Clients.Conns + l.Clients.SpareConns + l.Nodes.Conns + reservedSockets; sum > 1024 {
 		t.Errorf("%d sockets in total, want at most 1024", sum)
@@ -23,28 +23,28 @@
 
 // Guards against a node's duplicate answer, a few milliseconds after the first, that is taken for the answer to the
 // connection's next request.
-func TestConnectionsRestForLongerThanALateAnswer(t *testing.T) {
-	if rest := For(Site{MemoryMB: 192, Sockets: 1024}).Nodes.ReuseDelay; rest < 5*time.Millisecond {
-		t.Errorf("reuse delay %v, want at least 5 ms", rest)
+func TestReuseDelayCoversDuplicateAnswers(t *testing.T) {
+	if delay := For(Site{MemoryMB: 192, Sockets: 1024}).Nodes.ReuseDelay; delay < 5*time.Millisecond {
+		t.Errorf("reuse delay %v, want at least 5 ms", delay)
 	}
 }
 
 // Guards against limits with which a front learns of a change too late. A front counts as informed 6 s after shared discovery
 // has a change, and 4 s after SIGHUP, even if it missed an answer. A change in its own agent counts at once, and a drain has to
 // take effect within the drain grace.
-func TestNewsIsHeardInTime(t *testing.T) {
+func TestChangesAreLearnedInTime(t *testing.T) {
 	for _, fronts := range []int{1, 10, 80, 350, 1024, 4096} {
 		l := For(Site{MemoryMB: 192, Sockets: 1024, Askers: fronts})
-		if way := l.Discovery.WatchHold + l.Discovery.AnswerTimeout + l.Discovery.RetryMax*3/2; way > 6*time.Second || l.Discovery.StartSpread > 4*time.Second {
-			t.Errorf("%d fronts: a change takes up to %v, want 6 s; first watches begin within %v, want 4 s", fronts, way,
+		if delay := l.Discovery.WatchHold + l.Discovery.AnswerTimeout + l.Discovery.RetryMax*3/2; delay > 6*time.Second || l.Discovery.StartSpread > 4*time.Second {
+			t.Errorf("%d fronts: a change takes up to %v, want 6 s; first watches begin within %v, want 4 s", fronts, delay,
 				l.Discovery.StartSpread)
 		}
 	}
 	for _, grace := range []time.Duration{300 * time.Millisecond, 500 * time.Millisecond, time.Second, 5 * time.Second} {
 		l := For(Site{MemoryMB: 192, Sockets: 1024, DrainGrace: grace})
-		way := l.Discovery.WatchHold + l.Discovery.AnswerTimeout + l.Discovery.RetryMax*3/2 + l.Stop.HoldUp // a stall before the write
-		if way > grace || l.Discovery.StartSpread > 0 {
-			t.Errorf("drain grace %v: a drain takes effect after up to %v, or first watches are spread", grace, way)
+		delay := l.Discovery.WatchHold + l.Discovery.AnswerTimeout + l.Discovery.RetryMax*3/2 + l.Stop.HoldUp // a stall before the write
+		if delay > grace || l.Discovery.StartSpread > 0 {
+			t.Errorf("drain grace %v: a drain takes effect after up to %v, or first watches are spread", grace, delay)
 		}
 	}
 }
--- a/internal/limits/operation.go
+++ b/internal/limits/operation.go
@@ -29,10 +29,10 @@
 	watchRetry   = 50 * time.Millisecond
 )
 
-func discoveryLimits(site Site, got shares) DiscoveryLimits {
-	part := (min(max(site.DrainGrace, minDrainGrace), maxDrainGrace) - holdUp) / agentParts
+func discoveryLimits(site Site, available resources) DiscoveryLimits {
+	part := (min(max(site.DrainGrace, minDrainGrace), maxDrainGrace) - maxStall) / agentParts
 	out := DiscoveryLimits{
-		ListBytes:     max(minListBytes, got.memory/memoryFraction),
+		ListBytes:     max(minListBytes, available.memory/memoryFraction),
 		WatchHold:     part,
 		AnswerTimeout: part,
 		RetryMin:      watchRetry,
@@ -52,30 +52,30 @@
 const (
 	stopMaxDeadline     = 3 * time.Second
 	stopExtra           = 700 * time.Millisecond
-	holdUp              = 150 * time.Millisecond           // longest stall of a process between reading its clock and a write
-	stopAnswerMargin    = 2*holdUp + stopWriteTime         // all requests are answered this long before the kill
+	maxStall            = 150 * time.Millisecond           // longest stall of a process between reading its clock and a write
+	stopAnswerMargin    = 2*maxStall + stopWriteTime       // all requests are answered this long before the kill
 	stopWriteTime       = 50 * time.Millisecond            // for writing the answers that are due at the same time
 	stopServeMargin     = stopAnswerMargin + stopCloseTime // connections bring no more requests this long before the kill
 	stopCloseTime       = 150 * time.Millisecond           // for closing idle connections, and for requests already in transit
 	stopMinTime         = 20 * time.Millisecond            // a request with less is rejected, as no node answers so fast
 	stopAccept          = 500 * time.Millisecond
-	stopAtMostExtra     = 2 * time.Second // beyond the longest deadline
+	stopExitExtra       = 2 * time.Second // beyond the longest deadline
 	stopConnsPerRequest = 2
 	stopCheckInterval   = 50 * time.Millisecond
 	handoverTimeout     = 2 * time.Second
 )
 
 // Stop computes the limits of a graceful shutdown for the longest deadline of any class.
-func Stop(longest time.Duration) StopLimits {
-	kill := min(longest, stopMaxDeadline) + stopExtra
+func Stop(maxDeadline time.Duration) StopLimits {
+	kill := min(maxDeadline, stopMaxDeadline) + stopExtra
 	return StopLimits{
 		Accept:          min(stopAccept, kill-stopServeMargin),
 		Serve:           kill - stopServeMargin,
 		Answer:          kill - stopAnswerMargin,
 		Kill:            kill,
-		AtMost:          longest + stopAtMostExtra,
+		AtMost:          maxDeadline + stopExitExtra,
 		MinTime:         stopMinTime,
-		HoldUp:          holdUp,
+		HoldUp:          maxStall,
 		ConnsPerRequest: stopConnsPerRequest,
 		CheckInterval:   stopCheckInterval,
 		HandoverTimeout: handoverTimeout,
--- a/internal/limits/site.go
+++ b/internal/limits/site.go
@@ -16,16 +16,16 @@
 
 // For computes the limits of a deployment.
 func For(site Site) Limits {
-	shares := share(site)
+	available := divideResources(site)
 	return Limits{
-		Requests:    requestLimits(site, shares),
-		Clients:     clientLimits(site, shares),
-		Nodes:       nodeLimits(site, shares),
-		Discovery:   discoveryLimits(site, shares),
+		Requests:    requestLimits(site, available),
+		Clients:     clientLimits(site, available),
+		Nodes:       nodeLimits(site, available),
+		Discovery:   discoveryLimits(site, available),
 		Stop:        Stop(site.Deadline),
 		Control:     controlLimits(),
-		Files:       fileLimits(shares),
-		Memory:      shares.memory,
+		Files:       fileLimits(available),
+		Memory:      available.memory,
 		AcceptRetry: acceptRetry,
 	}
 }
@@ -35,7 +35,7 @@
 const (
 	reservedSockets = 32 // for listeners, discovery, the console and the Go runtime
 	spareConns      = 24 // see ClientLimits.SpareConns
-	minShared       = 16 // minimum of the sockets for clients and nodes
+	minConns        = 16 // minimum of the sockets for clients and nodes
 	nodeShare       = 3  // one in this many of the sockets for clients and nodes is for nodes
 	scheduledShare  = 4  // open requests may use one in this many of all sockets, as clients have at most a third
 )
@@ -53,20 +53,20 @@
 
 const acceptRetry = 20 * time.Millisecond
 
-// shares holds the memory and the numbers of connections that the parts of the program get.
-type shares struct {
+// resources holds the memory and the numbers of connections that the parts of the program get.
+type resources struct {
 	memory  int64 // soft limit, in bytes
 	clients int   // connections of clients
 	nodes   int   // connections to nodes
 }
 
-func share(site Site) shares {
-	sockets := max(site.Sockets-reservedSockets-spareConns, minShared)
+func divideResources(site Site) resources {
+	sockets := max(site.Sockets-reservedSockets-spareConns, minConns)
 	nodes := sockets / nodeShare
-	out := shares{memory: int64(site.MemoryMB) << 20 * memoryPercent / 100, clients: sockets - nodes, nodes: nodes}
+	out := resources{memory: int64(site.MemoryMB) << 20 * memoryPercent / 100, clients: sockets - nodes, nodes: nodes}
 	// Every client may send a body of the largest size, and every node answer with one.
-	if most := int(out.memory / (connBytes + bufferedBytes)); out.clients+out.nodes > most {
-		out.clients, out.nodes = most-most/nodeShare, most/nodeShare
+	if maxConns := int(out.memory / (connBytes + bufferedBytes)); out.clients+out.nodes > maxConns {
+		out.clients, out.nodes = maxConns-maxConns/nodeShare, maxConns/nodeShare
 	}
 	return out
 }
--- a/internal/limits/traffic.go
+++ b/internal/limits/traffic.go
@@ -5,19 +5,19 @@
 const (
 	inboxPerClient = 4                      // events that may be queued for each client connection
 	minPastIDs     = 1024                   // minimum number of remembered ids
-	answerGrace    = 350 * time.Millisecond // with holdUp half a second, within which a late answer is not lost
+	answerGrace    = 350 * time.Millisecond // with maxStall half a second, within which a late answer is not lost
 )
 
-func requestLimits(site Site, got shares) RequestLimits {
-	open := got.clients
+func requestLimits(site Site, available resources) RequestLimits {
+	open := available.clients
 	if site.Open > 0 {
 		open = min(open, site.Open)
 	}
 	return RequestLimits{
-		Inbox:     inboxPerClient * got.clients,
+		Inbox:     inboxPerClient * available.clients,
 		Open:      open,
 		Scheduled: min(open, site.Sockets/scheduledShare),
-		PastIDs:   max(minPastIDs, int(got.memory/memoryFraction/idBytes)),
+		PastIDs:   max(minPastIDs, int(available.memory/memoryFraction/idBytes)),
 		// A duplicate of a request arrives while its client waits, or within the deduplication window of the nodes.
 		IDRetention:   2 * site.Deadline,
 		AnswerGrace:   answerGrace,
@@ -42,13 +42,13 @@
 	minHandshakes       = 8
 )
 
-func clientLimits(site Site, got shares) ClientLimits {
+func clientLimits(site Site, available resources) ClientLimits {
 	return ClientLimits{
-		Conns:             got.clients,
+		Conns:             available.clients,
 		SpareConns:        spareConns,
-		KeptConns:         min(got.clients, site.Sockets/scheduledShare),
+		KeptConns:         min(available.clients, site.Sockets/scheduledShare),
 		ReadAhead:         connBytes,
-		Handshakes:        max(minHandshakes, got.clients/handshakeShare),
+		Handshakes:        max(minHandshakes, available.clients/handshakeShare),
 		HandshakeTimeout:  handshakeTimeout,
 		HeaderTimeout:     clientHeaderTimeout,
 		ChallengeTimeout:  challengeTimeout,
@@ -62,7 +62,7 @@
 
 const (
 	responseHeads    = 8
-	attemptTries     = 3  // for writing, connecting and health checks
+	maxTries         = 3  // for writing, connecting and health checks
 	nodeIdlePercent  = 60 // share of the time after which a node closes an idle connection
 	nodeReuseDelay   = 5 * time.Millisecond
 	nodeMinTimeout   = 250 * time.Millisecond // minimum for an answer's header, and for the next part of its body
@@ -72,13 +72,13 @@
 	connectsPerProbe = 2 // connect timeouts in the timeout for a health check
 )
 
-func nodeLimits(site Site, got shares) NodeLimits {
+func nodeLimits(site Site, available resources) NodeLimits {
 	return NodeLimits{
-		Conns:          got.nodes,
+		Conns:          available.nodes,
 		ResponseHeads:  responseHeads,
-		WriteTries:     attemptTries,
-		ConnectTries:   attemptTries,
-		ProbeTries:     attemptTries,
+		WriteTries:     maxTries,
+		ConnectTries:   maxTries,
+		ProbeTries:     maxTries,
 		ConnectTimeout: site.Connect,
 		HedgeDelay:     max(site.Connect/hedgesPerTimeout, time.Millisecond),
 		IdleTimeout:    site.ConnIdle * nodeIdlePercent / 100,
@@ -104,9 +104,9 @@
 	filesLastAnswerTime = 500 * time.Millisecond
 )
 
-func fileLimits(got shares) FileLimits {
+func fileLimits(available resources) FileLimits {
 	return FileLimits{
-		Conns:             min(got.clients, filesMaxConns),
+		Conns:             min(available.clients, filesMaxConns),
 		Handles:           filesHandles,
 		Transfers:         filesTransfers,
 		PacketBytes:       filesPacketBytes,
--- a/scheduler/curve/curve.go
+++ b/scheduler/curve/curve.go
@@ -15,24 +15,24 @@
 type Curve []Point
 
 // Add appends a point and drops the oldest ones beyond a maximum number.
-func (c Curve) Add(p Point, most int) Curve {
+func (c Curve) Add(p Point, maxPoints int) Curve {
 	c = append(c, p)
-	return c[max(0, len(c)-most):]
+	return c[max(0, len(c)-maxPoints):]
 }
 
 // LatencyAtSlope fits throughput = a + b x ln(latency) to the points. It returns the latency at which the slope of the fit,
 // relative to the highest throughput and the lowest latency, falls to the given slope, and the lowest latency. The first
 // result is 0 for points that determine no slope, such as a single one. The curve must not be empty.
-func (c Curve) LatencyAtSlope(slope float64) (latency, low float64) {
-	var n, x, y, xx, xy, top float64
-	low = c[0].Low
+func (c Curve) LatencyAtSlope(slope float64) (latency, minLatency float64) {
+	var n, sumX, sumY, sumXX, sumXY, maxThroughput float64
+	minLatency = c[0].Low
 	for _, p := range c {
-		l := math.Log(p.Latency)
-		n, x, y, xx, xy = n+1, x+l, y+p.Throughput, xx+l*l, xy+l*p.Throughput
-		top, low = max(top, p.Throughput), min(low, p.Low)
+		logLatency := math.Log(p.Latency)
+		n, sumX, sumY, sumXX, sumXY = n+1, sumX+logLatency, sumY+p.Throughput, sumXX+logLatency*logLatency, sumXY+logLatency*p.Throughput
+		maxThroughput, minLatency = max(maxThroughput, p.Throughput), min(minLatency, p.Low)
 	}
-	if d := n*xx - x*x; d > 1e-9 {
-		latency = (n*xy - x*y) / d * low / (slope * top)
+	if denominator := n*sumXX - sumX*sumX; denominator > 1e-9 {
+		latency = (n*sumXY - sumX*sumY) / denominator * minLatency / (slope * maxThroughput)
 	}
-	return latency, low
+	return latency, minLatency
 }
--- a/scheduler/expirymap/expirymap.go
+++ b/scheduler/expirymap/expirymap.go
@@ -20,61 +20,61 @@
 func New[K comparable, V any]() Map[K, V] { return Map[K, V]{byKey: map[K]*entry[K, V]{}} }
 
 // Len returns the number of entries, including expired ones that have not been removed yet.
-func (t *Map[K, V]) Len() int { return len(t.entries) }
+func (m *Map[K, V]) Len() int { return len(m.entries) }
 
 // At returns the value at an index from 0 to Len()-1. Indices change when an entry is removed.
-func (t *Map[K, V]) At(index int) V { return t.entries[index].value }
+func (m *Map[K, V]) At(index int) V { return m.entries[index].value }
 
 // GetOrCreate returns the value of a key. If there is none, or it has expired, it stores and returns the result of create.
-func (t *Map[K, V]) GetOrCreate(key K, expired func(V) bool, create func() V) V {
-	e := t.byKey[key]
+func (m *Map[K, V]) GetOrCreate(key K, expired func(V) bool, create func() V) V {
+	e := m.byKey[key]
 	if e != nil && expired(e.value) {
-		t.remove(e)
+		m.remove(e)
 		e = nil
 	}
 	if e == nil {
-		t.Put(key, create())
-		e = t.byKey[key]
+		m.Put(key, create())
+		e = m.byKey[key]
 	}
 	return e.value
 }
 
 // Get returns the value of a key, expired or not, and whether there is one.
-func (t *Map[K, V]) Get(key K) (value V, found bool) {
-	if e := t.byKey[key]; e != nil {
+func (m *Map[K, V]) Get(key K) (value V, found bool) {
+	if e := m.byKey[key]; e != nil {
 		return e.value, true
 	}
 	return value, false
 }
 
 // Put sets the value of a key.
-func (t *Map[K, V]) Put(key K, value V) {
-	if e := t.byKey[key]; e != nil {
+func (m *Map[K, V]) Put(key K, value V) {
+	if e := m.byKey[key]; e != nil {
 		e.value = value
 		return
 	}
-	e := &entry[K, V]{key, value, len(t.entries)}
-	t.byKey[key], t.entries = e, append(t.entries, e)
+	e := &entry[K, V]{key, value, len(m.entries)}
+	m.byKey[key], m.entries = e, append(m.entries, e)
 }
 
 // Sweep checks up to limit entries, beginning where the last call ended, and removes those that have expired.
-func (t *Map[K, V]) Sweep(limit int, expired func(V) bool) {
-	for range min(limit, len(t.entries)) {
-		if t.next >= len(t.entries) {
-			t.next = 0
+func (m *Map[K, V]) Sweep(limit int, expired func(V) bool) {
+	for range min(limit, len(m.entries)) {
+		if m.next >= len(m.entries) {
+			m.next = 0
 		}
-		if len(t.entries) > 0 && expired(t.entries[t.next].value) {
-			t.remove(t.entries[t.next]) // moves the last entry to this index, so it is checked next
+		if len(m.entries) > 0 && expired(m.entries[m.next].value) {
+			m.remove(m.entries[m.next]) // moves the last entry to this index, so it is checked next
 		} else {
-			t.next++
+			m.next++
 		}
 	}
 }
 
-func (t *Map[K, V]) remove(e *entry[K, V]) {
-	last := len(t.entries) - 1
-	t.entries[e.index], t.entries[last].index = t.entries[last], e.index
-	t.entries[last] = nil
-	t.entries = t.entries[:last]
-	delete(t.byKey, e.key)
+func (m *Map[K, V]) remove(e *entry[K, V]) {
+	last := len(m.entries) - 1
+	m.entries[e.index], m.entries[last].index = m.entries[last], e.index
+	m.entries[last] = nil
+	m.entries = m.entries[:last]
+	delete(m.byKey, e.key)
 }
--- a/scheduler/interval/interval_test.go
+++ b/scheduler/interval/interval_test.go
@@ -12,40 +12,40 @@
 	s := NewSchedule[int64](length)
 	var groups [members]*Group[int64]
 	var ends [members]int64
-	most := 0
+	maxGroups := 0
 	for step, now := 0, int64(0); step < 20_000; step++ {
 		now += 1 + rng.Int64N(12)
 		if rng.IntN(100) == 0 {
 			now += 500 // nothing happens for a while
 		}
-		out := map[int]bool{} // members with work to do in this step
+		busy := map[int]bool{} // members with work to do in this step
 		for range rng.IntN(4) {
 			i := rng.IntN(members)
 			if groups[i] != nil && groups[i].End() != ends[i] {
 				t.Fatalf("step %d: member %d ends at %d, want %d", step, i, groups[i].End(), ends[i])
 			}
-			out[i] = true
+			busy[i] = true
 		}
 		s.Advance(now)
 		for i := range members {
 			if ends[i] <= now {
 				ends[i] = now + length
-			} else if !out[i] {
+			} else if !busy[i] {
 				continue
 			}
-			if out[i] || groups[i] == nil {
+			if busy[i] || groups[i] == nil {
 				ends[i] = now + length
 				groups[i] = s.Begin(now)
 			}
 		}
-		most = max(most, len(s.queue))
+		maxGroups = max(maxGroups, len(s.queue))
 	}
 	for i, g := range groups {
 		if g.End() != ends[i] {
 			t.Errorf("member %d ends at %d, want %d", i, g.End(), ends[i])
 		}
 	}
-	if most > length {
-		t.Errorf("%d groups at the same time, want at most 200", most)
+	if maxGroups > length {
+		t.Errorf("%d groups at the same time, want at most 200", maxGroups)
 	}
 }
--- a/scheduler/orderedset/orderedset_test.go
+++ b/scheduler/orderedset/orderedset_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-func TestSetKeepsTheOrderWhileItChanges(t *testing.T) {
+func TestIterationWhileTheSetChanges(t *testing.T) {
 	var s Set[string]
 	for i, name := range []string{"c", "a", "d", "b"} {
 		s.Add([]int{30, 10, 40, 20}[i], name)
 	}
 	s.Add(20, "duplicate key")
-	var seen []string
+	var visited []string
 	for name := range s.All {
-		seen = append(seen, name)
+		visited = append(visited, name)
 		switch name {
 		case "a":
 			s.Remove(10)
@@ -24,7 +24,7 @@
 			s.Remove(30)
 		}
 	}
-	if want := []string{"a", "c", "added after", "d"}; !slices.Equal(seen, want) || s.Len() != 3 {
-		t.Errorf("visited %v, want %v; %d values remain, want 3", seen, want, s.Len())
+	if want := []string{"a", "c", "added after", "d"}; !slices.Equal(visited, want) || s.Len() != 3 {
+		t.Errorf("visited %v, want %v; %d values remain, want 3", visited, want, s.Len())
 	}
 }
--- a/scheduler/quantile/quantile_test.go
+++ b/scheduler/quantile/quantile_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestFewSamplesLieBelow(t *testing.T) {
+func TestFewSamplesAreBelowTheEstimate(t *testing.T) {
 	rng, estimate, below := rand.New(rand.NewPCG(1, 1)), 0.0, 0
 	const n = 10_000
 	for range n {
--- a/scheduler/retrybudget/retrybudget.go
+++ b/scheduler/retrybudget/retrybudget.go
@@ -6,30 +6,30 @@
 // Budget allows a minimum number of retries and a share of the requests. A span of 0 or less sets no limit.
 type Budget[T ~int64] struct {
 	span              T
-	spare, share      float64
+	minRetries, share float64
 	requests, retries window.Window[T]
 }
 
 // New returns an unused budget.
 func New[T ~int64](span T, minRetries, share float64) Budget[T] {
-	return Budget[T]{span: span, spare: minRetries, share: share, requests: window.New(span - 1), retries: window.New(span)}
+	return Budget[T]{span: span, minRetries: minRetries, share: share, requests: window.New(span - 1), retries: window.New(span)}
 }
 
 // AddRequest counts a request.
-func (a *Budget[T]) AddRequest(now T) {
-	if a.span > 0 {
-		a.requests.Add(now, 1)
+func (b *Budget[T]) AddRequest(now T) {
+	if b.span > 0 {
+		b.requests.Add(now, 1)
 	}
 }
 
 // AddRetry counts a retry.
-func (a *Budget[T]) AddRetry(now T) {
-	if a.span > 0 {
-		a.retries.Add(now, 1)
+func (b *Budget[T]) AddRetry(now T) {
+	if b.span > 0 {
+		b.retries.Add(now, 1)
 	}
 }
 
 // Allows reports whether one more retry is within the budget.
-func (a *Budget[T]) Allows(now T) bool {
-	return a.span <= 0 || a.retries.Sum(now)+1 <= a.spare+a.share*a.requests.Sum(now)
+func (b *Budget[T]) Allows(now T) bool {
+	return b.span <= 0 || b.retries.Sum(now)+1 <= b.minRetries+b.share*b.requests.Sum(now)
 }
--- a/scheduler/slowstart/allocator.go
+++ b/scheduler/slowstart/allocator.go
@@ -54,89 +54,89 @@
 }
 
 // Reset discards the measurements of a node that may have restarted, because it may be far slower now.
-func (r *Allocator[T]) Reset() {
-	r.reports = nil
-	r.served.Clear()
+func (a *Allocator[T]) Reset() {
+	a.reports = nil
+	a.served.Clear()
 }
 
 // Report records a front's measurements of the node's speed in place of its previous ones. They count for a while after the
 // front's last request: a node does not become slower while it warms up, and few of many fronts request capacity at a time.
-func (r *Allocator[T]) Report(now T, host int, s LoadReport) {
-	if s.Served > 0 && !slices.ContainsFunc(r.reports, func(t report[T]) bool { return t.front == host && t.LoadReport == s }) {
-		r.served.Add(now, s.Served) // a duplicate message counts once
+func (a *Allocator[T]) Report(now T, front int, load LoadReport) {
+	if load.Served > 0 && !slices.ContainsFunc(a.reports, func(old report[T]) bool { return old.front == front && old.LoadReport == load }) {
+		a.served.Add(now, load.Served) // a duplicate message counts once
 	}
-	r.reports = slices.DeleteFunc(r.reports, func(t report[T]) bool { return t.front == host || !r.isCurrent(now, t) })
-	if s.Units > 0 || s.Served > 0 {
-		r.reports = append(r.reports, report[T]{s, host, now})
+	a.reports = slices.DeleteFunc(a.reports, func(old report[T]) bool { return old.front == front || !a.isCurrent(now, old) })
+	if load.Units > 0 || load.Served > 0 {
+		a.reports = append(a.reports, report[T]{load, front, now})
 	}
 }
 
 // isCurrent reports whether a report still counts.
-func (r *Allocator[T]) isCurrent(now T, t report[T]) bool {
-	return t.at >= now-reportLifetimeSpans*r.config.OverloadSpan
+func (a *Allocator[T]) isCurrent(now T, r report[T]) bool {
+	return r.at >= now-reportLifetimeSpans*a.config.OverloadSpan
 }
 
 // Request queues a front's request for capacity. A front that is already waiting keeps its position, so there are no more
 // requests than fronts.
-func (r *Allocator[T]) Request(now T, host int, w CapacityRequest) {
-	r.Report(now, host, w.Report)
-	i := slices.IndexFunc(r.requests, func(a request[T]) bool { return a.front == host })
-	if i >= 0 && r.requests[i].Units > 0 {
-		r.requests[i] = request[T]{w, host, now}
+func (a *Allocator[T]) Request(now T, front int, wanted CapacityRequest) {
+	a.Report(now, front, wanted.Report)
+	i := slices.IndexFunc(a.requests, func(queued request[T]) bool { return queued.front == front })
+	if i >= 0 && a.requests[i].Units > 0 {
+		a.requests[i] = request[T]{wanted, front, now}
 		return
 	} else if i >= 0 {
-		r.requests = slices.Delete(r.requests, i, i+1)
+		a.requests = slices.Delete(a.requests, i, i+1)
 	}
-	r.requests = append(r.requests, request[T]{w, host, now})
+	a.requests = append(a.requests, request[T]{wanted, front, now})
 }
 
 // Allocate grants the waiting requests, in their order, as far as the units granted within a span stay within what the node
 // withstands; borne units are withstood in any case. It drops requests that are too old: their fronts have sent new ones, or
 // need nothing more.
-func (r *Allocator[T]) Allocate(now T, borne float64) (grants []Grant[T]) {
-	rest, served, units, time := max(r.config.OverloadMultiple, 1)-1, r.served.Sum(now), 0.0, 0.0
-	r.requests = slices.DeleteFunc(r.requests, func(a request[T]) bool { return a.at < now-r.config.OverloadSpan/requestDivisor })
-	for _, s := range r.reports {
-		if r.isCurrent(now, s) {
-			units, time = units+s.Units, time+s.Time
+func (a *Allocator[T]) Allocate(now T, safeUnits float64) (grants []Grant[T]) {
+	spareMultiple, served, totalUnits, totalTime := max(a.config.OverloadMultiple, 1)-1, a.served.Sum(now), 0.0, 0.0
+	a.requests = slices.DeleteFunc(a.requests, func(queued request[T]) bool { return queued.at < now-a.config.OverloadSpan/requestDivisor })
+	for _, measured := range a.reports {
+		if a.isCurrent(now, measured) {
+			totalUnits, totalTime = totalUnits+measured.Units, totalTime+measured.Time
 		}
 	}
-	speed := units / (time + float64(r.config.MeasurementDoubt)/float64(max(r.config.OverloadSpan, 1)))
-	part := max(borne*rest/(rest+1), served*rest*reportedInTimeShare, speed*rest)
-	granted := r.granted.Sum(now)
-	for i := range r.requests {
-		a := &r.requests[i]
-		most := part
+	speed := totalUnits / (totalTime + float64(a.config.MeasurementDoubt)/float64(max(a.config.OverloadSpan, 1)))
+	grantable := max(safeUnits*spareMultiple/(spareMultiple+1), served*spareMultiple*reportedInTimeShare, speed*spareMultiple)
+	granted := a.granted.Sum(now)
+	for i := range a.requests {
+		queued := &a.requests[i]
+		maxGranted := grantable
 		if granted <= 0 && served <= 0 {
-			most = max(part, borne)
+			maxGranted = max(grantable, safeUnits)
 		}
-		if a.Units > most {
-			a.Units = a.MinUnits
+		if queued.Units > maxGranted {
+			queued.Units = queued.MinUnits
 		}
 		switch {
-		case a.Units == 0 || a.Units > most:
-		case granted+a.Units > most:
+		case queued.Units == 0 || queued.Units > maxGranted:
+		case granted+queued.Units > maxGranted:
 			return grants // later requests wait too, otherwise a large one might never be granted
 		default:
-			r.granted.Add(now, a.Units)
-			granted += a.Units
-			grants = append(grants, Grant[T]{a.front, a.Units, now + r.config.grantValidity()})
-			a.Units = 0
+			a.granted.Add(now, queued.Units)
+			granted += queued.Units
+			grants = append(grants, Grant[T]{queued.front, queued.Units, now + a.config.grantValidity()})
+			queued.Units = 0
 		}
 	}
 	return grants
 }
 
 // Idle reports whether there is no request, and no grant or report that still counts.
-func (r *Allocator[T]) Idle(now T) bool {
-	return len(r.requests) == 0 && r.granted.Sum(now) <= 0 &&
-		!slices.ContainsFunc(r.reports, func(t report[T]) bool { return r.isCurrent(now, t) })
+func (a *Allocator[T]) Idle(now T) bool {
+	return len(a.requests) == 0 && a.granted.Sum(now) <= 0 &&
+		!slices.ContainsFunc(a.reports, func(r report[T]) bool { return a.isCurrent(now, r) })
 }
 
 // Pending reports whether a front waits for capacity.
-func (r *Allocator[T]) Pending() bool {
-	return slices.ContainsFunc(r.requests, func(a request[T]) bool { return a.Units > 0 })
+func (a *Allocator[T]) Pending() bool {
+	return slices.ContainsFunc(a.requests, func(queued request[T]) bool { return queued.Units > 0 })
 }
 
 // DropRequests discards all requests.
-func (r *Allocator[T]) DropRequests() { r.requests = nil }
+func (a *Allocator[T]) DropRequests() { a.requests = nil }
--- a/scheduler/slowstart/config.go
+++ b/scheduler/slowstart/config.go
@@ -65,16 +65,16 @@
 func (c *Config[T]) grantValidity() T { return c.OverloadSpan / validityDivisor }
 
 // MayHaveGranted reports whether a front may have made a grant that is valid until a time.
-func (c *Config[T]) MayHaveGranted(node string, host int, now, until T) bool {
-	granter, may := c.Granter(node, until-c.grantValidity())
-	return granter == host && may && now <= until && until <= now+c.OverloadSpan
+func (c *Config[T]) MayHaveGranted(node string, front int, now, validUntil T) bool {
+	granter, mayGrant := c.Granter(node, validUntil-c.grantValidity())
+	return granter == front && mayGrant && now <= validUntil && validUntil <= now+c.OverloadSpan
 }
 
 // GrantLifetime returns how long a grant counts: while it is valid, and for a span after that.
 func (c *Config[T]) GrantLifetime() T { return c.OverloadSpan + c.grantValidity() }
 
 // Granter returns the front that grants capacity at a node at a time, and whether it may do so at that time.
-func (c *Config[T]) Granter(node string, now T) (host int, may bool) {
+func (c *Config[T]) Granter(node string, now T) (front int, mayGrant bool) {
 	period := max(1, periodSpans*c.GrantLifetime())
 	if !c.PeerMessages {
 		period = max(1, soloPeriodSpans*c.GrantLifetime())
@@ -82,12 +82,12 @@
 	if c.Fronts <= 1 {
 		return 0, true
 	}
-	sum := xxhash.Sum64String(node)
+	hash := xxhash.Sum64String(node)
 	// In consecutive periods consecutive fronts are the granter. Each node has its own first front and its own offset in time:
 	// if the periods of all nodes began together, no cold node would get grants at that time.
-	now += T(sum>>32) % period
-	host = int((int64(sum&math.MaxUint32) + int64(now/period)) % int64(max(c.Fronts, 1)))
-	return host, now%period > c.GrantLifetime()
+	now += T(hash>>32) % period
+	front = int((int64(hash&math.MaxUint32) + int64(now/period)) % int64(max(c.Fronts, 1)))
+	return front, now%period > c.GrantLifetime()
 }
 
 // SafeUnitsAt returns the units that a node which has been up for the given time withstands within a span in any case. They
--- a/scheduler/slowstart/guard.go
+++ b/scheduler/slowstart/guard.go
@@ -47,15 +47,15 @@
 // processed, and a series of such requests must not allow as many units of other requests. So such a request adds the least
 // that it may have cost, and does not count in the measured speed.
 func (g *Guard[T]) Answered(now T, piece string, units float64, latency T) {
-	near := piece != "" && slices.Contains(g.recentPieces[:], piece)
-	if near {
+	cached := piece != "" && slices.Contains(g.recentPieces[:], piece)
+	if cached {
 		units *= cachedPieceCost
 	} else {
 		g.recentPieces[g.oldestPiece], g.oldestPiece = piece, (g.oldestPiece+1)%len(g.recentPieces)
 	}
 	g.balance.Add(now, -units)
 	g.unreported += units
-	if near {
+	if cached {
 		return
 	}
 	g.measuredUnits, g.measuredTime = g.measuredUnits+units, g.measuredTime+float64(latency)/float64(max(g.span, 1))
@@ -73,8 +73,8 @@
 
 // Granted records a grant that is valid until a time. The rest of the last grant is dropped, because it would be valid for
 // longer than the granter counts it.
-func (g *Guard[T]) Granted(now T, units float64, until T) {
-	g.granted, g.grantedUntil, g.nextRequest = units, until, now
+func (g *Guard[T]) Granted(now T, units float64, validUntil T) {
+	g.granted, g.grantedUntil, g.nextRequest = units, validUntil, now
 }
 
 // ShouldRequest reports whether to request capacity now, and if so sets the earliest time of the next request.
--- a/scheduler/tokenbucket/tokenbucket.go
+++ b/scheduler/tokenbucket/tokenbucket.go
@@ -25,8 +25,8 @@
 }
 
 // Allows reports whether units may be drawn now so that at least keep units remain.
-func (b *Bucket[T]) Allows(now T, units, keep float64) bool {
-	return b.Level-units >= keep && (!b.IsBound(now) || units <= b.Lease)
+func (b *Bucket[T]) Allows(now T, units, minLevel float64) bool {
+	return b.Level-units >= minLevel && (!b.IsBound(now) || units <= b.Lease)
 }
 
 // IsBound reports whether a record may be read back at a time. This includes a record that is being written.
@@ -42,21 +42,21 @@
 // Record returns the record to write. Its lease is for the units drawn until the next record, and it may be read back for
 // the time last. The units that it adds to the bucket's lease may be drawn after RecordSaved, or at once if no record limits
 // the draws. Refill must have been called for the present time.
-func (b *Bucket[T]) Record(lease float64, last T) Bucket[T] {
+func (b *Bucket[T]) Record(lease float64, lifetime T) Bucket[T] {
 	if !b.IsBound(b.At) { // from now on the lease limits the draws
 		b.Lease = lease
 	}
-	b.pendingLease, b.pendingBoundUntil = max(0, lease-b.Lease), b.At+last
+	b.pendingLease, b.pendingBoundUntil = max(0, lease-b.Lease), b.At+lifetime
 	return Bucket[T]{Level: b.Level, At: b.At, Lease: b.Lease + b.pendingLease, BoundUntil: b.pendingBoundUntil}
 }
 
 // RecordSaved takes the result of writing the last record: there means that it may be read back from now on, sure that no
 // earlier record may.
-func (b *Bucket[T]) RecordSaved(there, sure bool) {
-	if there {
+func (b *Bucket[T]) RecordSaved(readable, latest bool) {
+	if readable {
 		b.BoundUntil = max(b.BoundUntil, b.pendingBoundUntil)
 	}
-	if there && sure {
+	if readable && latest {
 		b.Lease += b.pendingLease
 	}
 	b.pendingLease, b.pendingBoundUntil = 0, 0
--- a/scheduler/window/window.go
+++ b/scheduler/window/window.go
@@ -33,12 +33,12 @@
 // evict removes the items that are older than the span. Once they make up half of the slice, it compacts the slice and
 // recomputes the sum, because adding and subtracting amounts accumulates rounding errors.
 func (w *Window[T]) evict(now T) {
-	before := w.first
+	oldFirst := w.first
 	for w.first < len(w.items) && w.items[w.first].at < now-w.span {
 		w.sum -= w.items[w.first].amount
 		w.first++
 	}
-	if w.first == before || w.first < len(w.items)/2 {
+	if w.first == oldFirst || w.first < len(w.items)/2 {
 		return
 	}
 	w.items = append(w.items[:0], w.items[w.first:]...)
--- a/scheduler/window/window_test.go
+++ b/scheduler/window/window_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestSumsTheSpanAndForgetsTheRest(t *testing.T) {
+func TestSumCoversTheSpan(t *testing.T) {
 	w := New[int64](10)
 	for at := range int64(100) {
 		w.Add(at, 1)
--- a/scheduler/worklist/worklist.go
+++ b/scheduler/worklist/worklist.go
@@ -23,7 +23,7 @@
 type Entry[T ~int64, M any] struct {
 	Fast, Slow interval.Interval[T]
 	member     M
-	number     int
+	order      int
 	queued     bool // in the list's queue
 	removed    bool
 	timer      timers.Timer[T, *Entry[T, M]]
@@ -35,49 +35,49 @@
 }
 
 // Add adds a member after all others. Its intervals have ended, so it is processed in this step.
-func (a *List[T, M]) Add(e *Entry[T, M], member M) {
-	*e = Entry[T, M]{member: member, number: a.added}
+func (l *List[T, M]) Add(e *Entry[T, M], member M) {
+	*e = Entry[T, M]{member: member, order: l.added}
 	e.timer.Member = e
-	a.added++
-	a.Queue(e)
+	l.added++
+	l.Queue(e)
 }
 
 // Remove removes a member. If it is queued, it is processed once more.
-func (a *List[T, M]) Remove(e *Entry[T, M]) {
-	a.timers.Stop(&e.timer)
+func (l *List[T, M]) Remove(e *Entry[T, M]) {
+	l.timers.Stop(&e.timer)
 	e.removed = true
 }
 
 // Compare compares two members by the order in which they were added.
-func (e *Entry[T, M]) Compare(other *Entry[T, M]) int { return e.number - other.number }
+func (e *Entry[T, M]) Compare(other *Entry[T, M]) int { return e.order - other.order }
 
 // Queue has a member processed in this step, or in the next one if this step has finished. For a member that is queued
 // between Due and Finish, Finish sets the time at which it is processed.
-func (a *List[T, M]) Queue(e *Entry[T, M]) {
+func (l *List[T, M]) Queue(e *Entry[T, M]) {
 	if !e.queued {
-		e.queued, a.queued = true, append(a.queued, e)
+		e.queued, l.queued = true, append(l.queued, e)
 	}
 }
 
 // Activate queues a member and separates its intervals, because there is work to do when they end.
-func (a *List[T, M]) Activate(e *Entry[T, M]) {
-	a.Queue(e)
+func (l *List[T, M]) Activate(e *Entry[T, M]) {
+	l.Queue(e)
 	e.Fast.Separate()
 	e.Slow.Separate()
 }
 
 // Due returns the members to process in the step at the time now, in the order in which they were added. It is called once
 // per step.
-func (a *List[T, M]) Due(now T) func(yield func(M) bool) {
-	a.now = now
-	a.fast.Advance(now)
-	a.slow.Advance(now)
-	for e, ok := a.timers.Due(now); ok; e, ok = a.timers.Due(now) {
-		a.Queue(e)
+func (l *List[T, M]) Due(now T) func(yield func(M) bool) {
+	l.now = now
+	l.fast.Advance(now)
+	l.slow.Advance(now)
+	for e, ok := l.timers.Due(now); ok; e, ok = l.timers.Due(now) {
+		l.Queue(e)
 	}
-	slices.SortFunc(a.queued, (*Entry[T, M]).Compare)
+	slices.SortFunc(l.queued, (*Entry[T, M]).Compare)
 	return func(yield func(M) bool) {
-		for _, e := range a.queued {
+		for _, e := range l.queued {
 			if !yield(e.member) {
 				return
 			}
@@ -86,18 +86,18 @@
 }
 
 // RestartFast begins a member's next fast interval.
-func (a *List[T, M]) RestartFast(e *Entry[T, M]) { e.Fast.Restart(&a.fast, a.now) }
+func (l *List[T, M]) RestartFast(e *Entry[T, M]) { e.Fast.Restart(&l.fast, l.now) }
 
 // RestartSlow begins a member's next slow interval.
-func (a *List[T, M]) RestartSlow(e *Entry[T, M]) { e.Slow.Restart(&a.slow, a.now) }
+func (l *List[T, M]) RestartSlow(e *Entry[T, M]) { e.Slow.Restart(&l.slow, l.now) }
 
 // Never is the time of a member at which nothing is due.
 const Never = math.MaxInt64
 
 // Finish ends a step. Each member that was processed in it, or queued since Due, is processed again when one of its separate
 // intervals ends or at the time that next returns, whichever is earlier.
-func (a *List[T, M]) Finish(next func(M) T) {
-	for _, e := range a.queued {
+func (l *List[T, M]) Finish(next func(M) T) {
+	for _, e := range l.queued {
 		e.queued = false
 		at := next(e.member)
 		for _, i := range []*interval.Interval[T]{&e.Fast, &e.Slow} {
@@ -106,11 +106,11 @@
 			}
 		}
 		if e.removed || at == Never {
-			a.timers.Stop(&e.timer)
+			l.timers.Stop(&e.timer)
 		} else {
-			a.timers.Set(&e.timer, at)
+			l.timers.Set(&e.timer, at)
 		}
 	}
-	clear(a.queued)
-	a.queued = a.queued[:0]
+	clear(l.queued)
+	l.queued = l.queued[:0]
 }
--- a/scheduler/worklist/worklist_test.go
+++ b/scheduler/worklist/worklist_test.go
@@ -2,52 +2,52 @@
 
 import "testing"
 
-func TestMembersAreLookedAtWhenSomethingIsDue(t *testing.T) {
-	a := New[int64, string](10, 100)
+func TestMembersAreProcessedWhenSomethingIsDue(t *testing.T) {
+	list := New[int64, string](10, 100)
 	var x, y Entry[int64, string]
-	a.Add(&x, "x")
-	a.Add(&y, "y")
+	list.Add(&x, "x")
+	list.Add(&y, "y")
 	next := map[string]int64{"x": Never, "y": Never}
-	step := func(now int64) (looked string) {
-		for m := range a.Due(now) {
-			looked += m
+	step := func(now int64) (processed string) {
+		for m := range list.Due(now) {
+			processed += m
 			e := map[string]*Entry[int64, string]{"x": &x, "y": &y}[m]
 			if e.Fast.Ended(now) {
-				a.RestartFast(e)
+				list.RestartFast(e)
 			}
 			if e.Slow.Ended(now) {
-				a.RestartSlow(e)
+				list.RestartSlow(e)
 			}
 		}
-		a.Finish(func(m string) int64 { return next[m] })
-		return looked
+		list.Finish(func(m string) int64 { return next[m] })
+		return processed
 	}
-	want := func(now int64, looked string) {
+	wantProcessed := func(now int64, processed string) {
 		t.Helper()
-		if got := step(now); got != looked {
-			t.Errorf("at %d: processed %q, want %q", now, got, looked)
+		if got := step(now); got != processed {
+			t.Errorf("at %d: processed %q, want %q", now, got, processed)
 		}
 	}
-	want(1, "xy") // in the order in which they were added
-	want(5, "")
-	want(50, "") // idle members are not processed when their intervals end
-	a.Activate(&y)
-	want(52, "y") // its fast interval is separate now and ends at 60
-	want(59, "")
-	want(61, "y")
-	want(80, "")
-	want(102, "y") // its slow interval ended at 101
+	wantProcessed(1, "xy") // in the order in which they were added
+	wantProcessed(5, "")
+	wantProcessed(50, "") // idle members are not processed when their intervals end
+	list.Activate(&y)
+	wantProcessed(52, "y") // its fast interval is separate now and ends at 60
+	wantProcessed(59, "")
+	wantProcessed(61, "y")
+	wantProcessed(80, "")
+	wantProcessed(102, "y") // its slow interval ended at 101
 	next["x"] = 150
-	a.Queue(&x)
-	want(110, "x")
+	list.Queue(&x)
+	wantProcessed(110, "x")
 	next["x"] = Never
-	want(149, "")
-	want(151, "x")
+	wantProcessed(149, "")
+	wantProcessed(151, "x")
 	next["y"] = 165
-	a.Queue(&y)
-	a.Remove(&y)
-	want(160, "y")
-	want(170, "")
+	list.Queue(&y)
+	list.Remove(&y)
+	wantProcessed(160, "y")
+	wantProcessed(170, "")
 	if x.Compare(&y) >= 0 {
 		t.Error("x does not compare as added before y")
 	}
