--- a/internal/admission/gate/gate.go
+++ b/internal/admission/gate/gate.go
@@ -28,7 +28,7 @@
 	retryAfter time.Duration
 }
 
-// New returns a gate at which a request waits at most for patience.
+// New returns a gate at which a request waits at most for maxWait.
 func New(config admission.Config, maxWait time.Duration) *Gate {
 	return &Gate{
 		maxWait: maxWait, started: time.Now(), queue: admission.New(config, maphash.MakeSeed(), rand.Uint64()),
@@ -40,8 +40,8 @@
 
 func (g *Gate) now() int64 { return time.Since(g.started).Microseconds() }
 
-// Enter waits until a request is admitted, at most for the time most and the gate's patience. It returns a function to call
-// when the request has ended. If the request is rejected, also because its time has run out, the error is a
+// Enter waits until a request is admitted, for at most maxWait and at most the maximum of the gate. It returns a function to
+// call when the request has ended. If the request is rejected, which includes a wait that was too long, the error is a
 // *routing.RejectedError with the time to retry; if ctx ends, it is the cause. cost and weight are those of
 // admission.Queue.Arrive.
 func (g *Gate) Enter(ctx context.Context, project, client string, cost, weight float64, maxWait time.Duration) (release func(), err error) {
@@ -59,7 +59,7 @@
 	g.mu.Unlock()
 	switch {
 	case a.Admitted:
-		return g.admittedNow(cost), nil
+		return g.releaseFunc(cost), nil
 	case a.Rejected:
 		return nil, &routing.RejectedError{RetryAfter: micros(a.RetryAfter)}
 	}
@@ -88,13 +88,13 @@
 
 func (g *Gate) outcome(v verdict, cost float64) (release func(), err error) {
 	if v.admitted {
-		return g.admittedNow(cost), nil
+		return g.releaseFunc(cost), nil
 	}
 	return nil, &routing.RejectedError{RetryAfter: v.retryAfter}
 }
 
-// admittedNow returns the function that ends a request which was just admitted.
-func (g *Gate) admittedNow(cost float64) (release func()) {
+// releaseFunc returns the function that ends a request which was just admitted.
+func (g *Gate) releaseFunc(cost float64) (release func()) {
 	admittedAt := g.now()
 	return func() {
 		g.mu.Lock()
--- a/internal/admission/gate/gate_test.go
+++ b/internal/admission/gate/gate_test.go
@@ -57,7 +57,7 @@
 	if _, err := g.Enter(t.Context(), "b", "", 1, 1, time.Millisecond); !errors.As(err, &rejected) || rejected.RetryAfter <= 0 {
 		t.Errorf("request whose time ran out: error %v, want a rejection with a time to retry", err)
 	}
-	disconnected := errors.New("gone")
+	disconnected := errors.New("client disconnected")
 	ctx, end := context.WithCancelCause(t.Context())
 	done := make(chan error, 2)
 	go func() {
@@ -67,7 +67,7 @@
 	standin.Until(t, "a waiting request", func() bool { return g.Waiting() == 1 })
 	end(disconnected)
 	if err := standin.Await(t, "the end of a request whose client disconnected", done); !errors.Is(err, disconnected) || g.Waiting() != 0 {
-		t.Errorf("request whose client disconnected: error %v, want gone; %d waiting, want 0", err, g.Waiting())
+		t.Errorf("request whose client disconnected: error %v, want client disconnected; %d waiting, want 0", err, g.Waiting())
 	}
 	go func() {
 		releaseNext, err := g.Enter(t.Context(), "d", "", 1, 1, standin.Patience)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -105,7 +105,7 @@
 // tagsPerCost converts costs to tags, which are integers.
 const tagsPerCost = 1000
 
-// increment returns by how much a request advances its queue's tag. A weight of 0 or less, which a validated configuration does
+// tagIncrement returns by how much a request advances its queue's tag. A weight of 0 or less, which a validated configuration does
 // not have, counts as a tiny positive one, so that the division is defined.
 func tagIncrement(cost, weight float64) int64 {
 	return int64(math.Ceil(cost * tagsPerCost / max(weight, 1e-9)))
@@ -117,5 +117,5 @@
 	return p, &p.clients[maphash.String(q.hash, projectID+"\x00"+clientID)%clients]
 }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return q.waiting }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -92,12 +92,12 @@
 		}
 		return others, all
 	}
-	alone, _ := served(false)
+	withoutFlood, _ := served(false)
 	withFlood, all := served(true)
-	t.Logf("requests of the others served: %d without a flood, %d with it; %d in total with it", alone, withFlood, all)
-	if float64(withFlood) < 0.95*float64(alone) || all < 24_000 {
+	t.Logf("requests of the others served: %d without a flood, %d with it; %d in total with it", withoutFlood, withFlood, all)
+	if float64(withFlood) < 0.95*float64(withoutFlood) || all < 24_000 {
 		t.Errorf("requests of the others served: %d without a flood, %d with it, want 95%%; %d in total with it, want 24,000 of 25,000",
-			alone, withFlood, all)
+			withoutFlood, withFlood, all)
 	}
 }
 
--- a/internal/admission/retryafter_test.go
+++ b/internal/admission/retryafter_test.go
@@ -8,28 +8,29 @@
 // Clients that retry when they are told to are admitted or queued then, even if the clients of every second project retry each
 // millisecond instead. Guards against retry times that are too short, and against so long ones that capacity is unused.
 func TestRetriesOnTimeAreAdmitted(t *testing.T) {
-	for _, others := range []string{"heed it", "ignore it"} {
-		retries, accepted, finished := simulateRetries(others == "ignore it")
+	for _, others := range []string{"retry on time", "retry at once"} {
+		retries, accepted, finished := simulateRetries(others == "retry at once")
 		minTime := 3000 / 2.5 * 1000 // microseconds, at 50 every 20 ms
 		t.Logf("others %s: %d retries on time, %d of them admitted or queued; finished after %d ms, at least %.0f needed", others,
 			retries, accepted, finished/1000, minTime/1000)
 		// The time beyond the minimum is unused capacity, which must stay under 5%.
-		if float64(accepted) < 0.9*float64(retries) || others == "heed it" && float64(finished) > 1.05*minTime {
+		if float64(accepted) < 0.9*float64(retries) || others == "retry on time" && float64(finished) > 1.05*minTime {
 			t.Errorf("others %s: %d retries on time, %d of them admitted or queued; finished after %d ms, at least %.0f needed", others,
 				retries, accepted, finished/1000, minTime/1000)
 		}
 	}
 }
 
-// simulateRetries simulates 3,000 requests of 300 projects that arrive at once at a queue whose rate is known. Rejected ones are retried
-// when they were told to; if ignore is set, those of every second project after a millisecond instead. It returns the number of
-// retries on time, how many of them were admitted or queued, and after which time no request was left to admit.
+// simulateRetries simulates 3,000 requests of 300 projects that arrive at once at a queue whose rate is known. The clients of
+// rejected requests retry when they are told to; if someEarly is set, those of every second project retry after a millisecond
+// instead. It returns the number of retries on time, how many of them were admitted or queued, and after which time no request
+// was left to admit.
 func simulateRetries(someEarly bool) (retries, accepted int, finished int64) {
 	type client struct {
-		at    int64
-		name  string
-		back  bool
-		heeds bool
+		at            int64
+		name          string
+		isRetry       bool
+		retriesOnTime bool
 	}
 	s := newSimulation(50, 200)
 	now := int64(0)
@@ -39,7 +40,7 @@
 	}
 	begin := now
 	var clients []client
-	usedQueues := map[*project]bool{} // one project per queue, as projects that share one share its promised times and are told later ones
+	usedQueues := map[*project]bool{} // one project per queue: projects that share one share its promised times and are told later ones
 	var names []string
 	for i := 0; len(names) < 300; i++ {
 		name := fmt.Sprint("project-", i)
@@ -53,7 +54,7 @@
 	var evicted []client
 	onTime := map[string]bool{}
 	for _, c := range clients {
-		onTime[c.name] = c.heeds
+		onTime[c.name] = c.retriesOnTime
 	}
 	s.onEvicted = func(project string, later int64) {
 		evicted = append(evicted, client{now + later, project, true, onTime[project]})
@@ -67,15 +68,15 @@
 				continue
 			}
 			retryAfter, rejected := s.arrive(now, c.name, "client")
-			if c.back && c.heeds {
+			if c.isRetry && c.retriesOnTime {
 				retries++
 			}
 			switch {
-			case rejected && !c.heeds:
+			case rejected && !c.retriesOnTime:
 				later = append(later, client{now + 1000, c.name, true, false})
 			case rejected:
 				later = append(later, client{now + max(retryAfter, 1000), c.name, true, true})
-			case c.back && c.heeds:
+			case c.isRetry && c.retriesOnTime:
 				accepted++
 			}
 		}
--- a/internal/lifecycle/guard.go
+++ b/internal/lifecycle/guard.go
@@ -159,7 +159,8 @@
 // Violated counts and logs an operation that should not have been carried out.
 func (g *Guard) Violated(op Operation, description string) {
 	g.violations[op].Add(1)
-	g.log.Error("rule violated", "operation", op.String(), "what", description, "phase", g.Phase().String(), "since_shutdown", g.Since().String())
+	g.log.Error("rule violated", "operation", op.String(), "what", description, "phase", g.Phase().String(),
+		"since_shutdown", g.Since().String())
 }
 
 // Count holds how often an operation was denied, and how often it was carried out in violation of the rules, since the process
--- a/internal/lifecycle/guard_test.go
+++ b/internal/lifecycle/guard_test.go
@@ -55,18 +55,18 @@
 // Guards against lost requests whose deadline was computed before they were sent. The deadline of a request that arrives
 // late in a shutdown is at least two stalls before SIGKILL, and a request with too little time left is denied.
 func TestDeadlineEndsBeforeTheKill(t *testing.T) {
-	for _, maxDeadline := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second} {
-		g, clock := newGuard(maxDeadline)
+	for _, deadline := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second} {
+		g, clock := newGuard(deadline)
 		g.BeginShutdown(clock.now)
 		began, stopLimits := clock.now, g.Limits()
 		for clock.now.Sub(began) < stopLimits.Kill {
 			clock.now = clock.now.Add(10 * time.Millisecond)
-			if left := began.Add(stopLimits.Kill).Sub(g.Deadline(maxDeadline)); left < 2*stopLimits.HoldUp {
-				t.Fatalf("longest deadline %v, %v after SIGTERM: answer due %v before SIGKILL, want two stalls", maxDeadline, clock.now.Sub(began), left)
+			if left := began.Add(stopLimits.Kill).Sub(g.Deadline(deadline)); left < 2*stopLimits.HoldUp {
+				t.Fatalf("longest deadline %v, %v after SIGTERM: answer due %v before SIGKILL, want two stalls", deadline, clock.now.Sub(began), left)
 			}
-			err := g.Allow(Take, clock.now.Add(maxDeadline))
+			err := g.Allow(Take, clock.now.Add(deadline))
 			if fits := began.Add(stopLimits.Answer).Sub(clock.now) >= stopLimits.MinTime; (err == nil) != fits {
-				t.Errorf("longest deadline %v, %v after SIGTERM: Allow returned %v", maxDeadline, clock.now.Sub(began), err)
+				t.Errorf("longest deadline %v, %v after SIGTERM: Allow returned %v", deadline, clock.now.Sub(began), err)
 			}
 		}
 	}
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -35,7 +35,8 @@
 func TestChangesAreLearnedInTime(t *testing.T) {
 	for _, fronts := range []int{1, 10, 80, 350, 1024, 4096} {
 		l := For(Site{MemoryMB: 192, Sockets: 1024, Askers: fronts})
-		if delay := l.Discovery.WatchHold + l.Discovery.AnswerTimeout + l.Discovery.RetryMax*3/2; delay > 6*time.Second || l.Discovery.StartSpread > 4*time.Second {
+		if delay := l.Discovery.WatchHold + l.Discovery.AnswerTimeout + l.Discovery.RetryMax*3/2; delay > 6*time.Second ||
+			l.Discovery.StartSpread > 4*time.Second {
 			t.Errorf("%d fronts: a change takes up to %v, want 6 s; first watches begin within %v, want 4 s", fronts, delay,
 				l.Discovery.StartSpread)
 		}
--- a/scheduler/slowstart/allocator.go
+++ b/scheduler/slowstart/allocator.go
@@ -91,7 +91,7 @@
 }
 
 // Allocate grants the waiting requests, in their order, as far as the units granted within a span stay within what the node
-// withstands; borne units are withstood in any case. It drops requests that are too old: their fronts have sent new ones, or
+// withstands; it withstands safeUnits in any case. It drops requests that are too old: their fronts have sent new ones, or
 // need nothing more.
 func (a *Allocator[T]) Allocate(now T, safeUnits float64) (grants []Grant[T]) {
 	spareMultiple, served, totalUnits, totalTime := max(a.config.OverloadMultiple, 1)-1, a.served.Sum(now), 0.0, 0.0
--- a/scheduler/slowstart/allocator_test.go
+++ b/scheduler/slowstart/allocator_test.go
@@ -9,7 +9,10 @@
 const ms = int64(1000)
 
 func newConfig(fronts int, peerMessages bool) *Config[int64] {
-	return &Config[int64]{Fronts: fronts, InitialShare: 0.2, Ramp: 17000 * ms, OverloadMultiple: 2.5, OverloadSpan: 1000 * ms, SafeUnits: 8, MeasurementDoubt: 500 * ms, PeerMessages: peerMessages}
+	return &Config[int64]{
+		Fronts: fronts, InitialShare: 0.2, Ramp: 17000 * ms, OverloadMultiple: 2.5, OverloadSpan: 1000 * ms, SafeUnits: 8,
+		MeasurementDoubt: 500 * ms, PeerMessages: peerMessages,
+	}
 }
 
 // Guards against grants that together exceed the limit of a span because a granter does not know of the grants of the last
@@ -66,11 +69,11 @@
 					}
 				}
 				if sum > config.SafeUnitsAt(0)+1e-9 {
-					t.Fatalf("peers %v, seed %d: %.2f units sent within a span, want at most %.2f", peerMessages, seed, sum, config.SafeUnitsAt(0))
+					t.Fatalf("peer messages %v, seed %d: %.2f units sent within a span, want at most %.2f", peerMessages, seed, sum, config.SafeUnitsAt(0))
 				}
 			}
 			if granted < 10 {
-				t.Errorf("peers %v, seed %d: %d grants, want at least 10", peerMessages, seed, granted)
+				t.Errorf("peer messages %v, seed %d: %d grants, want at least 10", peerMessages, seed, granted)
 			}
 		}
 	}
@@ -191,7 +194,8 @@
 		t.Errorf("%v units granted after the node restarted, want at most the safe units", got)
 	}
 	allocator.Report(now, 1, LoadReport{Units: 100, Time: 1})
-	if later := now + (reportLifetimeSpans+1)*config.OverloadSpan + 5*config.GrantLifetime(); !allocator.Idle(later) || granted(later-now) > config.SafeUnitsAt(0) {
+	if later := now + (reportLifetimeSpans+1)*config.OverloadSpan + 5*config.GrantLifetime(); !allocator.Idle(later) ||
+		granted(later-now) > config.SafeUnitsAt(0) {
 		t.Error("a report counts after its lifetime")
 	}
 }
--- a/scheduler/tokenbucket/tokenbucket.go
+++ b/scheduler/tokenbucket/tokenbucket.go
@@ -24,7 +24,7 @@
 	b.At = now
 }
 
-// Allows reports whether units may be drawn now so that at least keep units remain.
+// Allows reports whether units may be drawn now so that at least minLevel units remain.
 func (b *Bucket[T]) Allows(now T, units, minLevel float64) bool {
 	return b.Level-units >= minLevel && (!b.IsBound(now) || units <= b.Lease)
 }
@@ -39,8 +39,8 @@
 	return b.IsBound(now) && b.Lease < lease/2
 }
 
-// Record returns the record to write. Its lease is for the units drawn until the next record, and it may be read back for
-// the time last. The units that it adds to the bucket's lease may be drawn after RecordSaved, or at once if no record limits
+// Record returns the record to write. Its lease is for the units drawn until the next record, and it may be read back during
+// its lifetime. The units that it adds to the bucket's lease may be drawn after RecordSaved, or at once if no record limits
 // the draws. Refill must have been called for the present time.
 func (b *Bucket[T]) Record(lease float64, lifetime T) Bucket[T] {
 	if !b.IsBound(b.At) { // from now on the lease limits the draws
@@ -50,8 +50,8 @@
 	return Bucket[T]{Level: b.Level, At: b.At, Lease: b.Lease + b.pendingLease, BoundUntil: b.pendingBoundUntil}
 }
 
-// RecordSaved takes the result of writing the last record: there means that it may be read back from now on, sure that no
-// earlier record may.
+// RecordSaved takes the result of writing the last record: readable means that it may be read back from now on, latest that
+// no earlier record may.
 func (b *Bucket[T]) RecordSaved(readable, latest bool) {
 	if readable {
 		b.BoundUntil = max(b.BoundUntil, b.pendingBoundUntil)
--- a/scheduler/tokenbucket/tokenbucket_test.go
+++ b/scheduler/tokenbucket/tokenbucket_test.go
@@ -12,7 +12,7 @@
 func TestLimitHoldsAcrossCrashes(t *testing.T) {
 	flag.Set("rapid.steps", "400") // a failure takes a record, draws, a crash, another record and draws
 	check := func(t *rapid.T) {
-		const rate, burst, lifetime = 2e-6, 10.0, 3_000_000 // 2 units a second
+		const rate, burst, lifetime = 2e-6, 10.0, 3_000_000 // 2 units per second
 		lease := rapid.SampledFrom([]float64{1, 3, 8}).Draw(t, "lease")
 		duration := rapid.SampledFrom([]int64{0, 100_000, 1_500_000, 3_000_001})
 		now := int64(1)
@@ -61,16 +61,16 @@
 				bucket.RecordSaved(false, false)
 				pending = nil
 			},
-			"doubtful": func(t *rapid.T) { // writing failed after the rename, which may be undone
+			"uncertain": func(t *rapid.T) { // writing failed after the rename, which may be undone
 				if pending != nil {
 					bucket.RecordSaved(true, false)
-					if rapid.Bool().Draw(t, "there") {
+					if rapid.Bool().Draw(t, "on disk") {
 						disk = pending
 					}
 					pending = nil
 				}
 			},
-			"die": func(_ *rapid.T) { crash() },
+			"crash": func(_ *rapid.T) { crash() },
 		})
 	}
 	for range 40 { // a hundred random sequences each
