--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -18,7 +18,7 @@
 // (scheduler.Plan.Weight).
 func (q *Queue) Arrive(now int64, projectID, clientID string, cost, weight float64) Arrival {
 	p, c := q.find(projectID, clientID)
-	a, increment := Arrival{Evicted: noTicket}, tagIncrement(cost, weight)
+	a, increment := Arrival{Evicted: noTicket}, increment(cost, weight)
 	if q.admitted < q.config.Room && q.waiting == 0 {
 		q.admit(p, c, increment)
 		a.Admitted = true
@@ -59,16 +59,16 @@
 
 // minTag returns the lowest tag of the clients with waiting requests, at which a client's queue begins, or 0.
 func (p *project) minTag() int64 {
-	lowest := int64(math.MaxInt64)
+	minTag := int64(math.MaxInt64)
 	for i := range p.clients {
 		if c := &p.clients[i]; c.count > 0 {
-			lowest = min(lowest, c.tag)
+			minTag = min(minTag, c.tag)
 		}
 	}
-	if lowest == math.MaxInt64 {
+	if minTag == math.MaxInt64 {
 		return 0
 	}
-	return lowest
+	return minTag
 }
 
 // busiestClient returns the client with the most waiting requests.
--- a/internal/admission/gate/gate.go
+++ b/internal/admission/gate/gate.go
@@ -14,8 +14,8 @@
 
 // Gate admits requests by the decisions of an admission queue. It is safe for concurrent use.
 type Gate struct {
-	maxWait time.Duration
-	started time.Time
+	waitLimit time.Duration
+	started   time.Time
 
 	mu       sync.Mutex
 	queue    *admission.Queue
@@ -28,10 +28,10 @@
 	retryAfter time.Duration
 }
 
-// New returns a gate at which a request waits at most for maxWait.
-func New(config admission.Config, maxWait time.Duration) *Gate {
+// New returns a gate at which a request waits at most for waitLimit.
+func New(config admission.Config, waitLimit time.Duration) *Gate {
 	return &Gate{
-		maxWait: maxWait, started: time.Now(), queue: admission.New(config, maphash.MakeSeed(), rand.Uint64()),
+		waitLimit: waitLimit, started: time.Now(), queue: admission.New(config, maphash.MakeSeed(), rand.Uint64()),
 		verdicts: make([]chan verdict, max(config.Waiting, 1)),
 	}
 }
@@ -40,7 +40,7 @@
 
 func (g *Gate) now() int64 { return time.Since(g.started).Microseconds() }
 
-// Enter waits until a request is admitted, for at most maxWait and at most the maximum of the gate. It returns a function to
+// Enter waits until a request is admitted, at most for maxWait and for the limit of the gate. It returns a function to
 // call when the request has ended. If the request is rejected, which includes a wait that was too long, the error is a
 // *routing.RejectedError with the time to retry; if ctx ends, it is the cause. cost and weight are those of
 // admission.Queue.Arrive.
@@ -63,7 +63,7 @@
 	case a.Rejected:
 		return nil, &routing.RejectedError{RetryAfter: micros(a.RetryAfter)}
 	}
-	timer := time.NewTimer(min(g.maxWait, maxWait))
+	timer := time.NewTimer(min(g.waitLimit, maxWait))
 	defer timer.Stop()
 	select {
 	case v := <-decided:
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -46,14 +46,14 @@
 	queues    [projects]project
 	active    timers.Timers[int64, *project] // queues with waiting requests, ordered by tag
 	pool      []waiter
-	firstFree Ticket  // head of the list of free places in pool
+	firstFree Ticket
 	cost      float64 // of all waiting requests
 	rate      float64 // cost released per microsecond while the maximum of requests is admitted
 	meanHeld  float64 // mean time between admission and release, in microseconds
 	meanCost  float64 // mean cost of released requests
-	// Queues whose rejected requests were told when to retry, ordered by the last of these times.
-	promised      timers.Timers[int64, *project]
-	promisedCount int // number of queues in promised
+	// Queues whose rejected requests were told when to retry, ordered by the last of these times, and their number.
+	promised timers.Timers[int64, *project]
+	claims   int
 }
 
 // project is a queue of one or more projects.
@@ -63,7 +63,7 @@
 	count         int
 	cost          float64 // of its waiting requests
 	promise       timers.Timer[int64, *project]
-	hasPromise    bool  // a rejected request was told a time to retry that has not passed
+	claims        bool  // a rejected request was told a time to retry that has not passed
 	promisedUntil int64 // the last such time
 	clients       [clients]client
 }
@@ -105,9 +105,9 @@
 // tagsPerCost converts costs to tags, which are integers.
 const tagsPerCost = 1000
 
-// tagIncrement returns by how much a request advances its queue's tag. A weight of 0 or less, which a validated configuration does
+// increment returns by how much a request advances its queue's tag. A weight of 0 or less, which a validated configuration does
 // not have, counts as a tiny positive one, so that the division is defined.
-func tagIncrement(cost, weight float64) int64 {
+func increment(cost, weight float64) int64 {
 	return int64(math.Ceil(cost * tagsPerCost / max(weight, 1e-9)))
 }
 
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -8,16 +8,17 @@
 	"unsafe"
 )
 
-// simulation simulates a front with a queue. An admitted request takes 20 ms.
+// simulation simulates a front with a queue. An admitted request takes 20 ms. projectOf has the projects of the waiting requests;
+// served and rejected count requests by project.
 type simulation struct {
 	q         *Queue
 	rng       *rand.Rand
-	ends      []int64                           // end times of the admitted requests, in order
-	projectOf map[Ticket]string                 // projects of the waiting requests
-	onEvicted func(project string, later int64) // called for an evicted request, if set
-	served    map[string]int                    // by project
-	rejected  map[string]int                    // by project
-	weights   map[string]float64                // by project, 1 if absent
+	ends      []int64 // end times of the admitted requests, in order
+	projectOf map[Ticket]string
+	out       func(project string, later int64) // called for an evicted request, if set
+	served    map[string]int
+	rejected  map[string]int
+	weights   map[string]float64 // by project, 1 if absent
 }
 
 const serviceTime = 20_000
@@ -44,8 +45,8 @@
 	default:
 		if a.Evicted != noTicket {
 			s.rejected[s.projectOf[a.Evicted]]++
-			if s.onEvicted != nil {
-				s.onEvicted(s.projectOf[a.Evicted], a.EvictedRetryAfter)
+			if s.out != nil {
+				s.out(s.projectOf[a.Evicted], a.EvictedRetryAfter)
 			}
 		}
 		s.projectOf[a.Ticket] = project
@@ -128,12 +129,12 @@
 	cancelled := q.Arrive(0, "c", "", 1, 1).Ticket
 	q.Release(1, serviceTime) // the rate at which requests leave is known now, and "b" is admitted
 	q.Cancel(cancelled)
-	if q.promisedCount != 0 {
-		t.Errorf("%d queues with a promised time after a client disconnected, want 0", q.promisedCount)
+	if q.claims != 0 {
+		t.Errorf("%d queues with a promised time after a client disconnected, want 0", q.claims)
 	}
 	expired := q.Arrive(1000, "d", "", 1, 1).Ticket
-	if retryAfter := q.Expire(1000, expired); retryAfter <= 0 || q.promisedCount != 1 {
-		t.Errorf("expired request: retry after %d, %d queues with a promised time, want more than 0 and 1", retryAfter, q.promisedCount)
+	if retryAfter := q.Expire(1000, expired); retryAfter <= 0 || q.claims != 1 {
+		t.Errorf("expired request: retry after %d, %d queues with a promised time, want more than 0 and 1", retryAfter, q.claims)
 	}
 }
 
@@ -165,7 +166,7 @@
 func TestEachRequestIsCountedOnce(t *testing.T) {
 	q := New(Config{Room: 5, Waiting: 20, MaxRetryAfter: 1000}, maphash.MakeSeed(), 1)
 	rng := rand.New(rand.NewPCG(2, 2))
-	waiting, admitted := map[Ticket]bool{}, 0
+	waiting, admittedCount := map[Ticket]bool{}, 0
 	for now := range int64(200_000) {
 		switch rng.IntN(3) {
 		case 0:
@@ -178,7 +179,7 @@
 			}
 			switch {
 			case a.Admitted:
-				admitted++
+				admittedCount++
 			case a.Rejected:
 				if a.RetryAfter < 0 || a.RetryAfter > 1000 {
 					t.Fatalf("retry after %d, want 0 to 1000", a.RetryAfter)
@@ -189,14 +190,14 @@
 				waiting[a.Ticket] = true
 			}
 		case 1:
-			if admitted > 0 {
-				admitted--
+			if admittedCount > 0 {
+				admittedCount--
 				for _, w := range q.Release(1, 20_000) {
 					if !waiting[w] {
 						t.Fatal("a request that was not waiting was admitted")
 					}
 					delete(waiting, w)
-					admitted++
+					admittedCount++
 				}
 			}
 		default:
@@ -206,9 +207,9 @@
 				break
 			}
 		}
-		if q.Waiting() != len(waiting) || q.admitted != admitted || admitted > 5 || len(waiting) > 20 || admitted < 5 && len(waiting) > 0 {
+		if q.Waiting() != len(waiting) || q.admitted != admittedCount || admittedCount > 5 || len(waiting) > 20 || admittedCount < 5 && len(waiting) > 0 {
 			t.Fatalf("%d waiting (at most 20) and %d admitted (at most 5, fewer only if none waits), the queue counts %d and %d",
-				len(waiting), admitted, q.Waiting(), q.admitted)
+				len(waiting), admittedCount, q.Waiting(), q.admitted)
 		}
 	}
 	bytes := unsafe.Sizeof(*q) + uintptr(len(q.pool))*unsafe.Sizeof(waiter{})
--- a/internal/admission/retryafter.go
+++ b/internal/admission/retryafter.go
@@ -2,7 +2,7 @@
 
 // Expire removes a waiting request whose time has run out or that is evicted. It returns the time in microseconds after which
 // its client should retry, and counts that time as promised to the project.
-func (q *Queue) Expire(now int64, t Ticket) (retryAfter int64) {
+func (q *Queue) Expire(now int64, t Ticket) (delay int64) {
 	w := q.pool[t]
 	q.remove(t)
 	return q.retryAfter(now, w.project, w.cost)
@@ -44,15 +44,15 @@
 // last of them came back a tenth late and capacity was unused until then.
 func (q *Queue) retryAfter(now int64, p *project, cost float64) int64 {
 	for due, ok := q.promised.Due(now); ok; due, ok = q.promised.Due(now) {
-		due.hasPromise, q.promisedCount = false, q.promisedCount-1
+		due.claims, q.claims = false, q.claims-1
 	}
 	if q.rate <= 0 {
 		return int64(float64(q.config.MaxRetryAfter) * (0.5 + q.rng.Float64()/2))
 	}
-	if !p.hasPromise {
-		p.hasPromise, q.promisedCount = true, q.promisedCount+1
+	if !p.claims {
+		p.claims, q.claims = true, q.claims+1
 	}
-	p.promisedUntil = max(p.promisedUntil, now+int64(q.cost/q.rate)) + int64(cost/q.rate*float64(q.promisedCount))
+	p.promisedUntil = max(p.promisedUntil, now+int64(q.cost/q.rate)) + int64(cost/q.rate*float64(q.claims))
 	p.promisedUntil = min(p.promisedUntil, now+q.config.MaxRetryAfter)
 	q.promised.Set(&p.promise, p.promisedUntil)
 	return min(q.config.MaxRetryAfter, int64(float64(p.promisedUntil-now)*(0.95+q.rng.Float64()/10)))
--- a/internal/admission/retryafter_test.go
+++ b/internal/admission/retryafter_test.go
@@ -27,10 +27,10 @@
 // was left to admit.
 func simulateRetries(someEarly bool) (retries, accepted int, finished int64) {
 	type client struct {
-		at            int64
-		name          string
-		isRetry       bool
-		retriesOnTime bool
+		at      int64
+		name    string
+		isRetry bool
+		onTime  bool
 	}
 	s := newSimulation(50, 200)
 	now := int64(0)
@@ -39,7 +39,7 @@
 		s.arrive(now, fmt.Sprint("before-", s.rng.IntN(50)), "client")
 	}
 	begin := now
-	var clients []client
+	var out []client
 	usedQueues := map[*project]bool{} // one project per queue: projects that share one share its promised times and are told later ones
 	var names []string
 	for i := 0; len(names) < 300; i++ {
@@ -49,38 +49,38 @@
 		}
 	}
 	for i := range 3000 { // all at the same time
-		clients = append(clients, client{now, names[i%300], false, !someEarly || i%2 == 0})
+		out = append(out, client{now, names[i%300], false, !someEarly || i%2 == 0})
 	}
 	var evicted []client
 	onTime := map[string]bool{}
-	for _, c := range clients {
-		onTime[c.name] = c.retriesOnTime
+	for _, c := range out {
+		onTime[c.name] = c.onTime
 	}
-	s.onEvicted = func(project string, later int64) {
+	s.out = func(project string, later int64) {
 		evicted = append(evicted, client{now + later, project, true, onTime[project]})
 	}
-	for ; len(clients)+s.q.Waiting() > 0 && now < begin+20_000_000; now += 1000 {
+	for ; len(out)+s.q.Waiting() > 0 && now < begin+20_000_000; now += 1000 {
 		s.advance(now)
 		var later []client
-		for _, c := range clients {
+		for _, c := range out {
 			if c.at > now {
 				later = append(later, c)
 				continue
 			}
 			retryAfter, rejected := s.arrive(now, c.name, "client")
-			if c.isRetry && c.retriesOnTime {
+			if c.isRetry && c.onTime {
 				retries++
 			}
 			switch {
-			case rejected && !c.retriesOnTime:
+			case rejected && !c.onTime:
 				later = append(later, client{now + 1000, c.name, true, false})
 			case rejected:
 				later = append(later, client{now + max(retryAfter, 1000), c.name, true, true})
-			case c.isRetry && c.retriesOnTime:
+			case c.isRetry && c.onTime:
 				accepted++
 			}
 		}
-		clients, evicted = append(later, evicted...), nil
+		out, evicted = append(later, evicted...), nil
 	}
 	return retries, accepted, now - begin
 }
--- a/internal/limits/operation.go
+++ b/internal/limits/operation.go
@@ -8,8 +8,8 @@
 // an eighth.
 const (
 	agentParts    = 4
-	minDrainGrace = 250 * time.Millisecond // a drain grace below this counts as this
-	maxDrainGrace = 2 * time.Second        // a drain grace above this counts as this
+	minDrainGrace = 250 * time.Millisecond // the drain grace counts as at least this, and at most maxDrainGrace
+	maxDrainGrace = 2 * time.Second
 )
 
 // Limits for one discovery that all fronts share. When 80 fronts began their watches together, it answered one first watch per
--- a/internal/limits/site.go
+++ b/internal/limits/site.go
@@ -60,7 +60,6 @@
 	nodes   int   // connections to nodes
 }
 
-// divideResources divides the memory and the sockets of a deployment.
 func divideResources(site Site) resources {
 	sockets := max(site.Sockets-reservedSockets-spareConns, minConns)
 	nodes := sockets / nodeShare
--- a/scheduler/retrybudget/retrybudget.go
+++ b/scheduler/retrybudget/retrybudget.go
@@ -6,13 +6,13 @@
 // Budget allows a minimum number of retries and a share of the requests. A span of 0 or less sets no limit.
 type Budget[T ~int64] struct {
 	span              T
-	minRetries, share float64
+	minimum, share    float64
 	requests, retries window.Window[T]
 }
 
 // New returns an unused budget.
 func New[T ~int64](span T, minRetries, share float64) Budget[T] {
-	return Budget[T]{span: span, minRetries: minRetries, share: share, requests: window.New(span - 1), retries: window.New(span)}
+	return Budget[T]{span: span, minimum: minRetries, share: share, requests: window.New(span - 1), retries: window.New(span)}
 }
 
 // AddRequest counts a request.
@@ -31,5 +31,5 @@
 
 // Allows reports whether one more retry is within the budget.
 func (b *Budget[T]) Allows(now T) bool {
-	return b.span <= 0 || b.retries.Sum(now)+1 <= b.minRetries+b.share*b.requests.Sum(now)
+	return b.span <= 0 || b.retries.Sum(now)+1 <= b.minimum+b.share*b.requests.Sum(now)
 }
--- a/scheduler/slowstart/allocator.go
+++ b/scheduler/slowstart/allocator.go
@@ -9,7 +9,7 @@
 // Allocator grants capacity at one node while this front is its granter.
 type Allocator[T ~int64] struct {
 	config   *Config[T]
-	granted  window.Window[T] // units granted
+	granted  window.Window[T]
 	served   window.Window[T] // units answered, as reported by the fronts
 	requests []request[T]     // latest request of each front until it is too old; Units is 0 once granted
 	reports  []report[T]      // latest report of each front, while it counts
@@ -61,13 +61,13 @@
 
 // Report records a front's measurements of the node's speed in place of its previous ones. They count for a while after the
 // front's last request: a node does not become slower while it warms up, and few of many fronts request capacity at a time.
-func (a *Allocator[T]) Report(now T, front int, load LoadReport) {
-	if load.Served > 0 && !slices.ContainsFunc(a.reports, func(old report[T]) bool { return old.front == front && old.LoadReport == load }) {
+func (a *Allocator[T]) Report(now T, from int, load LoadReport) {
+	if load.Served > 0 && !slices.ContainsFunc(a.reports, func(old report[T]) bool { return old.front == from && old.LoadReport == load }) {
 		a.served.Add(now, load.Served) // a duplicate message counts once
 	}
-	a.reports = slices.DeleteFunc(a.reports, func(old report[T]) bool { return old.front == front || !a.isCurrent(now, old) })
+	a.reports = slices.DeleteFunc(a.reports, func(old report[T]) bool { return old.front == from || !a.isCurrent(now, old) })
 	if load.Units > 0 || load.Served > 0 {
-		a.reports = append(a.reports, report[T]{load, front, now})
+		a.reports = append(a.reports, report[T]{load, from, now})
 	}
 }
 
@@ -78,16 +78,16 @@
 
 // Request queues a front's request for capacity. A front that is already waiting keeps its position, so there are no more
 // requests than fronts.
-func (a *Allocator[T]) Request(now T, front int, wanted CapacityRequest) {
-	a.Report(now, front, wanted.Report)
-	i := slices.IndexFunc(a.requests, func(queued request[T]) bool { return queued.front == front })
+func (a *Allocator[T]) Request(now T, from int, wanted CapacityRequest) {
+	a.Report(now, from, wanted.Report)
+	i := slices.IndexFunc(a.requests, func(queued request[T]) bool { return queued.front == from })
 	if i >= 0 && a.requests[i].Units > 0 {
-		a.requests[i] = request[T]{wanted, front, now}
+		a.requests[i] = request[T]{wanted, from, now}
 		return
 	} else if i >= 0 {
 		a.requests = slices.Delete(a.requests, i, i+1)
 	}
-	a.requests = append(a.requests, request[T]{wanted, front, now})
+	a.requests = append(a.requests, request[T]{wanted, from, now})
 }
 
 // Allocate grants the waiting requests, in their order, as far as the units granted within a span stay within what the node
--- a/scheduler/slowstart/guard.go
+++ b/scheduler/slowstart/guard.go
@@ -14,11 +14,11 @@
 	measuredUnits float64          // units answered where the latency shows the node's speed
 	measuredTime  float64          // sum of the latencies of these, in spans
 	recentPieces  [cachedPieces]string
-	oldestPiece   int     // index of the piece to replace next
-	granted       float64 // units left of the grant
-	grantedUntil  T       // end of the grant
-	nextRequest   T       // earliest time of the next request for capacity
-	nextReport    T       // earliest time of the next report
+	oldestPiece   int // index of the piece to replace next
+	granted       float64
+	grantedUntil  T // end of the grant of which granted is left
+	nextRequest   T // earliest time of the next request for capacity
+	nextReport    T // earliest time of the next report
 }
 
 // NewGuard returns a guard for a node to which nothing was sent.
