--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -31,7 +31,7 @@
 				costliest, maxCost = other, other.cost
 			}
 		}
-		// A flood is at the expense of the project that causes it: no other project's request is rejected or evicted for it.
+		// A flood is at the expense of its own project: projects with a lower waiting cost lose no requests to it.
 		if costliest == p && q.busiestClient(p).count <= c.count+1 {
 			a.Rejected, a.RetryAfter = true, q.retryAfter(now, p, cost)
 			return a
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -207,7 +207,8 @@
 				break
 			}
 		}
-		if q.Waiting() != len(waiting) || q.admitted != admittedCount || admittedCount > 5 || len(waiting) > 20 || admittedCount < 5 && len(waiting) > 0 {
+		if q.Waiting() != len(waiting) || q.admitted != admittedCount || admittedCount > 5 || len(waiting) > 20 ||
+			admittedCount < 5 && len(waiting) > 0 {
 			t.Fatalf("%d waiting (at most 20) and %d admitted (at most 5, fewer only if none waits), the queue counts %d and %d",
 				len(waiting), admittedCount, q.Waiting(), q.admitted)
 		}
