--- a/internal/admission/retryafter_test.go
+++ b/internal/admission/retryafter_test.go
@@ -5,81 +5,82 @@
 	"testing"
 )
 
-// Clients that heed the advice find room when they come back, and little room stands idle meanwhile; also where the
-// clients of every other project ignore it and ask again each millisecond.
-func TestAdviceIsHonest(t *testing.T) {
-	for _, others := range []string{"heed it", "ignore it"} {
-		again, found, over := returns(others == "ignore it")
-		least := 3000 / 2.5 * 1000 // microseconds, at 50 every 20 ms
-		t.Logf("others %s: %d came back, %d found room or a place to wait; over after %d ms, %.0f at the least", others,
-			again, found, over/1000, least/1000)
-		// Room that stands idle is the time past the least: under 5% of it, as the issue asks.
-		if float64(found) < 0.9*float64(again) || others == "heed it" && float64(over) > 1.05*least {
-			t.Errorf("others %s: %d came back and %d of them found room; over after %d ms, %.0f at the least", others,
-				again, found, over/1000, least/1000)
+// Clients that retry when they are told to are admitted or queued then, even if the clients of every second project retry each
+// millisecond instead. Guards against retry times that are too short, and against so long ones that capacity is unused.
+func TestRetriesOnTimeAreAdmitted(t *testing.T) {
+	for _, others := range []string{"retry on time", "retry at once"} {
+		retries, accepted, finished := simulateRetries(others == "retry at once")
+		minTime := 3000 / 2.5 * 1000 // microseconds, at 50 every 20 ms
+		t.Logf("others %s: %d retries on time, %d of them admitted or queued; finished after %d ms, at least %.0f needed", others,
+			retries, accepted, finished/1000, minTime/1000)
+		// The time beyond the minimum is unused capacity, which must stay under 5%.
+		if float64(accepted) < 0.9*float64(retries) || others == "retry on time" && float64(finished) > 1.05*minTime {
+			t.Errorf("others %s: %d retries on time, %d of them admitted or queued; finished after %d ms, at least %.0f needed", others,
+				retries, accepted, finished/1000, minTime/1000)
 		}
 	}
 }
 
-// returns plays 3,000 requests of 300 projects that come at once to a queue whose rate is known, and those who are refused
-// come back when they are told; where ignore is, those of every second project come back after a millisecond instead. It
-// tells how many of those who heed came back, how many of them found room or a place to wait, and when all was taken.
-func returns(ignore bool) (again, found int, over int64) {
+// simulateRetries simulates 3,000 requests of 300 projects that arrive at once at a queue whose rate is known. The clients of
+// rejected requests retry when they are told to; if someEarly is set, those of every second project retry after a millisecond
+// instead. It returns the number of retries on time, how many of them were admitted or queued, and after which time no request
+// was left to admit.
+func simulateRetries(someEarly bool) (retries, accepted int, finished int64) {
 	type client struct {
-		at    int64
-		name  string
-		back  bool
-		heeds bool
+		at      int64
+		name    string
+		isRetry bool
+		onTime  bool
 	}
-	s := newSite(50, 200)
+	s := newSimulation(50, 200)
 	now := int64(0)
-	for ; now < 500_000; now += 1000 { // the rate at which requests leave is learned
-		s.until(now)
-		s.ask(now, fmt.Sprint("before-", s.rng.IntN(50)), "client")
+	for ; now < 500_000; now += 1000 { // so that the queue knows the rate at which requests leave
+		s.advance(now)
+		s.arrive(now, fmt.Sprint("before-", s.rng.IntN(50)), "client")
 	}
 	begin := now
 	var out []client
-	own := map[*project]bool{} // projects that share a queue share its promises, and are told to come later
+	usedQueues := map[*project]bool{} // one project per queue: projects that share one share its promised times and are told later ones
 	var names []string
 	for i := 0; len(names) < 300; i++ {
 		name := fmt.Sprint("project-", i)
-		if p, _ := s.q.find(name, ""); !own[p] {
-			own[p], names = true, append(names, name)
+		if p, _ := s.q.find(name, ""); !usedQueues[p] {
+			usedQueues[p], names = true, append(names, name)
 		}
 	}
-	for i := range 3000 { // at once
-		out = append(out, client{now, names[i%300], false, !ignore || i%2 == 0})
+	for i := range 3000 { // all at the same time
+		out = append(out, client{now, names[i%300], false, !someEarly || i%2 == 0})
 	}
-	var pushed []client
-	heeds := map[string]bool{}
+	var evicted []client
+	onTime := map[string]bool{}
 	for _, c := range out {
-		heeds[c.name] = c.heeds
+		onTime[c.name] = c.onTime
 	}
 	s.out = func(project string, later int64) {
-		pushed = append(pushed, client{now + later, project, true, heeds[project]})
+		evicted = append(evicted, client{now + later, project, true, onTime[project]})
 	}
 	for ; len(out)+s.q.Waiting() > 0 && now < begin+20_000_000; now += 1000 {
-		s.until(now)
+		s.advance(now)
 		var later []client
 		for _, c := range out {
 			if c.at > now {
 				later = append(later, c)
 				continue
 			}
-			after, refused := s.ask(now, c.name, "client")
-			if c.back && c.heeds {
-				again++
+			retryAfter, rejected := s.arrive(now, c.name, "client")
+			if c.isRetry && c.onTime {
+				retries++
 			}
 			switch {
-			case refused && !c.heeds:
+			case rejected && !c.onTime:
 				later = append(later, client{now + 1000, c.name, true, false})
-			case refused:
-				later = append(later, client{now + max(after, 1000), c.name, true, true})
-			case c.back && c.heeds:
-				found++
+			case rejected:
+				later = append(later, client{now + max(retryAfter, 1000), c.name, true, true})
+			case c.isRetry && c.onTime:
+				accepted++
 			}
 		}
-		out, pushed = append(later, pushed...), nil
+		out, evicted = append(later, evicted...), nil
 	}
-	return again, found, now - begin
+	return retries, accepted, now - begin
 }
--- a/internal/limits/traffic.go
+++ b/internal/limits/traffic.go
@@ -4,21 +4,21 @@
 
 const (
 	inboxPerClient = 4                      // events that may be queued for each client connection
-	minPastIDs     = 1024                   // ids that are remembered at the least
-	answerGrace    = 350 * time.Millisecond // with holdUp, the half second within which a late answer is not lost
+	minPastIDs     = 1024                   // minimum number of remembered ids
+	answerGrace    = 350 * time.Millisecond // with maxStall half a second, within which a late answer is not lost
 )
 
-func requestLimits(site Site, got shares) RequestLimits {
-	open := got.clients
+func requestLimits(site Site, available resources) RequestLimits {
+	open := available.clients
 	if site.Open > 0 {
 		open = min(open, site.Open)
 	}
 	return RequestLimits{
-		Inbox:     inboxPerClient * got.clients,
+		Inbox:     inboxPerClient * available.clients,
 		Open:      open,
 		Scheduled: min(open, site.Sockets/scheduledShare),
-		PastIDs:   max(minPastIDs, int(got.memory/memoryFraction/idBytes)),
-		// A copy of a request comes within the time that its client waits, or its nodes drop repeats for.
+		PastIDs:   max(minPastIDs, int(available.memory/memoryFraction/idBytes)),
+		// A duplicate of a request arrives while its client waits, or within the deduplication window of the nodes.
 		IDRetention:   2 * site.Deadline,
 		AnswerGrace:   answerGrace,
 		HeaderBytes:   headerBytes,
@@ -27,28 +27,28 @@
 	}
 }
 
-// A client that sends what can't be read is owed an error or a close within 3 s of connecting: the timeouts for a
-// request's head, body and challenge stay under that.
+// A client that sends an unreadable request must get an error, or its connection must be closed, within 3 s of connecting. So
+// the timeouts for a request's header, its body and a challenge are shorter.
 const (
 	clientHeaderTimeout = 2400 * time.Millisecond
 	challengeTimeout    = 2500 * time.Millisecond
 	clientBodySilence   = 2500 * time.Millisecond
-	clientWriteExtra    = 5 * time.Second // for writing an answer, beyond twice the longest deadline
+	clientWriteExtra    = 5 * time.Second // for writing an answer, in addition to twice the longest deadline
 	clientIdleTimeout   = 5 * time.Second
 	clientMinIdle       = 20 * time.Millisecond
 	clientLastAnswer    = 250 * time.Millisecond
 	handshakeTimeout    = 3 * time.Second
-	handshakeShare      = 8 // one in so many client connections may be in a handshake
+	handshakeShare      = 8 // one in this many client connections may be in a handshake
 	minHandshakes       = 8
 )
 
-func clientLimits(site Site, got shares) ClientLimits {
+func clientLimits(site Site, available resources) ClientLimits {
 	return ClientLimits{
-		Conns:             got.clients,
+		Conns:             available.clients,
 		SpareConns:        spareConns,
-		KeptConns:         min(got.clients, site.Sockets/scheduledShare),
+		KeptConns:         min(available.clients, site.Sockets/scheduledShare),
 		ReadAhead:         connBytes,
-		Handshakes:        max(minHandshakes, got.clients/handshakeShare),
+		Handshakes:        max(minHandshakes, available.clients/handshakeShare),
 		HandshakeTimeout:  handshakeTimeout,
 		HeaderTimeout:     clientHeaderTimeout,
 		ChallengeTimeout:  challengeTimeout,
@@ -62,23 +62,23 @@
 
 const (
 	responseHeads    = 8
-	attemptTries     = 3  // for writing, connecting and probing alike
-	nodeIdlePercent  = 60 // of the time after which a node closes an idle connection
+	maxTries         = 3  // for writing, connecting and health checks
+	nodeIdlePercent  = 60 // share of the time after which a node closes an idle connection
 	nodeReuseDelay   = 5 * time.Millisecond
-	nodeMinTimeout   = 250 * time.Millisecond // for an answer's head, and between its pieces, at the least
+	nodeMinTimeout   = 250 * time.Millisecond // minimum for an answer's header, and for the next part of its body
 	nodeBufferTime   = 250 * time.Millisecond
 	streamSilence    = 10 * time.Second
-	hedgesPerTimeout = 8 // so many delays before a further attempt make the time for connecting
-	connectsPerProbe = 2 // a probe takes as long as so many connections may
+	hedgesPerTimeout = 8 // hedge delays in the timeout for connecting
+	connectsPerProbe = 2 // connect timeouts in the timeout for a health check
 )
 
-func nodeLimits(site Site, got shares) NodeLimits {
+func nodeLimits(site Site, available resources) NodeLimits {
 	return NodeLimits{
-		Conns:          got.nodes,
+		Conns:          available.nodes,
 		ResponseHeads:  responseHeads,
-		WriteTries:     attemptTries,
-		ConnectTries:   attemptTries,
-		ProbeTries:     attemptTries,
+		WriteTries:     maxTries,
+		ConnectTries:   maxTries,
+		ProbeTries:     maxTries,
 		ConnectTimeout: site.Connect,
 		HedgeDelay:     max(site.Connect/hedgesPerTimeout, time.Millisecond),
 		IdleTimeout:    site.ConnIdle * nodeIdlePercent / 100,
@@ -95,7 +95,7 @@
 	filesMaxConns       = 32
 	filesHandles        = 256
 	filesTransfers      = 8
-	filesPacketBytes    = 64<<10 + 1024 // the longest write and the packet's other fields
+	filesPacketBytes    = 64<<10 + 1024 // the longest write and the other fields of its packet
 	filesReadBytes      = 32 << 10
 	filesResponseBytes  = 2 << 20
 	filesAdmitTimeout   = 30 * time.Second
@@ -104,9 +104,9 @@
 	filesLastAnswerTime = 500 * time.Millisecond
 )
 
-func fileLimits(got shares) FileLimits {
+func fileLimits(available resources) FileLimits {
 	return FileLimits{
-		Conns:             min(got.clients, filesMaxConns),
+		Conns:             min(available.clients, filesMaxConns),
 		Handles:           filesHandles,
 		Transfers:         filesTransfers,
 		PacketBytes:       filesPacketBytes,
