--- a/internal/net/protocol/change.go
+++ b/internal/net/protocol/change.go
@@ -10,19 +10,21 @@
 	"otterturn/scheduler"
 )
 
-// mostNames bounds the classes, and the plans, that a process may have met: each keeps its number while it runs.
+// mostNames is the maximum number of class names, and of plan names, that a process may have seen since its start. Each name
+// keeps its index while the process runs.
 const mostNames = 4096
 
-// ParseChange reads a configuration that is to replace another one while the program runs. Beyond what a start
-// wants, it must have each key that the former text has, as a file that was cut by hand lacks some. Its classes and
-// plans have the numbers that they had before; those that it no longer names keep theirs, and can't be asked for.
+// ParseChange parses a configuration that replaces the former one while the program runs. In addition to the checks of
+// ParseConfig, the new text must have every key of the former text, because a file that was truncated while it was edited lacks
+// some. Classes and plans keep their indexes. Those that the new configuration no longer names keep their index as well, but
+// requests can no longer use them.
 func ParseChange(text []byte, former Config, formerText []byte) (Config, error) {
 	var was, is any
 	if err := json.Unmarshal(text, &is); err != nil {
 		return Config{}, err
 	}
 	if err := json.Unmarshal(formerText, &was); err != nil {
-		return Config{}, fmt.Errorf("the former file: %w", err)
+		return Config{}, fmt.Errorf("former configuration: %w", err)
 	}
 	if key := lacks(was, is, ""); key != "" {
 		return Config{}, fmt.Errorf("%s: missing", key)
@@ -31,7 +33,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	if out.Settings.Scheduler.MaxAttempts <= 0 { // a start takes that for no bound; here it is what a broken file has
+	if out.Settings.Scheduler.MaxAttempts <= 0 { // no limit at a start, but in a reload more likely a damaged file
 		return Config{}, errors.New("settings: ceilings.tryLimit: must be above 0")
 	}
 	if out.Settings, err = former.Settings.followedBy(out.Settings); err != nil {
@@ -40,7 +42,8 @@
 	return out, nil
 }
 
-// lacks names the first key of was that is does not have. Of a list, each entry must have what all had before.
+// lacks returns the path of the first key of the former value that the new one does not have, or "" if it has them all. Each
+// entry of a list must have the keys that all entries of the former list have.
 func lacks(was, is any, at string) string {
 	switch was := was.(type) {
 	case map[string]any:
@@ -62,7 +65,7 @@
 			if !has {
 				return name
 			}
-			if name == "known" { // what was on the list is no form for what is
+			if name == "known" { // the former endpoint list does not determine the keys of the new one
 				continue
 			}
 			if key := lacks(was[k], value, name); key != "" {
@@ -84,7 +87,8 @@
 	return ""
 }
 
-// common is an object with the keys that all entries have, nil where they are none.
+// common returns an object with the keys that all entries have, with nil values. It returns nil if there are no entries or if an
+// entry is not an object.
 func common(entries []any) any {
 	var out map[string]any
 	for _, e := range entries {
@@ -110,11 +114,11 @@
 	return out
 }
 
-// followedBy numbers another file's classes and plans as these settings do.
+// followedBy returns next with its classes and plans at the indexes that they have in s. New names get the indexes after these.
 func (s Settings) followedBy(next Settings) (Settings, error) {
 	out := next
 	out.Classes, out.Plans, out.Waits = nil, nil, nil
-	// Which classes write is told by place, in the order of the start: a changed file keeps that list as it was.
+	// Writes is given by position, in the class order of the start. The list of the start therefore stays in use.
 	out.Writes = s.Writes
 	out.Scheduler.Classes, out.Scheduler.Plans = slices.Clone(s.Scheduler.Classes), slices.Clone(s.Scheduler.Plans)
 	for _, name := range s.Names {
@@ -145,12 +149,12 @@
 		out.Plans = append(out.Plans, name)
 	}
 	if len(out.Names) > mostNames || len(out.PlanNames) > mostNames {
-		return Settings{}, fmt.Errorf("classes and contracts: over %d names since the start", mostNames)
+		return Settings{}, fmt.Errorf("classes and contracts: more than %d names since the start", mostNames)
 	}
 	return out, nil
 }
 
-// add puts the class of a number in another file behind those that are there, or, below 0, one that can't be asked for.
+// add appends the class with index i in from. If i is below 0, it appends an empty entry, which no request can use.
 func (s *Settings) add(from Settings, i int) {
 	at := len(s.Classes)
 	if i < 0 {
--- a/internal/net/protocol/check.go
+++ b/internal/net/protocol/check.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// check names each field that can't be, of a start and of a change.
+// check returns an error that names every invalid field. It applies to the settings of a start and of a reload.
 func (in *settings) check() error {
 	var wrong []string
 	say := func(bad bool, format string, args ...any) {
@@ -45,7 +45,7 @@
 	say(in.Safety.RampTimeUs > 0 && (in.Safety.ColdFrom <= 0 || in.Safety.ColdFrom > 1), "safety.coldFrom: must be above 0 and at most 1")
 	say(in.Safety.DrainGraceUs < 0, "safety.drainGraceUs: must not be below 0")
 	if len(wrong) > 0 {
-		return errors.New(strings.Join(wrong, "; ")) // one line in the log
+		return errors.New(strings.Join(wrong, "; ")) // kept on a single line for the log
 	}
 	return nil
 }
--- a/internal/net/protocol/check_test.go
+++ b/internal/net/protocol/check_test.go
@@ -12,7 +12,8 @@
 	"classes":[{"name":"a","aimUs":1000,"giveUpUs":2000,"semantics":"dedup","group":"cell","windowUs":3000,"credit":1}],
 	"contracts":[{"name":"p","shares":1,"ceilingRate":4,"limitBurst":2,"slack":1}]}}`
 
-// Each field that can't be is named, ahead of any client; a file with several names them all.
+// Checks that invalid settings are rejected at a start and at a reload, before they can affect a client, and that the error names
+// the field on a single line.
 func TestSettingsThatCannotBeAreNamed(t *testing.T) {
 	good, err := ParseConfig([]byte(goodConfig))
 	if err != nil || good.Settings.Scheduler.Classes[0].DedupWindow != 3000 {
@@ -39,11 +40,11 @@
 			t.Errorf("%s: %v", c[1], err)
 		}
 		if _, err := ParseChange([]byte(text), good, []byte(goodConfig)); err == nil {
-			t.Errorf("%s: taken for a change", c[1])
+			t.Errorf("%s: accepted as a reload", c[1])
 		}
 	}
 	none := strings.Replace(goodConfig, `"windowUs":3000,`, "", 1)
 	if got, err := ParseConfig([]byte(none)); err != nil || got.Settings.Scheduler.Classes[0].DedupWindow != 0 {
-		t.Errorf("a class without a window: %v", err)
+		t.Errorf("class without a deduplication window: %v", err)
 	}
 }
--- a/internal/net/protocol/config.go
+++ b/internal/net/protocol/config.go
@@ -1,5 +1,5 @@
-// Package protocol holds the platform's messages. Each is decoded once into a small typed value and encoded
-// once; nothing here touches a socket.
+// Package protocol encodes and decodes the platform's messages. Each message is decoded once into a small typed value and encoded
+// once. The package does no I/O.
 package protocol
 
 import (
@@ -9,22 +9,22 @@
 	"strconv"
 )
 
-// Config is what a front on the platform is told at its start.
+// Config is the configuration that a front on the platform gets at its start.
 type Config struct {
 	Listen    string
 	Discovery string
-	Control   string // where operators call, "" for nowhere
+	Control   string // address of the operators' interface, "" for none
 	Seed      int64
 	MemoryMB  int
 	Sockets   int
 	Known     List
 	Settings  Settings
 
-	PeerListen netip.AddrPort   // where messages of other fronts come
-	Peers      []netip.AddrPort // the fronts by their numbers, this one included; none where they don't talk
+	PeerListen netip.AddrPort   // address on which messages from other fronts arrive
+	Peers      []netip.AddrPort // the fronts by index, this one included; empty if fronts exchange no messages
 }
 
-// ParseConfig reads the file that RELAY_CONFIG names. Its errors name the field.
+// ParseConfig parses the file that RELAY_CONFIG names. Its errors name the invalid field.
 func ParseConfig(text []byte) (Config, error) {
 	var in struct {
 		Listen, Discovery, Control, Seed string
--- a/internal/net/protocol/figures.go
+++ b/internal/net/protocol/figures.go
@@ -5,56 +5,56 @@
 	"strings"
 )
 
-// figurePrefix stands before the name of each figure.
+// figurePrefix is the prefix of all metric names.
 const figurePrefix = "svc."
 
-// Ended counts a class's requests by how they ended, since the process started.
+// Ended counts a class's requests by result since the process started.
 type Ended struct {
 	Class                   string
 	Served, Refused, Failed int64
 }
 
-// Figures are what operators are told of a process. Counts are since it started.
+// Figures are the metrics of a process. Counters start at 0 when the process starts.
 type Figures struct {
 	Classes       []Ended
-	Attempts      int64 // written whole to nodes
-	InFlight      int64 // requests taken and not over
-	Known         int   // nodes on the list
-	Excluded      int   // of these, those that get nothing now, by hand or by choice
+	Attempts      int64 // requests written completely to nodes, retries included
+	InFlight      int64 // requests accepted and not finished
+	Known         int   // nodes on the endpoint list
+	Excluded      int   // of these, nodes that get no requests now, because an operator or the scheduler excluded them
 	ReloadsOK     int64
 	ReloadsFailed int64
 	Rules         RuleFigures
-	Health        *HealthFigures // nil where fronts don't share the health of nodes: there are no lines of it then
+	Health        *HealthFigures // nil if fronts don't share the health of nodes; its lines are omitted then
 }
 
-// RuleFigures tell of the process's own checks on what it may do, and when.
+// RuleFigures are the metrics of the checks that the process makes before an operation, such as during a shutdown.
 type RuleFigures struct {
 	Operations      []RuleCount
-	EndedByShutdown int64 // requests that were open as all had to be answered
-	EndedOverdue    int64 // requests whose attempt did not end in time
+	EndedByShutdown int64 // requests that were still open in a shutdown when all had to be answered
+	EndedOverdue    int64 // requests whose attempt had not ended by its deadline
 	AcceptErrors    int64
 	LogLinesDropped int64
 }
 
-// RuleCount is how often an operation was denied, and carried out against the rules.
+// RuleCount counts how often an operation was denied and how often it was done in violation of the rules.
 type RuleCount struct {
 	Operation          string
 	Denied, Violations int64
 }
 
-// HealthFigures are what operators are told of the zone's shared health of nodes.
+// HealthFigures are the metrics of the health of nodes that the fronts of a zone share.
 type HealthFigures struct {
 	Probes           int64 // sent to nodes
 	MessagesSent     int64 // to other fronts
-	BytesSent        int64 // in these
-	MessagesReceived int64 // that were taken in
-	Dropped          int64 // messages or entries of them that were not
-	Shed             int64 // entries that were not sent for want of bytes
-	Lost             int64 // observations that there was no room for
-	Condemned        int   // nodes that this front avoids by its zone's verdict
+	BytesSent        int64 // in these messages
+	MessagesReceived int64 // messages that were accepted
+	Dropped          int64 // messages, or entries of messages, that were not accepted
+	Shed             int64 // entries not sent because the bandwidth limit was reached
+	Lost             int64 // observations discarded for lack of room
+	Condemned        int   // nodes that this front avoids because of its zone's verdict
 }
 
-// FormatFigures writes figures, one a line: name, value, and 'c' for a count or 'g' for what goes up and down.
+// FormatFigures writes the metrics, one per line: name, value, and 'c' for a counter or 'g' for a gauge.
 func FormatFigures(f Figures) string {
 	var out strings.Builder
 	line := func(kind, name string, value int64) {
@@ -85,7 +85,7 @@
 	return out.String()
 }
 
-// format writes the sums over all operations, and the operations that have any.
+// format writes the totals over all operations, then each operation with a count above 0.
 func (r RuleFigures) format(line func(kind, name string, value int64)) {
 	var denied, violations int64
 	for _, c := range r.Operations {
--- a/internal/net/protocol/figures_test.go
+++ b/internal/net/protocol/figures_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Lines of the zone's health come only where it is shared: who reads the others may refuse what it does not know.
+// Guards against health metrics where fronts don't share health: a reader of the other metrics may reject names that it does not know.
 func TestFiguresOfHealthOnlyWhereItIsShared(t *testing.T) {
 	off := FormatFigures(Figures{Attempts: 5})
 	if strings.Contains(off, "health") {
@@ -22,7 +22,7 @@
 	}
 }
 
-// A violation shows in the figures, by its operation, as does what was denied; operations without any have no line.
+// Checks that denials and violations are reported in total and by operation, and that operations without any have no line.
 func TestFiguresOfTheRules(t *testing.T) {
 	text := FormatFigures(Figures{Rules: RuleFigures{
 		Operations:      []RuleCount{{Operation: "take", Denied: 2}, {Operation: "send", Denied: 1, Violations: 3}, {Operation: "retry"}},
--- a/internal/net/protocol/fleet_test.go
+++ b/internal/net/protocol/fleet_test.go
@@ -9,7 +9,7 @@
 	"otterturn/scheduler"
 )
 
-// bigConfig is the configuration of one of many fronts before many nodes.
+// bigConfig returns the configuration of one of many fronts with as many nodes.
 func bigConfig(t *testing.T, many int) string {
 	settings, err := json.Marshal(FormatSettings(scheduler.Settings{
 		Fronts: many, FrontIndex: many - 1, PeerMessages: true, Tick: 1000, MeanUnits: 2, MaxUnits: 6,
@@ -37,12 +37,12 @@
 		t.Fatal(err)
 	}
 	if set := got.Settings.Scheduler; len(got.Peers) != many || len(got.Known.Hosts) != many || set.Fronts != many || set.FrontIndex != many-1 || !set.PeerMessages {
-		t.Errorf("%d peers, %d nodes, %d hosts, number %d, peers %v", len(got.Peers), len(got.Known.Hosts), set.Fronts, set.FrontIndex, set.PeerMessages)
+		t.Errorf("%d peers, %d nodes, %d fronts, index %d, peer messages %v", len(got.Peers), len(got.Known.Hosts), set.Fronts, set.FrontIndex, set.PeerMessages)
 	}
 }
 
-// A peer list that can't be read is refused whole, with the field: a front that took itself for another one would deal
-// out what is not its to deal.
+// Guards against a front that uses the index of another one, because its peer list is wrong: it would grant capacity that the other
+// front grants. A peer list with an error is rejected as a whole, and the error names the field.
 func TestBadPeersNameTheField(t *testing.T) {
 	good := bigConfig(t, 3)
 	for old, c := range map[string]struct{ with, field string }{
@@ -56,7 +56,7 @@
 	}
 	silent, err := ParseConfig([]byte(strings.Replace(good, `"peer_listen":"10.0.0.4:7946",`, "", 1)))
 	if err != nil || silent.Settings.Scheduler.PeerMessages || len(silent.Peers) > 0 {
-		t.Errorf("without an address to listen at: %v, peers %v", err, silent.Peers)
+		t.Errorf("without a peer_listen address: error %v, peers %v", err, silent.Peers)
 	}
 }
 
@@ -80,6 +80,6 @@
 		}
 	}
 	if FormatNote(scheduler.RequestCapacity{Node: strings.Repeat("x", 300)}) != nil || FormatNote(scheduler.SetTimer{}) != nil {
-		t.Error("a message that is too long, or none of ours, was written")
+		t.Error("a message was written for an action that is too long or not for another front")
 	}
 }
--- a/internal/net/protocol/golden_test.go
+++ b/internal/net/protocol/golden_test.go
@@ -8,8 +8,8 @@
 	"otterturn/scheduler/slowstart"
 )
 
-// TestMessagesBetweenFrontsKeepTheirBytes holds the messages to those of the fronts that run already: during a rollout
-// both versions send them to each other.
+// TestMessagesBetweenFrontsKeepTheirBytes guards against a change of the encoding: during a rollout, fronts of both versions
+// exchange these messages.
 func TestMessagesBetweenFrontsKeepTheirBytes(t *testing.T) {
 	shown := slowstart.LoadReport{Served: 1.5, Units: 30.25, Time: 2}
 	cases := map[string]struct {
--- a/internal/net/protocol/list.go
+++ b/internal/net/protocol/list.go
@@ -10,15 +10,15 @@
 	"otterturn/scheduler"
 )
 
-// List is discovery's list of nodes, or the entries of it that changed.
+// List is an answer of discovery: the whole endpoint list, or the entries that changed.
 type List struct {
 	Seq   int64
 	Whole bool
 	Hosts []Host
-	Odd   []string // nodes with an entry that can't be true: it is left out, and what was known of the node stays
+	Odd   []string // nodes with an impossible entry, which is ignored: what was known of the node stays
 }
 
-// Host is one node's entry: what the scheduler is told of it, and the address for sockets.
+// Host is a node's entry: its endpoint as the scheduler knows it, and the address to connect to.
 type Host struct {
 	scheduler.Endpoint
 	Dial string
@@ -26,7 +26,7 @@
 
 var healths = map[string]scheduler.NodeState{"up": scheduler.Running, "draining": scheduler.Draining, "removed": scheduler.Removed}
 
-// zone numbers a zone. One that the settings do not name still differs from the others.
+// zone returns the index of a zone. A zone that the settings do not name gets a negative number of its own, derived from its name.
 func zone(zones []string, name string) int {
 	if i := slices.Index(zones, name); i >= 0 {
 		return i
@@ -34,8 +34,8 @@
 	return -1 - int(crc32.ChecksumIEEE([]byte(name)))
 }
 
-// ParseList reads an answer of discovery. A list that can't be read anywhere is no list at all. No node has started
-// after the time given, 0 for any.
+// ParseList parses an answer of discovery. If any field can't be parsed, the whole list is rejected. An entry whose node starts
+// after now is impossible; if now is 0, any start time is accepted.
 func ParseList(text []byte, zones []string, now scheduler.Micros) (List, error) {
 	var in struct {
 		Seq   *int64
--- a/internal/net/protocol/note.go
+++ b/internal/net/protocol/note.go
@@ -8,16 +8,20 @@
 	"otterturn/scheduler"
 )
 
-// LongestNote is the longest message between fronts, in bytes.
+// LongestNote is the maximum size of a message between fronts, in bytes.
 const LongestNote = 256
 
-// Notes between fronts are words set apart by single blanks, the first of which is their kind.
+// A message between fronts consists of words separated by single spaces. The first word is its kind; its fields are listed here.
 const (
-	noteAsk   = "ask"   // units of the next and of the smallest request, units answered of late and in all, in how many spans, the node's start, node
-	noteGrant = "grant" // units, Unix time in microseconds, node
+	// Units of the next request, units of the smallest one, units answered since the last report, units answered with a measured
+	// latency, the sum of these latencies in spans, the node's start as Unix time in microseconds, node.
+	noteAsk = "ask"
+	// Units, end of their validity as Unix time in microseconds, node.
+	noteGrant = "grant"
 )
 
-// FormatNote writes what the scheduler has for another front, nil for what is not for one or too long.
+// FormatNote encodes an action as a message to another front. It returns nil if the action is not for another front, or if the
+// message is too long.
 func FormatNote(a scheduler.Action) []byte {
 	var text []byte
 	switch a := a.(type) {
@@ -33,7 +37,7 @@
 	return text
 }
 
-// ParseNote reads a message from the front of a number. One that is wrong anywhere is none at all.
+// ParseNote parses a message from the front with index from. A message with any invalid field is rejected.
 func ParseNote(from int, text []byte) (scheduler.Event, error) {
 	words := strings.Split(string(text), " ")
 	switch {
@@ -66,16 +70,16 @@
 	return nil, fmt.Errorf("note: %.40q is of no kind", text)
 }
 
-// parseTime reads Unix time in microseconds that is not before the least.
+// parseTime parses a Unix time in microseconds that is at least the given minimum.
 func parseTime(field, text string, least scheduler.Micros) (scheduler.Micros, error) {
 	at, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || scheduler.Micros(at) < least {
-		return 0, fmt.Errorf("%s: %.40q is no time", field, text)
+		return 0, fmt.Errorf("%s: %.40q is not a valid time", field, text)
 	}
 	return scheduler.Micros(at), nil
 }
 
-// formatUnits writes units exactly: a grant that was rounded down would be too small for its request.
+// formatUnits formats units without loss: a grant that is rounded down would be too small for its request.
 func formatUnits(units float64) string { return strconv.FormatFloat(units, 'f', -1, 64) }
 
 func parseUnits(text string) (float64, error) {
--- a/internal/net/protocol/request.go
+++ b/internal/net/protocol/request.go
@@ -30,16 +30,16 @@
 	headerElsewhere   = "X-Served-Elsewhere"
 )
 
-// ErrNoPath tells that a request's path is none that the front serves.
+// ErrNoPath reports that the front does not serve a request's path.
 var ErrNoPath = errors.New("unknown path")
 
-// longestID bounds what clients may have the scheduler keep.
+// longestID is the maximum length of an id in bytes. It limits the scheduler's memory per request, since clients choose the ids.
 const longestID = 128
 
-// forwarded are the headers that nodes have a use for. Each may stand once: a node might go by the other one.
+// forwarded lists the headers that are passed on to nodes. A request may have each only once, because a node might use the other value.
 var forwarded = []string{headerID, headerClass, headerPlan, headerLeft, headerIO, headerRepeat, headerKey, headerType}
 
-// Forwarded are the headers of a client's request that pass on.
+// Forwarded returns the headers of a client's request that are passed on to nodes.
 func Forwarded(h http.Header) http.Header {
 	out := http.Header{}
 	for _, name := range forwarded {
@@ -50,28 +50,28 @@
 	return out
 }
 
-// hex tells whether a text is that of 16 hex digits, as volumes and pieces of data are named.
+// hex reports whether a text consists of 16 hex digits, as the names of volumes and chunks do.
 func hex(text string) bool {
 	_, err := strconv.ParseUint(text, 16, 64)
 	return len(text) == 16 && err == nil
 }
 
-// token tells whether a text is an id that any reader takes for the same.
+// token reports whether a text is a valid id: one without characters that another parser might treat differently.
 func token(text string) bool {
 	return text != "" && len(text) <= longestID && !strings.ContainsFunc(text, func(c rune) bool {
 		return c <= ' ' || c > '~' || c == ',' || c == '"'
 	})
 }
 
-// Request is a client's request: what the scheduler is told of it. Method, path, query and other headers pass
-// on with the HTTP request; Body is set once it has come whole.
+// Request is a client's request as the scheduler sees it. Method, path, query and other headers are passed on with the HTTP
+// request. Body is set once it has been read completely.
 type Request struct {
 	scheduler.Request
 	Body []byte
 }
 
-// ParseRequest reads the head of a client's request. What a node could not use ends here: it would close the
-// connection, which says that it is in trouble.
+// ParseRequest parses the head of a client's request. It rejects a request that a node could not parse, because the node would
+// close the connection, which counts as a failure of the node.
 func ParseRequest(r *http.Request, set Settings) (Request, error) {
 	parts := strings.Split(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class := slices.Index(set.Classes, parts[0])
@@ -115,7 +115,7 @@
 	return out, nil
 }
 
-// FormatRequest writes a request to a front as ParseRequest reads it, for clients. Writes carry their id as their key.
+// FormatRequest builds a client's HTTP request to a front, as ParseRequest reads it. Writes use their id as the idempotency key.
 func FormatRequest(ctx context.Context, addr string, set Settings, q scheduler.Request) (*http.Request, error) {
 	method, body := http.MethodGet, io.Reader(nil)
 	if q.Class < len(set.Writes) && set.Writes[q.Class] {
@@ -137,7 +137,7 @@
 	return r, nil
 }
 
-// ParseRetryAfter reads the advice when to come back, 0 where there is none.
+// ParseRetryAfter returns the Retry-After header, or 0 if it is missing or invalid.
 func ParseRetryAfter(h http.Header) scheduler.Micros {
 	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0 && seconds < 1e6) {
@@ -146,7 +146,7 @@
 	return scheduler.Micros(seconds * 1e6)
 }
 
-// parseLeft reads a time with its unit: m for milliseconds, u for microseconds.
+// parseLeft parses a time with its unit: m for milliseconds, u for microseconds.
 func parseLeft(text string) (scheduler.Micros, error) {
 	unit := scheduler.Micros(1)
 	digits, micro := strings.CutSuffix(text, "u")
@@ -164,13 +164,13 @@
 	return scheduler.Micros(n * float64(unit)), nil
 }
 
-// formatLeft writes a time as parseLeft reads it.
+// formatLeft formats a time as parseLeft reads it.
 func formatLeft(d time.Duration) string {
 	return strconv.FormatInt(max(1, d.Microseconds()), 10) + "u"
 }
 
-// parseIO reads a request's size and place. The scheduler keeps what it has once heard of a volume and a shard, so
-// a figure that can't be would stay.
+// parseIO parses a request's size and location. The scheduler keeps what it learns of a volume and a shard, so an impossible value
+// would remain in use.
 func parseIO(text string, out *Request, set Settings) error {
 	seen := map[string]bool{}
 	for pair := range strings.SplitSeq(text, ",") {
@@ -202,10 +202,10 @@
 	return nil
 }
 
-// SetLeft tells a node how long the front will wait.
+// SetLeft sets the header that tells a node how long the front will wait for its answer.
 func SetLeft(h http.Header, left time.Duration) { h.Set(headerLeft, formatLeft(left)) }
 
-// ParseOutcome tells from a node's answer how the attempt ended.
+// ParseOutcome returns the result of an attempt, given the node's answer.
 func ParseOutcome(status int, h http.Header) scheduler.AttemptEnded {
 	out := scheduler.AttemptEnded{Result: scheduler.Errored}
 	if n, err := strconv.ParseFloat(h.Get(headerElsewhere), 64); err == nil && n > 0 && n < 1e6 {
@@ -222,17 +222,17 @@
 	return out
 }
 
-// SetRetryAfter advises a client when to come back, in decimal seconds.
+// SetRetryAfter sets the Retry-After header, in decimal seconds.
 func SetRetryAfter(h http.Header, after time.Duration) {
 	h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
 }
 
-// ParseLoad reads the queue from a load report such as "TEXT inflight=7, queue=2, util=0.61". Its fields have the
-// names that the settings give them.
+// ParseLoad returns the length of the queue in a load report such as "TEXT inflight=7, queue=2, util=0.61". The settings give the
+// name of the field.
 func ParseLoad(text, field string) (queue float64, err error) {
 	fields, ok := strings.CutPrefix(strings.TrimSpace(text), "TEXT ")
 	if !ok {
-		return 0, fmt.Errorf("load report: no TEXT form")
+		return 0, fmt.Errorf("load report: prefix TEXT is missing")
 	}
 	for pair := range strings.SplitSeq(fields, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
@@ -241,7 +241,7 @@
 		}
 		n, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(n >= 0 && n < 1e6) {
-			return 0, fmt.Errorf("load report: %s %q is no number", field, value)
+			return 0, fmt.Errorf("load report: %s %q is not a number in range", field, value)
 		}
 		return n, nil
 	}
--- a/internal/net/protocol/settings.go
+++ b/internal/net/protocol/settings.go
@@ -9,7 +9,7 @@
 	"otterturn/scheduler"
 )
 
-// settings mirrors the keys of the settings object that the program has a use for.
+// settings has the keys of the settings object that the program uses.
 type settings struct {
 	Balancers    int
 	SlotNo       int
@@ -76,35 +76,35 @@
 	}
 )
 
-// registryAsked is the mode in which fronts hear only what they ask for.
+// registryAsked is the mode of discovery in which fronts get changes only on request.
 const registryAsked = "on_request"
 
-// queueFields are the names under which a load report may tell the requests waiting.
+// queueFields are the possible names of the field of a load report that has the number of queued requests.
 var queueFields = map[string]bool{"queue": true, "backlog": true}
 
-// Settings are the deployment's figures: those of the scheduler, and those of the sockets.
+// Settings are the settings of a deployment: those of the scheduler and those of the connections.
 type Settings struct {
 	Scheduler   scheduler.Settings
-	Classes     []string        // by the scheduler's index; "" for one that is no more
-	Names       []string        // the same, with those that are no more
-	PlanNames   []string        // and so of plans
-	Waits       []time.Duration // by class, how long its clients wait at most
-	Writes      []bool          // which classes write; none where that is not told
+	Classes     []string        // by the scheduler's index; "" for a class that is no longer configured
+	Names       []string        // the same, with the names of classes that are no longer configured
+	PlanNames   []string        // the same for plans
+	Waits       []time.Duration // by class, the longest that its clients wait
+	Writes      []bool          // by class, whether its requests write; empty if unknown
 	Plans       []string
 	Zones       []string
-	Shards      int    // shards are numbered from 0 to below this
+	Shards      int    // number of shards; their indexes start at 0
 	LoadReports bool   // probes are answered with a load report
-	LoadQueue   string // its field that tells the requests waiting, "" where it has none
-	MaxOpen     int    // requests open at once, 0 for no bound
-	Askers      int    // fronts that share one discovery, which has to be asked; 0 where changes are pushed to an agent
+	LoadQueue   string // field of the load report with the number of queued requests, "" if there is none
+	MaxOpen     int    // maximum number of open requests, 0 for no limit
+	Askers      int    // number of fronts that share one discovery and have to ask it; 0 if changes are pushed to an agent
 	ConnIdle    time.Duration
 	Connect     time.Duration
-	LongestWait time.Duration // the longest that a client waits
-	DrainGrace  time.Duration // so long after it was told a drain has to be heeded, 0 where that is not told
-	Retry       time.Duration // longest advice that clients heed
+	LongestWait time.Duration // the longest that a client of any class waits
+	DrainGrace  time.Duration // time within which a drain must take effect after its announcement, 0 if unknown
+	Retry       time.Duration // longest Retry-After that clients follow
 }
 
-// ParseSettings reads a settings object. Unknown keys are ignored. What sockets alone need may be missing.
+// ParseSettings parses a settings object. Unknown keys are ignored. The settings of the connections may be missing.
 func ParseSettings(text []byte) (Settings, error) {
 	var in settings
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -143,7 +143,7 @@
 		repeat, ok := repeats[c.Semantics]
 		group, known := groups[c.Group]
 		if !ok || !known {
-			return Settings{}, fmt.Errorf("classes[%d]: semantics %q, group %q", i, c.Semantics, c.Group)
+			return Settings{}, fmt.Errorf("classes[%d]: unknown semantics %q or group %q", i, c.Semantics, c.Group)
 		}
 		window := scheduler.Micros(0)
 		if c.WindowUs != nil {
@@ -169,7 +169,7 @@
 
 func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// FormatSettings writes the scheduler's settings so that ParseSettings reads them back: classes and plans by number.
+// FormatSettings returns the scheduler's settings in the form that ParseSettings reads. Classes and plans are named by their indexes.
 func FormatSettings(set scheduler.Settings) any {
 	var out settings
 	out.Balancers, out.SlotNo, out.TickUs = set.Fronts, set.FrontIndex, int64(set.Tick)
--- a/internal/net/protocol/sftp/command.go
+++ b/internal/net/protocol/sftp/command.go
@@ -1,5 +1,5 @@
-// Package sftp maps SFTP-style file commands to the core's requests, and the core's and the nodes' errors to
-// the status codes of SFTP version 3.
+// Package sftp maps file commands of SFTP to requests of the scheduler, and errors of the scheduler and of the nodes to the status
+// codes of SFTP version 3.
 package sftp
 
 import (
@@ -11,10 +11,10 @@
 	"otterturn/scheduler"
 )
 
-// Op is what a command does at a node.
+// Op is the operation of a command at a node.
 type Op int
 
-// The kinds of Op. Opening for reading is a Stat, opening for writing a Create; handles live in the front.
+// The operations. Opening a file for reading is a Stat, opening it for writing a Create, since only the front keeps handles.
 const (
 	Stat Op = iota
 	Lstat
@@ -35,28 +35,28 @@
 type Command struct {
 	Op     Op
 	Path   string
-	Target string // of a rename
-	Flags  int    // of a Create, as of os.OpenFile
+	Target string // new path of a rename
+	Flags  int    // of a Create, as for os.OpenFile
 	Offset int64
-	Data   []byte // to be written
-	Length int    // to be read
+	Data   []byte // bytes to write
+	Length int    // number of bytes to read
 	Attrs  packet.Attrs
 }
 
-// Reply is what a node answered. Err is the node's own word, such as that there is no such file; a request
-// answered so is served.
+// Reply is the answer of a node. Err is an error that the node reports, such as that a file does not exist; a request with such an
+// answer counts as served.
 type Reply struct {
 	Infos []os.FileInfo
 	Data  []byte
-	EOF   bool // the data ends with the file
+	EOF   bool // the data reaches the end of the file
 	Text  string
 	Err   error
 }
 
-// Role is the class of request that a command falls under.
+// Role is the kind of request that a command is. Each role has a class of the scheduler.
 type Role int
 
-// The kinds of Role. WriteOnce is a write that SFTP nodes can't tell from its repeat: it carries no key.
+// The roles. RoleWriteOnce is a write that must not run twice: SFTP has no idempotency key by which a node could detect a retry.
 const (
 	RoleRead Role = iota
 	RoleBulkRead
@@ -65,16 +65,16 @@
 	Roles
 )
 
-// Sizes turn a command's size into units.
+// Sizes convert a command's size to units.
 type Sizes struct {
-	UnitBytes int     // bytes of a unit
-	BulkBytes int     // reads from this size on are bulk reads
-	MostUnits float64 // the most that a request counts
+	UnitBytes int     // bytes per unit
+	BulkBytes int     // size in bytes from which a read is a bulk read
+	MostUnits float64 // maximum size of a request
 }
 
-// Role tells the class of a command. A write at an offset, a create that keeps what is there and an attribute
-// come to the same when they run twice. Anything else must not: a second remove could hit what another client
-// made meanwhile, a late truncation what the first attempt's repeat had already been followed by.
+// Role returns the role of a command. A write at an offset, a create that keeps existing content and a change of attributes other
+// than the size are idempotent. Other changes must not run twice: a second remove could delete what another client has created in
+// between, and a late truncation could delete what was written after the retry of the first attempt.
 func (c Command) Role(s Sizes) Role {
 	switch c.Op {
 	case Stat, Lstat, Readlink:
@@ -100,16 +100,16 @@
 	return RoleWriteOnce
 }
 
-// Units tells the size of a command.
+// Units returns the size of a command in units.
 func (c Command) Units(s Sizes) float64 {
 	bytes := max(c.Length, len(c.Data))
 	if c.Op == List {
-		bytes = s.UnitBytes // not known ahead: one more than the least
+		bytes = s.UnitBytes // the size is unknown in advance: one unit above the minimum
 	}
 	return min(1+float64(bytes/s.UnitBytes), s.MostUnits)
 }
 
-// Project is a customer's tree of files, which lies on one shard.
+// Project is a customer's directory tree, which is stored on one shard.
 type Project struct {
 	Name   string
 	Prefix string // a clean absolute path
@@ -117,7 +117,7 @@
 	Shard  int
 }
 
-// Find returns the project that holds a path, the one with the longest prefix.
+// Find returns the project that a path belongs to: of all that match, the one with the longest prefix.
 func Find(projects []Project, name string) (Project, bool) {
 	best, found := Project{}, false
 	for _, p := range projects {
@@ -128,7 +128,7 @@
 	return best, found
 }
 
-// Above lists the names next below a folder that only stands above projects; there are none in any other.
+// Above returns the names of the direct subfolders of a folder that is a parent of project prefixes, and none for any other folder.
 func Above(projects []Project, name string) []string {
 	var out []string
 	seen := map[string]bool{}
@@ -146,10 +146,10 @@
 	return prefix == "/" || name == prefix || strings.HasPrefix(name, prefix+"/")
 }
 
-// Clean makes a path absolute and plain.
+// Clean makes a path absolute and removes its redundant elements.
 func Clean(name string) string { return path.Clean("/" + name) }
 
-// Repeats tells what the classes of the four roles allow, given what the operator set for writes.
+// Repeats returns the idempotency of the classes of the four roles, given the operator's setting for writes.
 func Repeats(write scheduler.Idempotency) [Roles]scheduler.Idempotency {
 	return [Roles]scheduler.Idempotency{
 		RoleRead: scheduler.Idempotent, RoleBulkRead: scheduler.Idempotent, RoleWrite: write,
--- a/internal/net/protocol/sftp/command_test.go
+++ b/internal/net/protocol/sftp/command_test.go
@@ -8,7 +8,7 @@
 	"otterturn/internal/net/protocol/sftp/packet"
 )
 
-// What is called a plain write may be sent again after it may have run; what could do harm then must not be.
+// Guards against the retry of a command that is not idempotent: only a RoleWrite may be sent again after it may have run.
 func TestRolesAndUnits(t *testing.T) {
 	sizes := Sizes{UnitBytes: 100, BulkBytes: 1000, MostUnits: 4}
 	for _, c := range []struct {
@@ -42,12 +42,12 @@
 		"/x/a/deeper": "a", Clean("/x/a/../../x/b/f"): "b", Clean("../../x/a"): "a",
 	} {
 		if got, _ := Find(projects, path); got.Name != want {
-			t.Errorf("%s is in %q, want %q", path, got.Name, want)
+			t.Errorf("%s belongs to project %q, want %q", path, got.Name, want)
 		}
 	}
 	for path, want := range map[string][]string{"/": {"x"}, "/x": {"a", "b"}, "/y": nil} {
 		if got := Above(projects, path); !slices.Equal(got, want) {
-			t.Errorf("below %s: %v, want %v", path, got, want)
+			t.Errorf("subfolders of %s: %v, want %v", path, got, want)
 		}
 	}
 }
--- a/internal/net/protocol/sftp/packet/attrs.go
+++ b/internal/net/protocol/sftp/packet/attrs.go
@@ -8,7 +8,7 @@
 	"golang.org/x/crypto/cryptobyte"
 )
 
-// Flags of Attrs (section 5 of the draft): which of its fields are there.
+// Flags of Attrs (section 5 of the draft): which of its fields are present.
 const (
 	HasSize     = 0x01
 	HasOwner    = 0x02
@@ -17,12 +17,12 @@
 	hasExtended = 0x80000000
 )
 
-// Attrs are a file's attributes. Times are whole seconds since 1970.
+// Attrs are a file's attributes. Times are Unix times in seconds.
 type Attrs struct {
 	Has          uint32
 	Size         uint64 // bytes
 	UID, GID     uint32
-	Mode         uint32 // of POSIX, with the file's type
+	Mode         uint32 // POSIX mode, with the file type
 	Atime, Mtime uint32
 }
 
@@ -39,7 +39,7 @@
 		{HasMode, func() bool { return s.ReadUint32(&a.Mode) }},
 		{HasTimes, func() bool { return s.ReadUint32(&a.Atime) && s.ReadUint32(&a.Mtime) }},
 		{hasExtended, func() bool {
-			var pairs uint32 // each of two strings: its type and its data
+			var pairs uint32 // each has two strings: its type and its data
 			var unused []byte
 			ok := s.ReadUint32(&pairs)
 			for left := 2 * uint64(pairs); ok && left > 0; left-- {
@@ -73,7 +73,7 @@
 	}
 }
 
-// Types of files in a mode (POSIX, sys/stat.h).
+// File types in a POSIX mode (sys/stat.h).
 const (
 	typeFifo   = 0o010000
 	typeChar   = 0o020000
@@ -84,7 +84,7 @@
 	typeSocket = 0o140000
 )
 
-// Mode turns a mode of package os into that of POSIX.
+// Mode converts a mode of package os to a POSIX mode.
 func Mode(m os.FileMode) uint32 {
 	out := uint32(m.Perm())
 	switch {
@@ -111,14 +111,14 @@
 	return out
 }
 
-// Entry is one file of a listing.
+// Entry is a file in a listing.
 type Entry struct {
 	Name  string
-	Mode  os.FileMode // for the line of a listing
+	Mode  os.FileMode // for the entry's line in a listing
 	Attrs Attrs
 }
 
-// line is the entry as 'ls -l' shows it; clients print it as it comes (section 7).
+// line formats the entry as 'ls -l' does. Clients print it unchanged (section 7).
 func (e Entry) line() string {
 	kind := byte('-')
 	switch {
--- a/internal/net/protocol/sftp/packet/packet_test.go
+++ b/internal/net/protocol/sftp/packet/packet_test.go
@@ -31,11 +31,11 @@
 		}
 	}
 	if r, err := Parse([]byte{99, 0, 0, 0, 1, 2}); err != nil || r.ID != 1 {
-		t.Errorf("an unknown kind is owed a status: %+v, %v", r, err)
+		t.Errorf("an unknown kind must parse, so that it gets a status: %+v, %v", r, err)
 	}
 }
 
-// Whatever comes, a packet is taken or is none: it must not end the program, nor hold more than came.
+// Guards against bytes of a client that end the program or that make it allocate more than it received.
 func FuzzParse(f *testing.F) {
 	f.Add(open("/a", Attrs{Has: HasSize}))
 	f.Add([]byte{byte(Write), 0, 0, 0, 1, 0, 0, 0, 1, 'h', 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff, 0xff, 0xff})
@@ -43,7 +43,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		r, err := Parse(body)
 		if err == nil && len(r.Data)+len(r.Path)+len(r.Handle)+len(r.Target) > len(body) {
-			t.Errorf("%d bytes became %+v", len(body), r)
+			t.Errorf("%d bytes were parsed as %+v", len(body), r)
 		}
 	})
 }
@@ -55,7 +55,7 @@
 		NameReply: EncodeNames(1, Entry{Name: "f"}), AttrsReply: EncodeAttrs(1, Attrs{Has: HasSize}),
 	} {
 		if n := binary.BigEndian.Uint32(answer); int(n) != len(answer)-4 || Kind(answer[4]) != kind {
-			t.Errorf("kind %d: %d bytes said, %d are there", kind, n, len(answer)-4)
+			t.Errorf("kind %d: length field %d, actual length %d", kind, n, len(answer)-4)
 		}
 	}
 }
--- a/internal/net/protocol/sftp/packet/reply.go
+++ b/internal/net/protocol/sftp/packet/reply.go
@@ -2,7 +2,7 @@
 
 import "golang.org/x/crypto/cryptobyte"
 
-// Code is the code of a status (section 7 of the draft).
+// Code is a status code (section 7 of the draft).
 type Code uint32
 
 // The codes of version 3.
@@ -18,7 +18,7 @@
 	Unsupported
 )
 
-// encode puts a packet together: length, kind, then what fill adds.
+// encode builds a packet: length, kind, then the bytes that fill adds. It allocates room for the given size in advance.
 func encode(kind Kind, room int, fill func(b *cryptobyte.Builder)) []byte {
 	b := cryptobyte.NewBuilder(make([]byte, 0, 16+room))
 	prefixed(b, func(b *cryptobyte.Builder) {
@@ -36,10 +36,10 @@
 	prefixed(b, func(b *cryptobyte.Builder) { b.AddBytes([]byte(text)) })
 }
 
-// Pair is an extension that the version names, with its data.
+// Pair is an extension in the version packet, with its data.
 type Pair struct{ Name, Data string }
 
-// EncodeVersion answers an Init.
+// EncodeVersion encodes the answer to an Init.
 func EncodeVersion(extensions ...Pair) []byte {
 	return encode(VersionReply, 128, func(b *cryptobyte.Builder) {
 		b.AddUint32(Version)
@@ -50,7 +50,7 @@
 	})
 }
 
-// EncodeStatus answers with a code and a text for the user.
+// EncodeStatus encodes an answer with a code and a text for the user.
 func EncodeStatus(id uint32, code Code, text string) []byte {
 	return encode(StatusReply, 16+len(text), func(b *cryptobyte.Builder) {
 		b.AddUint32(id)
@@ -60,7 +60,7 @@
 	})
 }
 
-// EncodeHandle answers an Open.
+// EncodeHandle encodes the answer to an Open or an Opendir.
 func EncodeHandle(id uint32, handle string) []byte {
 	return encode(HandleReply, len(handle), func(b *cryptobyte.Builder) {
 		b.AddUint32(id)
@@ -68,7 +68,7 @@
 	})
 }
 
-// EncodeData answers a Read.
+// EncodeData encodes the answer to a Read.
 func EncodeData(id uint32, data []byte) []byte {
 	return encode(DataReply, len(data), func(b *cryptobyte.Builder) {
 		b.AddUint32(id)
@@ -76,7 +76,7 @@
 	})
 }
 
-// EncodeNames answers with files: a part of a listing, or a single path.
+// EncodeNames encodes an answer with files: a part of a listing, or a single path.
 func EncodeNames(id uint32, entries ...Entry) []byte {
 	return encode(NameReply, 128*len(entries), func(b *cryptobyte.Builder) {
 		b.AddUint32(id)
@@ -89,7 +89,7 @@
 	})
 }
 
-// EncodeAttrs answers with a file's attributes.
+// EncodeAttrs encodes an answer with a file's attributes.
 func EncodeAttrs(id uint32, a Attrs) []byte {
 	return encode(AttrsReply, 32, func(b *cryptobyte.Builder) {
 		b.AddUint32(id)
--- a/internal/net/protocol/sftp/packet/request.go
+++ b/internal/net/protocol/sftp/packet/request.go
@@ -1,6 +1,6 @@
-// Package packet is the codec of SFTP version 3 (draft-ietf-secsh-filexfer-02) as a server needs it: a client's
-// packets to typed requests, answers to packets. A packet is four bytes of length, a byte of kind, four of id and
-// fields; the length is taken off before Parse and put on by the encoders. It does no I/O.
+// Package packet is a codec for the server side of SFTP version 3 (draft-ietf-secsh-filexfer-02). It parses packets of clients and
+// encodes answers. A packet consists of a length of four bytes, a kind of one byte, an id of four bytes, and fields. Parse expects a
+// packet without its length; the encoders add the length. The package does no I/O.
 package packet
 
 import (
@@ -10,7 +10,7 @@
 	"golang.org/x/crypto/cryptobyte"
 )
 
-// Version is the protocol's version, the one that OpenSSH and its relatives speak.
+// Version is the version of the protocol. OpenSSH and most other clients use version 3.
 const Version = 3
 
 // Kind is a packet's type (section 3 of the draft).
@@ -57,28 +57,28 @@
 	OpenExcl   = 0x20
 )
 
-// PosixRename is the extension by which a rename takes the place of what is there (OpenSSH, PROTOCOL, 4.3).
+// PosixRename is the extension for a rename that replaces an existing file (OpenSSH, PROTOCOL, section 4.3).
 const PosixRename = "posix-rename@openssh.com"
 
-// ErrMalformed tells of bytes that are no packet. What comes after them can't be told apart, so the connection ends.
-var ErrMalformed = errors.New("a malformed packet")
+// ErrMalformed reports bytes that are not a valid packet. The start of the next packet is then unknown, so the connection is closed.
+var ErrMalformed = errors.New("malformed packet")
 
-// Request is a client's packet. Fields that its kind does not have are empty.
+// Request is a client's packet. Fields that packets of its kind don't have are empty.
 type Request struct {
 	Kind      Kind
 	ID        uint32
-	Extension string // the name of an Extended
+	Extension string // name of an Extended
 	Handle    string
 	Path      string
-	Target    string // of a rename or a link
+	Target    string // second path of a rename or a symbolic link
 	Flags     uint32 // of an Open
 	Offset    uint64
-	Length    uint32 // bytes that a Read asks for
-	Data      []byte // of a Write; part of the bytes that were parsed
+	Length    uint32 // of a Read, in bytes
+	Data      []byte // of a Write; a slice of the parsed bytes
 	Attrs     Attrs
 }
 
-// Parse decodes a packet without its length. An unknown kind or extension is no error: it is owed a status.
+// Parse decodes a packet without its length. An unknown kind or extension is not an error, because the client expects a status for it.
 func Parse(body []byte) (Request, error) {
 	s := fields(body)
 	var r Request
@@ -114,7 +114,7 @@
 	return r, nil
 }
 
-// reader reads the draft's fields one after another (section 3: a string is four bytes of length, then bytes).
+// reader reads the fields of a packet in order. A string is a length of four bytes, then the bytes (section 3 of the draft).
 type reader struct{ cryptobyte.String }
 
 func fields(b []byte) *reader { return &reader{cryptobyte.String(b)} }
--- a/internal/net/protocol/sftp/status.go
+++ b/internal/net/protocol/sftp/status.go
@@ -12,7 +12,7 @@
 	"otterturn/internal/net/routing"
 )
 
-// Status is an answer with a code of SFTP, as an error. Its text goes into the message.
+// Status is an SFTP status as an error. Its text is the message to the user.
 type Status struct {
 	Code packet.Code
 	Text string
@@ -20,7 +20,7 @@
 
 func (s *Status) Error() string { return s.Text }
 
-// StatusOf maps the final answer of the core, or the word of a node, to a status. A refusal says when to come back.
+// StatusOf maps the final answer of the scheduler, or an error of a node, to a status. The text of a rejection says when to retry.
 func StatusOf(err error) *Status {
 	var status *Status
 	var refused *routing.RejectedError
@@ -40,23 +40,23 @@
 	return &Status{packet.Failure, "failed: the command may or may not have been carried out"}
 }
 
-// Unsupported is the status of a command that the front does not offer.
+// Unsupported returns the status for a command that the front does not support.
 func Unsupported(text string) error { return &Status{packet.Unsupported, text} }
 
-// Failure is the status of a command that was not carried out for the reason given.
+// Failure returns the status for a command that was not executed, with the reason as its text.
 func Failure(text string) error { return &Status{packet.Failure, text} }
 
-// NoSuchFile is the status of a path that is in no project.
+// NoSuchFile returns the status for a path that belongs to no project.
 func NoSuchFile(name string) error { return &Status{packet.NoSuchFile, name + ": no such file"} }
 
-// Spoilt is the status of all that is asked of a handle after a write on it was not served. Clients send many
-// writes ahead and keep the status of the last answer alone, so only this tells them that the file has a hole.
+// Spoilt returns the status for every command on a handle after a write on that handle failed. Clients send many writes without
+// waiting and keep only the status of the last answer, so nothing else tells them that the file has a hole.
 func Spoilt(cause error) error {
 	return &Status{packet.Failure, "an earlier write to this file was not carried out: " + cause.Error()}
 }
 
-// NodeStatus takes apart an error of the node client: what the node said passes on with the node's code,
-// anything else tells of a broken exchange.
+// NodeStatus classifies an error of the node client. An error that the node reported keeps the node's code; any other error means
+// that the exchange broke off.
 func NodeStatus(err error) (said error, broken bool) {
 	var word *sftp.StatusError
 	switch {
