--- a/internal/net/transport/nodes/connect.go
+++ b/internal/net/transport/nodes/connect.go
@@ -9,8 +9,8 @@
 	"otterturn/scheduler"
 )
 
-// Reconnect opens a connection to a node on which another just broke, and keeps it. It tells whether the node took it:
-// a process that died takes none, and one that lives may close connections for reasons of its own.
+// Reconnect opens a connection to a node after another one to it broke, and keeps it as an idle one. It reports whether the node
+// accepted it. This tells a process that has died, which accepts none, from one that runs and closed a single connection.
 func (s *Pool[T]) Reconnect(name string) bool {
 	ctx, release := context.WithTimeout(context.Background(), s.limits.Nodes.ConnectTimeout)
 	defer release()
@@ -31,7 +31,7 @@
 	return true
 }
 
-// connect opens the connection that room was reserved for.
+// connect opens the connection for which a place in the pool is reserved.
 func (s *Pool[T]) connect(ctx context.Context, name string, to reservation[T], wanted func(scheduler.NodeState) bool) (c *Conn[T], err error) {
 	raw, err := s.dial(ctx, to.dial)
 	if err == nil {
@@ -44,7 +44,7 @@
 		return nil, fmt.Errorf("connect to %s: %w", name, err)
 	}
 	c.node = to.node
-	// Coming up took time: a drain told meanwhile counts from when it was told, not from the next send.
+	// Connecting took time: a drain that was announced in the meantime applies from its announcement, not from the next request.
 	if s.byName[name] != to.node || !wanted(to.node.State) {
 		s.closeConn(c)
 		return nil, ErrNotAccepting
@@ -52,7 +52,7 @@
 	return c, nil
 }
 
-// start opens the session on a new connection, within the time for connecting.
+// start opens the session on a new connection, within the connect timeout.
 func (s *Pool[T]) start(ctx context.Context, raw net.Conn) (*Conn[T], error) {
 	raw.SetDeadline(time.Now().Add(s.limits.Nodes.ConnectTimeout))
 	unhook := context.AfterFunc(ctx, func() { raw.Close() })
--- a/internal/net/transport/nodes/dial.go
+++ b/internal/net/transport/nodes/dial.go
@@ -9,25 +9,26 @@
 	"time"
 )
 
-// dialResult is how one attempt to open a connection ended.
+// dialResult is the result of one attempt to open a connection.
 type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// dialRace is hedged connecting: a further attempt begins beside those that are not up soon, and the first that comes up
-// is used. A live node may be late with one connection and take the next at once; a vanished machine takes none. One
-// late connection alone would make the node suspect, and so cold for the whole ramp.
+// dialRace implements hedged connecting: if an attempt has not ended after a delay, another one starts in parallel, and the first
+// connection that is established is used. A running node may accept one connection late and the next one at once, while a machine
+// that is gone accepts none. Without the further attempts, one late connection would make the node suspect, and the node would
+// then count as cold for the whole slow start.
 type dialRace struct {
 	ctx     context.Context
 	address string
 	open    Dial
 	ended   chan dialResult
-	started int // attempts in all
-	running int // of them those that have not ended
+	started int // attempts in total
+	running int // attempts that have not ended
 }
 
-// Dial opens a connection to an address, until its context ends.
+// Dial opens a connection to an address. It fails when its context ends.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 func (r *dialRace) begin() {
@@ -39,8 +40,8 @@
 	}()
 }
 
-// dial opens a connection within the time for connecting. Beside the room that its caller has reserved, each further
-// attempt needs some of its own.
+// dial opens a connection within the connect timeout. The caller has reserved a place for the first attempt; each parallel one needs
+// a place of its own.
 func (s *Pool[T]) dial(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.limits.Nodes.ConnectTimeout)
 	defer cancel()
@@ -69,16 +70,16 @@
 			case r.started == s.limits.Nodes.ConnectTries:
 				return nil, d.err
 			default:
-				// A process that has died refuses. One that resets a connection as it comes up lives, and took for
-				// dead it would count as cold, for the whole ramp, once it answers again.
+				// A machine refuses connections to a process that has died. A process that resets a new connection
+				// runs. If it were treated as dead, it would count as cold for the whole slow start once it answers.
 				r.begin()
 			}
 		}
 	}
 }
 
-// retryOwnFault begins an attempt again that failed for want of something on this machine. The error is the end of the time for
-// connecting.
+// retryOwnFault waits and then repeats an attempt that failed because this machine lacked a resource. It returns an error if the
+// connect timeout expires first.
 func (s *Pool[T]) retryOwnFault(r *dialRace) error {
 	pause := time.NewTimer(s.limits.AcceptRetry)
 	defer pause.Stop()
@@ -92,10 +93,10 @@
 	return nil
 }
 
-// ErrNoResources tells that this machine could not open a connection, which says nothing of the node.
-var ErrNoResources = errors.New("no connection can be opened from here")
+// ErrNoResources reports that this machine lacked a resource to open a connection. It says nothing about the node.
+var ErrNoResources = errors.New("no local resources to open a connection")
 
-// isOwnFault reports whether an error of socket(2) or connect(2) tells of this machine's resources rather than of the node.
+// isOwnFault reports whether an error of socket(2) or connect(2) is due to this machine's resources rather than to the node.
 func isOwnFault(err error) bool {
 	for _, errno := range []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR,
@@ -107,7 +108,7 @@
 	return false
 }
 
-// abandon closes what still comes up of a race that is decided, and gives back the room of each.
+// abandon closes the connections that are established after the race is decided, and frees the place of each attempt.
 func (s *Pool[T]) abandon(r *dialRace) {
 	if r.running == 0 {
 		return
@@ -122,7 +123,7 @@
 	}()
 }
 
-// reserveExtra takes room for a further attempt, where there is some that nobody else uses.
+// reserveExtra reserves a place for a further attempt. It reports whether one is free; it closes no idle connection for it.
 func (s *Pool[T]) reserveExtra() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/net/transport/nodes/dial_test.go
+++ b/internal/net/transport/nodes/dial_test.go
@@ -16,7 +16,7 @@
 	"otterturn/scheduler"
 )
 
-// dials stands in for the network: the script says what becomes of each attempt to connect, numbered from 0.
+// dials replaces the network: its function determines the result of each attempt to connect, numbered from 0.
 type dials struct {
 	begun atomic.Int64
 	given func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error)
@@ -27,18 +27,18 @@
 	return d.given(ctx, n, func() (net.Conn, error) { return new(net.Dialer).DialContext(ctx, network, address) })
 }
 
-// never is a connection that does not come up while it is waited for.
+// never is an attempt to connect that ends only with its context.
 func never(ctx context.Context) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// newPool returns the pool of one node "a" behind the dials, and how many connections the node took.
+// newPool returns a pool with a single node "a" that connects through d, and the number of connections that the node accepted.
 func newPool(t *testing.T, d *dials, change func(*limits.Limits)) (*Pool[int], *atomic.Int64) {
 	taken := new(atomic.Int64)
 	addr := standin.Peer(t, func(_ int, c net.Conn) {
 		taken.Add(1)
-		c.Read(make([]byte, 1)) // until it is closed
+		c.Read(make([]byte, 1)) // until the connection is closed
 	})
 	l := standin.Limits()
 	l.Nodes.ConnectTimeout, l.Nodes.HedgeDelay = standin.Patience, time.Millisecond
@@ -49,7 +49,7 @@
 	return s, taken
 }
 
-// settled waits until so many connections, and attempts to open one, are counted.
+// settled waits until the pool counts the given number of connections and attempts to open one.
 func settled(t *testing.T, s *Pool[int], open int) {
 	t.Helper()
 	end := time.After(standin.Patience)
@@ -63,13 +63,13 @@
 		select {
 		case <-freed:
 		case <-end:
-			t.Fatalf("%d connections are counted, %d wanted", have, open)
+			t.Fatalf("the pool counts %d connections, want %d", have, open)
 		}
 	}
 }
 
-// A third of all connections came up late: each was taken for a node that has died, which counted as cold then, for
-// the whole ramp, though it answered on the next connection.
+// Guards against a running node that is treated as dead, and then as cold for the whole slow start, because one connection is
+// established late although the next one succeeds at once. A third of all connections were late when this fault was found.
 func TestConnectionThatIsNotUpSoonGetsAnotherBesideIt(t *testing.T) {
 	given := make(chan struct{})
 	d := &dials{given: func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error) {
@@ -84,13 +84,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	<-given // the late one is not waited for any more
+	<-given // the late attempt was cancelled
 	settled(t, s, 1)
 	s.Release(c, false)
 	settled(t, s, 0)
 }
 
-// One that comes up behind another is closed: nobody would find it again.
+// Guards against a leak of the connection that is established after another one has won.
 func TestConnectionThatComesUpBehindAnotherIsClosed(t *testing.T) {
 	late, up := make(chan net.Conn, 1), make(chan struct{})
 	d := &dials{given: func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error) {
@@ -111,15 +111,15 @@
 	}
 	behind := <-late
 	if c.Conn == behind {
-		t.Error("the first one was used before it was up")
+		t.Error("the late connection was used")
 	}
 	settled(t, s, 1)
 	if _, err := behind.Write([]byte{0}); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("the one that came late is open: %v", err)
+		t.Errorf("the late connection is still open: %v", err)
 	}
 }
 
-// A node that has vanished takes none: that is told within the time for connecting, after a bounded number of attempts.
+// Checks that connecting to a node that is gone fails within the connect timeout and after a limited number of attempts.
 func TestVanishedNodeIsTriedABoundedNumberOfTimes(t *testing.T) {
 	d := &dials{given: func(ctx context.Context, _ int64, _ func() (net.Conn, error)) (net.Conn, error) { return never(ctx) }}
 	s, taken := newPool(t, d, func(l *limits.Limits) { l.Nodes.ConnectTimeout = 20 * l.Nodes.HedgeDelay })
@@ -128,12 +128,12 @@
 		t.Errorf("error %v", err)
 	}
 	if most := int64(s.limits.Nodes.ConnectTries); d.begun.Load() > most || taken.Load() > 0 {
-		t.Errorf("%d attempts of at most %d, %d taken", d.begun.Load(), most, taken.Load())
+		t.Errorf("%d attempts, want at most %d; %d accepted", d.begun.Load(), most, taken.Load())
 	}
 	settled(t, s, 0)
 }
 
-// A process that has died refuses: that is told at once, beside whatever is under way.
+// Checks that a refused connection, as of a process that has died, ends connecting at once although another attempt is in progress.
 func TestRefusedConnectionDecides(t *testing.T) {
 	refused := errors.New("refused")
 	d := &dials{given: func(ctx context.Context, n int64, _ func() (net.Conn, error)) (net.Conn, error) {
@@ -149,7 +149,7 @@
 	settled(t, s, 0)
 }
 
-// A further attempt takes no room from others: where all sockets are in use there is none.
+// Checks that a further attempt starts only if a place in the pool is free: it must not exceed the limit on connections.
 func TestFurtherAttemptNeedsRoom(t *testing.T) {
 	d := &dials{given: func(ctx context.Context, _ int64, _ func() (net.Conn, error)) (net.Conn, error) { return never(ctx) }}
 	s, _ := newPool(t, d, func(l *limits.Limits) { l.Nodes.Conns, l.Nodes.ConnectTimeout = 1, 20*l.Nodes.HedgeDelay })
@@ -157,13 +157,13 @@
 		t.Errorf("error %v", err)
 	}
 	if d.begun.Load() != 1 {
-		t.Errorf("%d attempts with room for one", d.begun.Load())
+		t.Errorf("%d attempts, want 1 with a limit of one connection", d.begun.Load())
 	}
 	settled(t, s, 0)
 }
 
-// Guards against a node that is taken for dead as this machine lacks descriptors, memory or ports for a moment: connecting is tried
-// again, and in the end it is no news of the node.
+// Guards against a node that is treated as dead because this machine lacks descriptors, memory or ports for a moment. Connecting is
+// retried, and if it still fails, the error says nothing about the node.
 func TestFaultsOfThisMachineAreNoNewsOfANode(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN} {
 		d := &dials{given: func(_ context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error) {
@@ -175,7 +175,7 @@
 		s, _ := newPool(t, d, func(l *limits.Limits) { l.AcceptRetry, l.Nodes.HedgeDelay = time.Millisecond, time.Hour })
 		c, err := s.Acquire(t.Context(), "a", Running)
 		if err != nil {
-			t.Errorf("%v for a moment: %v", errno, err)
+			t.Errorf("after a temporary %v: %v", errno, err)
 			continue
 		}
 		s.Release(c, false)
@@ -188,13 +188,13 @@
 		l.AcceptRetry, l.Nodes.ConnectTimeout, l.Nodes.HedgeDelay = time.Millisecond, 20*time.Millisecond, time.Hour
 	})
 	if _, err := s.Acquire(t.Context(), "a", Running); !errors.Is(err, ErrNoResources) {
-		t.Errorf("for good: %v", err)
+		t.Errorf("with a permanent EMFILE: %v", err)
 	}
 	settled(t, s, 0)
 }
 
-// Guards against a request on a connection that its node closes sooner than it did at the start: a reload's time holds for idle
-// connections at once.
+// Guards against a request on a connection that its node has closed, after a reload shortened the idle timeout: the new timeout
+// must also apply to connections that are already idle.
 func TestReloadedIdleTimeHoldsAtOnce(t *testing.T) {
 	d := &dials{given: func(_ context.Context, _ int64, open func() (net.Conn, error)) (net.Conn, error) { return open() }}
 	s, _ := newPool(t, d, func(l *limits.Limits) { l.Nodes.ReuseDelay = 0 })
@@ -206,7 +206,7 @@
 		}
 		s.Release(c, true)
 		if n := d.begun.Load(); n != int64(i)+1 {
-			t.Errorf("idle for %v at most: %d connections were opened", idle, n)
+			t.Errorf("with an idle timeout of %v: %d connections were opened", idle, n)
 		}
 	}
 }
--- a/internal/net/transport/nodes/nodes.go
+++ b/internal/net/transport/nodes/nodes.go
@@ -1,5 +1,5 @@
-// Package nodes keeps the list of nodes and a small pool of connections to each. Both fronts use it; what runs
-// on a connection is theirs.
+// Package nodes keeps the list of nodes and a pool of connections to them. The fronts for HTTP and for SFTP both use it, each with
+// a session of its own protocol on a connection.
 package nodes
 
 import (
@@ -16,16 +16,16 @@
 	"otterturn/scheduler"
 )
 
-// ErrNotAccepting tells that nothing may be sent to a node: it is not in the list, or drains.
-var ErrNotAccepting = errors.New("the node takes nothing")
+// ErrNotAccepting reports that nothing may be sent to a node because it is not on the endpoint list or is draining.
+var ErrNotAccepting = errors.New("node is not on the endpoint list or is draining")
 
-// Session opens what a front keeps on a connection, and tells whether one that stood idle is still good.
+// Session has the functions that open a session of a protocol on a connection and report whether an idle one is still usable.
 type Session[T any] struct {
 	Open  func(net.Conn) (T, error)
 	Alive func(net.Conn, T) bool
 }
 
-// Pool is the list of nodes as discovery told it, with the connections kept to each.
+// Pool is the list of nodes from discovery, with the connections to each.
 type Pool[T any] struct {
 	limits    limits.Limits
 	session   Session[T]
@@ -34,30 +34,30 @@
 	mu        sync.Mutex
 	byName    map[string]*node[T]
 	open      int           // connections, idle ones included
-	roomFreed chan struct{} // closed, and made anew, once there may be room
+	roomFreed chan struct{} // closed and replaced when a place may have become free
 }
 
-// node is one start of a node; a restarted one has a new entry, so that what was kept to the old one is dropped.
+// node is a node since its last start. A restarted node gets a new entry, so that the connections of the former start are closed.
 type node[T any] struct {
 	protocol.Host
-	idle []*Conn[T] // the one used last comes last
+	idle []*Conn[T] // in the order of last use
 }
 
-// Conn is a connection that carries one exchange at a time.
+// Conn is a connection with one exchange at a time.
 type Conn[T any] struct {
 	net.Conn
 	Session   T
 	node      *node[T]
-	idleSince time.Time // since then
+	idleSince time.Time
 }
 
-// State is a node as the operator sees it.
+// State is the state of a node, for operators.
 type State struct {
 	protocol.Host
-	Idle int // connections kept to it
+	Idle int // idle connections
 }
 
-// New returns an empty list.
+// New returns a pool without nodes.
 func New[T any](l limits.Limits, s Session[T]) *Pool[T] {
 	pool := &Pool[T]{
 		limits: l, session: s, dialer: new(net.Dialer).DialContext,
@@ -67,7 +67,7 @@
 	return pool
 }
 
-// Apply takes over a list, or changes of one, and returns the same news for the scheduler.
+// Apply replaces the list of nodes, or applies changes to it, and returns the corresponding event for the scheduler.
 func (s *Pool[T]) Apply(list protocol.List) scheduler.EndpointsChanged {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,21 +113,21 @@
 	s.uncount()
 }
 
-// uncount counts a connection out. The lock is held.
+// uncount removes a connection from the count. The lock is held.
 func (s *Pool[T]) uncount() {
 	s.open--
 	s.notifyRoom()
 }
 
-// notifyRoom wakes those who wait for room. The lock is held.
+// notifyRoom wakes the callers that wait for a place. The lock is held.
 func (s *Pool[T]) notifyRoom() {
 	close(s.roomFreed)
 	s.roomFreed = make(chan struct{})
 }
 
-// Acquire returns a connection to a node, an idle one where there is one. Where all sockets are in use it waits
-// for one: that is no news of the node. wanted tells whether the node may still be used in the state it is in now
-// that the connection is up.
+// Acquire returns a connection to a node: an idle one if possible, otherwise a new one. If all places are in use it waits for one,
+// as this says nothing about the node. wanted reports whether the node may be used in a state; it is called again once a new
+// connection is established.
 func (s *Pool[T]) Acquire(ctx context.Context, name string, wanted func(scheduler.NodeState) bool) (*Conn[T], error) {
 	got, err := s.reserve(name, wanted)
 	for got.freed != nil || got.settled != nil {
@@ -145,8 +145,8 @@
 	return s.connect(ctx, name, got, wanted)
 }
 
-// reservation is an idle connection, or else the room for a new one, or what is closed once there may be some, or what
-// tells that a connection that was given back just now may be used.
+// reservation is the result of reserve: an idle connection (conn), a place for a new one (dial), a channel that is closed when a
+// place may have become free (freed), or one that fires when a recently released connection may be used (settled).
 type reservation[T any] struct {
 	node    *node[T]
 	conn    *Conn[T]
@@ -155,7 +155,7 @@
 	settled <-chan time.Time
 }
 
-// reserve takes an idle connection that is still good, or the room for a new one.
+// reserve reserves an idle connection that is still usable, or a place for a new one.
 func (s *Pool[T]) reserve(name string, wanted func(scheduler.NodeState) bool) (reservation[T], error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,9 +163,9 @@
 	if n == nil || !wanted(n.State) {
 		return reservation[T]{}, ErrNotAccepting
 	}
-	// What comes behind an answer comes right behind it: one taken too soon would be found quiet, and its next
-	// request be answered with that. But what was held leaves as an answer comes, so such a one is waited for: a
-	// new connection would take longer, and its handshake is the node's work.
+	// Surplus bytes after an answer arrive right after it. If a connection were reused at once, they might not have arrived when
+	// Alive checks for them, and would then be read as the answer to the next request. Queued requests are sent when an answer
+	// arrives, so they wait for such a connection: a new one would take longer, and its handshake costs the node work.
 	settles := time.Duration(0)
 	for i := len(n.idle) - 1; i >= 0; i-- {
 		c := n.idle[i]
@@ -174,7 +174,7 @@
 			continue
 		}
 		n.idle = slices.Delete(n.idle, i, i+1)
-		// A request on a connection that the node has closed would end as a reset that may have run.
+		// A request on a connection that the node has closed would fail with a reset, after which it is unknown whether it ran.
 		if time.Since(c.idleSince) < s.idleTimeout() && s.session.Alive(c.Conn, c.Session) {
 			return reservation[T]{node: n, conn: c}, nil
 		}
@@ -190,7 +190,7 @@
 	return reservation[T]{node: n, dial: n.Dial}, nil
 }
 
-// closeLongestIdle closes the connection that has been idle longest, to whichever node. The lock is held.
+// closeLongestIdle closes the connection that has been idle longest, of all nodes, and reports whether there was one. The lock is held.
 func (s *Pool[T]) closeLongestIdle() bool {
 	var longest *node[T]
 	for _, n := range s.byName {
@@ -206,7 +206,7 @@
 	return true
 }
 
-// Release gives a connection back, to be kept where its last exchange ended cleanly.
+// Release returns a connection to the pool. It is kept if its last exchange ended cleanly, and closed otherwise.
 func (s *Pool[T]) Release(c *Conn[T], clean bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,7 +219,7 @@
 	s.notifyRoom()
 }
 
-// Run drops connections that stood idle for long, until ctx ends.
+// Run closes connections whose idle timeout has expired, until ctx ends.
 func (s *Pool[T]) Run(ctx context.Context) {
 	tick := time.NewTicker(s.limits.Nodes.IdleTimeout/4 + time.Millisecond)
 	defer tick.Stop()
@@ -233,7 +233,7 @@
 	}
 }
 
-// CloseIdle drops all connections that stand idle.
+// CloseIdle closes all idle connections.
 func (s *Pool[T]) CloseIdle() { s.expire(time.Now().Add(time.Hour)) }
 
 func (s *Pool[T]) expire(before time.Time) {
--- a/internal/net/transport/nodes/nodes_test.go
+++ b/internal/net/transport/nodes/nodes_test.go
@@ -12,13 +12,13 @@
 	"otterturn/scheduler"
 )
 
-// What was held leaves the moment an answer comes. The connection that the answer came on is not to be used for a
-// moment, and a new one each time was a fifth of all handshakes that a fleet paid for.
+// Guards against needless handshakes. Queued requests are sent when an answer arrives, and the connection of that answer must not be
+// reused for a short time. Opening a new connection in each such case caused a fifth of all handshakes of a fleet.
 func TestNextRequestWaitsForTheConnectionJustGivenBack(t *testing.T) {
 	var opened atomic.Int64
 	addr := standin.Peer(t, func(_ int, c net.Conn) {
 		opened.Add(1)
-		c.Read(make([]byte, 1)) // until it is closed
+		c.Read(make([]byte, 1)) // until the connection is closed
 	})
 	l := standin.Limits()
 	l.Nodes.ReuseDelay = 20 * time.Millisecond
@@ -32,16 +32,16 @@
 	ended, end := context.WithCancel(context.Background())
 	end()
 	if _, err := s.Acquire(ended, "a", Running); err != context.Canceled {
-		t.Errorf("error %v of a wait that was given up", err)
+		t.Errorf("error %v of a cancelled wait, want context.Canceled", err)
 	}
 	again, err := s.Acquire(context.Background(), "a", Running)
 	if err != nil || again != first {
-		t.Errorf("%v, another connection: %v", err, again != first)
+		t.Errorf("error %v, a different connection: %v", err, again != first)
 	}
 	if time.Since(first.idleSince) < l.Nodes.ReuseDelay {
-		t.Error("used again too soon")
+		t.Error("the connection was reused before ReuseDelay had passed")
 	}
 	if opened.Load() != 1 {
-		t.Errorf("%d connections opened", opened.Load())
+		t.Errorf("%d connections were opened, want 1", opened.Load())
 	}
 }
--- a/internal/net/transport/nodes/state.go
+++ b/internal/net/transport/nodes/state.go
@@ -9,7 +9,7 @@
 	"otterturn/scheduler"
 )
 
-// States lists the nodes by name.
+// States returns the nodes, sorted by name.
 func (s *Pool[T]) States() []State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -21,13 +21,13 @@
 	return out
 }
 
-// Running is the condition under which a node gets new work.
+// Running reports whether a node in this state may get new requests.
 func Running(state scheduler.NodeState) bool { return state == scheduler.Running }
 
-// AnyState is the condition for probes.
+// AnyState accepts a node in any state. Health checks use it.
 func AnyState(scheduler.NodeState) bool { return true }
 
-// Reconfigure has connections be idle no longer than other settings allow, those that are idle already too.
+// Reconfigure applies a new idle timeout, also to connections that are already idle.
 func (s *Pool[T]) Reconfigure(l limits.NodeLimits) { s.idle.Store(int64(l.IdleTimeout)) }
 
 func (s *Pool[T]) idleTimeout() time.Duration { return time.Duration(s.idle.Load()) }
