--- a/internal/net/transport/sftp/client.go
+++ b/internal/net/transport/sftp/client.go
@@ -1,4 +1,4 @@
-// Package sftp holds the sockets of the second front: SFTP version 3 over plain TCP, from clients and to nodes.
+// Package sftp is the front for SFTP: it serves SFTP version 3 over TCP or TLS to clients, and sends their commands to nodes over TCP.
 package sftp
 
 import (
@@ -22,13 +22,13 @@
 	"otterturn/scheduler"
 )
 
-// errAnswer tells that a node's answer passes its bound.
-var errAnswer = errors.New("the node's answer is too long")
+// errAnswer reports that a node's answer exceeds the limit on its size.
+var errAnswer = errors.New("node's answer is too long")
 
-// errImproper tells that a node's answer is none to the command.
-var errImproper = errors.New("the node's answer is none to the command")
+// errImproper reports an answer of a node that has the wrong type for the command.
+var errImproper = errors.New("node's answer does not fit the command")
 
-// Client carries commands to nodes, one at a time on a connection.
+// Client sends commands to nodes, one at a time per connection.
 type Client struct {
 	*nodes.Pool[*session]
 }
@@ -40,13 +40,13 @@
 	dead atomic.Bool
 }
 
-// wire counts what an exchange moves over a connection.
+// wire counts the bytes of an exchange on a connection and limits those of an answer.
 type wire struct {
 	net.Conn
 	bound   int64
-	written atomic.Int64 // bytes since the exchange began
+	written atomic.Int64 // bytes since the start of the exchange
 	read    atomic.Int64
-	begun   func() // hears of the first byte of the exchange that is under way
+	begun   func() // called after the first byte of the current exchange was written
 }
 
 func (w *wire) Write(b []byte) (int, error) {
@@ -60,7 +60,7 @@
 func (w *wire) Read(b []byte) (int, error) {
 	n, err := w.Conn.Read(b)
 	if w.read.Add(int64(n)) > w.bound {
-		return 0, errAnswer // an endless listing must not fill the memory
+		return 0, errAnswer // an endless listing must not exhaust the memory
 	}
 	return n, err
 }
@@ -72,7 +72,7 @@
 			w := &wire{Conn: c, bound: l.Files.ResponseBytes, begun: func() {}}
 			client, err := sftp.NewClientPipe(w, w)
 			if err != nil {
-				return nil, fmt.Errorf("start of the session: %w", err)
+				return nil, fmt.Errorf("open SFTP session: %w", err)
 			}
 			s := &session{Client: client, wire: w}
 			go func() {
@@ -85,11 +85,11 @@
 	})}
 }
 
-// Attempt carries out a command at a node once and tells how that ended.
+// Attempt sends a command to a node once and returns the result of the attempt.
 func (c *Client) Attempt(ctx context.Context, a routing.Attempt, cmd files.Command) (files.Reply, scheduler.AttemptEnded) {
 	conn, err := c.Acquire(a.MayBegin, a.Node, nodes.Running)
 	denied := a.Permitted()
-	if err == nil && denied != nil { // it came up in that moment
+	if err == nil && denied != nil { // the permission ended while the connection was established
 		c.Release(conn, true)
 		err = denied
 	}
@@ -107,7 +107,7 @@
 	w.begun = a.Written
 	w.written.Store(0)
 	w.read.Store(0)
-	unhook := context.AfterFunc(ctx, func() { conn.Close() }) // SFTP can't take a command back
+	unhook := context.AfterFunc(ctx, func() { conn.Close() }) // SFTP has no way to cancel a command
 	reply, err := carryOut(conn.Session.Client, cmd)
 	said, broken := files.NodeStatus(err)
 	intact := unhook()
@@ -124,7 +124,7 @@
 	return files.Reply{}, scheduler.AttemptEnded{Result: scheduler.Reset, Alive: c.Reconnect(a.Node)}
 }
 
-// carryOut runs a command on a session.
+// carryOut executes a command on a session.
 func carryOut(s *sftp.Client, cmd files.Command) (reply files.Reply, err error) {
 	switch cmd.Op {
 	case files.Stat:
@@ -151,7 +151,7 @@
 	case files.SetAttr:
 		err = setAttr(s, cmd)
 	case files.Remove:
-		// The library removes a folder where it finds no file of that name; the command means files alone.
+		// The library also removes a folder of that name, but this command must remove only files.
 		var info os.FileInfo
 		if info, err = s.Lstat(cmd.Path); err == nil && info.IsDir() {
 			reply.Err = files.Failure(cmd.Path + " is a folder")
@@ -170,7 +170,7 @@
 	return reply, err
 }
 
-// open opens a file. A node that answers 'ok' where a handle is due leaves the library without a file.
+// open opens a file. If a node answers with the status OK instead of a handle, the library returns neither a file nor an error.
 func open(s *sftp.Client, path string, flags int) (*sftp.File, error) {
 	f, err := s.OpenFile(path, flags)
 	if f == nil && err == nil {
@@ -179,8 +179,8 @@
 	return f, err
 }
 
-// one is the answer about a single file. A node that answers 'ok' where attributes are due leaves the library
-// with an empty pointer, which would end the program once it is looked at.
+// one returns the answer for a single file. If a node answers with the status OK instead of attributes, the library returns a nil
+// pointer inside info, and the program would panic when it used it.
 func one(info os.FileInfo, err error) (files.Reply, error) {
 	if err != nil {
 		return files.Reply{}, err
@@ -223,7 +223,7 @@
 	return err
 }
 
-// Probe asks a node whether it answers at all; SFTP has no word for load.
+// Probe returns the health check of a node: whether it answers at all. SFTP has no load report.
 func (c *Client) Probe(l limits.Limits) func(node string) scheduler.HealthChecked {
 	return func(node string) scheduler.HealthChecked {
 		out := scheduler.HealthChecked{Node: node, Queue: -1}
--- a/internal/net/transport/sftp/commands.go
+++ b/internal/net/transport/sftp/commands.go
@@ -13,10 +13,10 @@
 	"otterturn/internal/net/routing"
 )
 
-// listed is how many entries of a listing go into one answer.
+// listed is the maximum number of entries in one answer to a Readdir.
 const listed = 100
 
-// answer carries out a command that goes alone and encodes how it ended.
+// answer executes a command other than a read or a write, while no other command runs, and returns the encoded answer.
 func (v *visitor) answer(r packet.Request) []byte {
 	name := files.Clean(r.Path)
 	var err error
@@ -44,7 +44,7 @@
 	return status(r.ID, err)
 }
 
-// change carries out a command that changes something beside a file's content.
+// change executes a command that changes something other than a file's content.
 func (v *visitor) change(r packet.Request, name string) error {
 	cmd := files.Command{Path: name}
 	switch r.Kind {
@@ -79,7 +79,7 @@
 	return err
 }
 
-// open opens a file once the command that checks or makes it has been answered.
+// open opens a file, after the command that checks or creates it has been answered.
 func (v *visitor) open(r packet.Request, name string) []byte {
 	cmd := files.Command{Op: files.Stat, Path: name}
 	if r.Flags&packet.OpenAppend != 0 {
@@ -119,7 +119,7 @@
 	return id
 }
 
-// forget closes a handle. All that was written on it has been answered by now, as a close goes alone.
+// forget closes a handle. All writes on it have been answered by then, because a close runs only after all earlier commands.
 func (v *visitor) forget(id string) error {
 	h, ok := v.handles[id]
 	if !ok {
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// stat tells of a file, or of a link itself.
+// stat returns the attributes of a file, or of a link itself.
 func (v *visitor) stat(r packet.Request, name string) []byte {
 	op := files.Stat
 	switch r.Kind {
@@ -180,7 +180,7 @@
 	return packet.EncodeNames(r.ID, entries...)
 }
 
-// inspect asks a node of a file or a folder, or tells of the folders above the projects, which need none.
+// inspect asks a node about a file or a folder. It describes the parent folders of projects itself, as these exist on no node.
 func (v *visitor) inspect(op files.Op, name string) ([]os.FileInfo, error) {
 	if _, ok := files.Find(v.front.site.Projects, name); ok {
 		reply, err := v.do(files.Command{Op: op, Path: name})
@@ -200,7 +200,7 @@
 	return infos, nil
 }
 
-// entry is a file as a node or the front itself told of it.
+// entry converts the description of a file, by a node or by the front itself, to an entry of a listing.
 func entry(info os.FileInfo) packet.Entry {
 	e := packet.Entry{Name: info.Name(), Mode: info.Mode()}
 	e.Attrs = packet.Attrs{
@@ -214,7 +214,7 @@
 	return e
 }
 
-// above is a folder that stands above projects.
+// above is a folder that is a parent of projects and exists on no node.
 type above string
 
 func (f above) Name() string     { return string(f) }
--- a/internal/net/transport/sftp/front.go
+++ b/internal/net/transport/sftp/front.go
@@ -18,16 +18,16 @@
 	"otterturn/scheduler"
 )
 
-// Attempter carries out a command at a node once.
+// Attempter sends a command to a node once.
 type Attempter func(ctx context.Context, a routing.Attempt, cmd files.Command) (files.Reply, scheduler.AttemptEnded)
 
-// Site is what the operator set up for the front.
+// Site is the operator's configuration of the front.
 type Site struct {
 	Projects []files.Project
 	Sizes    files.Sizes
 	Classes  [files.Roles]int           // the scheduler's class for each role
-	Wait     [files.Roles]time.Duration // the longest that a command of the role takes
-	Retry    time.Duration              // advice where the front itself is full
+	Wait     [files.Roles]time.Duration // time limit of a command of the role
+	Retry    time.Duration              // Retry-After when the front itself has no room
 }
 
 // Front serves SFTP clients.
@@ -37,7 +37,7 @@
 	core    *routing.Core
 	attempt Attempter
 	tallies map[string]*tally // by project
-	room    chan struct{}     // holds one for each command at the core
+	room    chan struct{}     // holds one element per command that is submitted to the scheduler
 	ids     atomic.Int64
 	mu      sync.Mutex
 	conns   map[*visitor]struct{}
@@ -57,13 +57,13 @@
 	return f
 }
 
-// tally counts a project's commands by how they ended.
+// tally counts a project's commands by result.
 type tally struct{ served, refused, failed atomic.Int64 }
 
-// Count is a project's tally at one moment.
+// Count is a snapshot of a project's tally.
 type Count struct{ Served, Refused, Failed int64 }
 
-// Count tells how a project's commands ended.
+// Count returns how many of a project's commands ended with each result.
 func (f *Front) Count(project string) Count {
 	t := f.tallies[project]
 	if t == nil {
@@ -79,7 +79,7 @@
 		t.served.Add(1)
 	case errors.As(err, &refused):
 		t.refused.Add(1)
-	case errors.Is(err, errLeft): // nobody was told that it failed
+	case errors.Is(err, errLeft): // no client received a failure
 	default:
 		t.failed.Add(1)
 	}
@@ -96,16 +96,16 @@
 		if err != nil {
 			return err
 		}
-		if _, secure := c.(*tls.Conn); !secure { // TLS has it below
+		if _, secure := c.(*tls.Conn); !secure { // a TLS connection is already wrapped below TLS
 			c = steady.Conn{Conn: c}
 		}
 		if !f.enter(newVisitor(f, c)) {
-			c.Close() // SFTP has no word for 'full' ahead of a session
+			c.Close() // SFTP has no status for "too many clients" before a session
 		}
 	}
 }
 
-// enter starts to serve a client, if there is room.
+// enter starts to serve a client. It reports whether there was room for it.
 func (f *Front) enter(v *visitor) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -122,8 +122,8 @@
 	return true
 }
 
-// Stop takes no more clients and commands, lets what it took be answered, and then closes the connections. What is open as all
-// must be answered is answered by the core.
+// Stop accepts no more clients and commands, waits until the accepted commands are answered, and then closes the connections.
+// Requests that are still open when all must be answered are answered by the core.
 func (f *Front) Stop(l net.Listener) {
 	f.core.Guard.BeginShutdown(time.Now())
 	l.Close()
@@ -133,11 +133,11 @@
 		v.stop()
 	}
 	f.mu.Unlock()
-	f.hosts.Wait() // each ends by the deadlines of its commands
+	f.hosts.Wait() // each ends by the latest deadline of its commands
 }
 
-// request is a command as the core sees it, and the project that it belongs to. Commands that no node can carry
-// out are an error.
+// request returns the scheduler's request for a command, and the tally of its project. It returns an error for a command that no
+// node can execute.
 func (f *Front) request(cmd files.Command) (scheduler.Request, *tally, error) {
 	project, ok := files.Find(f.site.Projects, cmd.Path)
 	if !ok {
--- a/internal/net/transport/sftp/front_test.go
+++ b/internal/net/transport/sftp/front_test.go
@@ -22,7 +22,7 @@
 	"otterturn/scheduler"
 )
 
-// bench is a front before nodes on loopback. Projects /a and /b lie on shards 0 and 1.
+// bench is a front with nodes on loopback. Projects /a and /b are on shards 0 and 1.
 type bench struct {
 	t      *testing.T
 	listen net.Listener
@@ -60,7 +60,7 @@
 	go func() { served <- b.front.Serve(listener) }()
 	t.Cleanup(func() {
 		b.front.Stop(listener)
-		if err := standin.Await(t, "the end of the front", served); err != nil {
+		if err := standin.Await(t, "the return of Serve", served); err != nil {
 			t.Error(err)
 		}
 	})
@@ -139,7 +139,7 @@
 		t.Error(err)
 	}
 	raw := b.raw()
-	raw.send(13, "/a/folder") // remove, which means files alone
+	raw.send(13, "/a/folder") // remove, which applies only to files
 	if kind, body := raw.reply(); kind != 101 || binary.BigEndian.Uint32(body[4:]) != 4 {
 		t.Errorf("remove of a folder: kind %d, %q", kind, body)
 	}
@@ -162,8 +162,8 @@
 	}
 }
 
-// A node cut the connection after it had carried out a command: nobody can tell whether it ran. Only what the
-// write class lets run twice may be sent again, and the client gets one answer.
+// Guards against the retry of a command that is not idempotent. A node closes the connection after it has executed a command, so the
+// front can't know whether the command ran. It may retry only what the class allows, and the client gets one answer.
 func TestCutOffCommandIsRepeatedOnlyAsItsClassPermits(t *testing.T) {
 	node := standin.NewFileServer(t)
 	var armed atomic.Value
@@ -183,10 +183,10 @@
 	}
 	armed.Store("Write")
 	if _, err := f.Write([]byte("second half")); err != nil {
-		t.Errorf("a write at an offset may be repeated: %v", err)
+		t.Errorf("a write at an offset was not retried: %v", err)
 	}
 	if n := node.Count("Write", "/a/upload"); n != 3 {
-		t.Errorf("%d writes reached the node, want 2 and one repeat", n)
+		t.Errorf("%d writes reached the node, want 2 and one retry", n)
 	}
 	for _, once := range []struct {
 		op, path string
@@ -199,7 +199,7 @@
 		armed.Store(once.op)
 		err := once.do()
 		if err == nil || once.op != "Remove" && !strings.Contains(err.Error(), "may or may not") {
-			t.Errorf("%s: %v", once.op, err) // the test's client goes on to try Rmdir after a failed Remove
+			t.Errorf("%s: %v", once.op, err) // the client library tries Rmdir after a failed Remove
 		}
 		if n := node.Count(once.op, once.path); n != 1 {
 			t.Errorf("%s reached the node %d times, want 1", once.op, n)
@@ -207,8 +207,8 @@
 	}
 }
 
-// A client's connection broke inside a packet of an upload: what did not come whole must not reach a node, and
-// what was out for the client must not stay open.
+// Guards against a truncated write and a leaked request when a client's connection breaks inside a packet of an upload: the
+// incomplete packet must not reach a node, and the client's requests must end.
 func TestClientThatLeavesMidwayLeavesNothingBehind(t *testing.T) {
 	node := standin.NewFileServer(t)
 	begun, go_on := make(chan struct{}, 1), make(chan struct{})
@@ -227,14 +227,14 @@
 	raw := b.raw()
 	handle := raw.create(t, "/a/cut")
 	raw.send(6, handle, uint64(0), "whole")
-	standin.Await(t, "the whole write", begun)
+	standin.Await(t, "the complete write at the node", begun)
 	half := standin.Command(6, 9, handle, uint64(5), "cut off")
 	raw.Write(half[:len(half)-3])
 	raw.Close()
 	standin.Until(t, "the end of the client's requests", func() bool { return b.core.Tally().Open == 0 })
 	close(go_on)
 	if n := node.Count("Write", "/a/cut"); n != 1 {
-		t.Errorf("%d writes reached the node, want the whole one alone", n)
+		t.Errorf("%d writes reached the node, want only the complete one", n)
 	}
 	if got := b.core.Tally(); got.ClientsLeft != 1 {
 		t.Errorf("tally %+v, want one client left", got)
@@ -267,28 +267,28 @@
 	began := time.Now()
 	_, err := c.ReadDir("/a")
 	if err == nil || !strings.Contains(err.Error(), "try again in") {
-		t.Errorf("a listing issued while the node drains: %v, want a refusal", err)
+		t.Errorf("listing sent while the node drains: %v, want a rejection", err)
 	}
 	if took := time.Since(began); took >= wait {
-		t.Errorf("answered after %v, at its deadline", took)
+		t.Errorf("answered after %v, want before the deadline", took)
 	}
 	successor := standin.NewFileServer(t)
 	next := host(0, successor.Addr, scheduler.Running)
 	next.Node = "node-a2" // holds the same shard
 	b.tell(protocol.List{Hosts: []protocol.Host{next}})
 	if _, err := c.ReadDir("/a"); !errors.Is(err, os.ErrNotExist) || successor.Count("List", "/a") != 1 {
-		t.Errorf("a listing at the node's successor, which is empty: %v", err)
+		t.Errorf("listing at the replacement node, which is empty: %v", err)
 	}
 	close(go_on)
-	if err := standin.Await(t, "the listing that was out", out); err != nil {
-		t.Errorf("the listing that was out when the drain was told: %v", err)
+	if err := standin.Await(t, "the listing in progress", out); err != nil {
+		t.Errorf("listing in progress when the drain was announced: %v", err)
 	}
 	if n := node.Count("List", "/a"); n != 1 {
 		t.Errorf("%d listings reached the node, want 1", n)
 	}
 }
 
-// The node vanished without a word: the command must be answered by its deadline, by the front.
+// Checks that the front answers a command by its deadline when the node accepts it and never answers.
 func TestSilentNodeIsAnsweredForByTheDeadline(t *testing.T) {
 	silent := standin.Peer(t, func(_ int, c net.Conn) { io.Copy(io.Discard, c) })
 	b := newBench(t, 300*time.Millisecond, func(l *limits.Limits) { l.Nodes.ConnectTimeout = 100 * time.Millisecond }, silent)
@@ -298,8 +298,8 @@
 	standin.Until(t, "the end of the request", func() bool { return b.core.Tally().Open == 0 })
 }
 
-// A node that answers 'ok' to everything leaves the SFTP library without the file or the attributes that it is
-// asked for: it must not take the front along. Nor must one whose packets end too soon.
+// Guards against a panic of the front. A node that answers every command with the status OK makes the SFTP library return neither
+// the file nor the attributes. A node with truncated answers must not harm the front either.
 func TestNodeThatAnswersImproperly(t *testing.T) {
 	for name, status := range map[string][]byte{"ok": {0, 0, 0, 0}, "cut": nil} {
 		broken := standin.Peer(t, func(_ int, c net.Conn) {
@@ -318,7 +318,7 @@
 		b := newBench(t, 300*time.Millisecond, nil, broken)
 		c := b.dial()
 		if _, err := c.Stat("/a/x"); err == nil {
-			t.Errorf("%s: a stat was served", name)
+			t.Errorf("%s: stat succeeded", name)
 		}
 		if _, err := c.Create("/a/x"); err == nil {
 			t.Errorf("%s: a file was opened", name)
@@ -326,7 +326,7 @@
 	}
 }
 
-// Packets that are none: the connection ends, and the front serves on.
+// Checks that a malformed packet ends only its own connection.
 func TestBadPacketsEndTheirConnectionAlone(t *testing.T) {
 	node := standin.NewFileServer(t)
 	b := newBench(t, 5*time.Second, nil, node.Addr)
@@ -353,7 +353,8 @@
 	}
 }
 
-// Commands of many kinds come at once while the node cuts every third operation: each has one final answer.
+// Checks that each command gets exactly one answer, with commands of many kinds in progress and a node that breaks the connection
+// at every third operation.
 func TestEveryAcceptedCommandHasOneAnswer(t *testing.T) {
 	node := standin.NewFileServer(t)
 	var ops atomic.Int64
@@ -391,13 +392,13 @@
 		}
 		seen[binary.BigEndian.Uint32(body)]++
 	}
-	raw.send(16, "/") // its answer comes next, so there was none in excess
+	raw.send(16, "/") // if its answer is the next one, no command was answered twice
 	if kind, body := raw.reply(); len(seen) != n || kind != 104 || binary.BigEndian.Uint32(body) != 0 {
 		t.Errorf("%d of %d commands answered, then a packet of kind %d", len(seen), n, kind)
 	}
 }
 
-// A stop while commands are out: each that was taken is answered, nothing else is taken, and the connection ends.
+// Checks a stop while commands are in progress: each accepted command is answered, no other is accepted, and the connection ends.
 func TestStopAnswersWhatWasTaken(t *testing.T) {
 	node := standin.NewFileServer(t)
 	const n = 6
@@ -416,7 +417,7 @@
 	for i := range uint32(n) {
 		all = append(all, standin.Command(6, i, handle, uint64(i), "x")...)
 	}
-	raw.Write(append(all, standin.Command(6, n, handle, uint64(n), "x")[:9]...)) // and one that never comes whole
+	raw.Write(append(all, standin.Command(6, n, handle, uint64(n), "x")[:9]...)) // and one that stays incomplete
 	for range n {
 		standin.Await(t, "a write at the node", begun)
 	}
@@ -425,7 +426,7 @@
 		b.front.Stop(b.listen)
 		close(stopped)
 	}()
-	standin.Until(t, "the stop", func() bool {
+	standin.Until(t, "the start of the stop", func() bool {
 		b.front.mu.Lock()
 		defer b.front.mu.Unlock()
 		return b.front.closing
@@ -443,7 +444,7 @@
 		t.Errorf("%d writes answered, then a packet of kind %d", len(seen), kind)
 	}
 	raw.Close()
-	standin.Await(t, "the end", stopped)
+	standin.Await(t, "the return of Stop", stopped)
 }
 
 func TestBoundsOfAClient(t *testing.T) {
@@ -462,11 +463,11 @@
 		open = append(open, f)
 	}
 	if _, err := c.Create("/a/f"); err == nil || !strings.Contains(err.Error(), "try again in") {
-		t.Errorf("a third handle: %v", err)
+		t.Errorf("third handle: %v, want a rejection", err)
 	}
 	open[0].Close()
 	if _, err := c.Create("/a/f"); err != nil {
-		t.Errorf("a handle after one was closed: %v", err)
+		t.Errorf("open after one handle was closed: %v", err)
 	}
 	b.dial()
 	third, err := net.Dial("tcp", b.addr)
@@ -479,7 +480,7 @@
 	}
 }
 
-// rawConn speaks packets by hand.
+// rawConn is a client that sends and reads single packets.
 type rawConn struct{ net.Conn }
 
 func (b *bench) raw() *rawConn {
@@ -493,12 +494,12 @@
 	c.Write([]byte{0, 0, 0, 5, 1, 0, 0, 0, 3})
 	r := &rawConn{c}
 	if kind, _ := r.reply(); kind != 2 {
-		b.t.Fatalf("a packet of kind %d in place of the version", kind)
+		b.t.Fatalf("a packet of kind %d instead of the version", kind)
 	}
 	return r
 }
 
-// create opens a file to be written and returns its handle.
+// create opens a file for writing and returns its handle.
 func (r *rawConn) create(t *testing.T, path string) (handle string) {
 	t.Helper()
 	r.send(3, path, uint32(0x1a), uint32(0)) // write, create, truncate
@@ -511,7 +512,7 @@
 
 func (r *rawConn) send(kind byte, fields ...any) { r.Write(standin.Command(kind, 0, fields...)) }
 
-// reply reads a packet; its kind is 0 where there is none.
+// reply reads a packet. The kind is 0 if the connection has ended.
 func (r *rawConn) reply() (kind byte, body []byte) {
 	head := make([]byte, 5)
 	if _, err := io.ReadFull(r, head); err != nil {
--- a/internal/net/transport/sftp/leave.go
+++ b/internal/net/transport/sftp/leave.go
@@ -10,8 +10,8 @@
 	"otterturn/internal/net/steady"
 )
 
-// watch has what is out for a client lapse once it has left, until ended. What a client sent ahead is not read before its
-// turn, so the end behind it is not read either: the kernel tells of it beside the bytes.
+// watch cancels a client's commands when the client disconnects, until ended is closed. Packets that a client sends ahead are not
+// read before their turn, and the end of the stream comes after them, so watch asks the kernel about the end instead.
 func (v *visitor) watch(ended <-chan struct{}) {
 	tick := time.NewTicker(v.front.limits.Files.LeaveInterval)
 	defer tick.Stop()
@@ -28,7 +28,7 @@
 	}
 }
 
-// hungUp tells whether the other end of a connection has ended its sending, or reset it.
+// hungUp reports whether the peer of a connection has closed its sending side or reset the connection.
 func hungUp(c net.Conn) bool {
 	s, ok := steady.Innermost(c).(syscall.Conn)
 	if !ok {
--- a/internal/net/transport/sftp/leave_test.go
+++ b/internal/net/transport/sftp/leave_test.go
@@ -8,8 +8,9 @@
 	"otterturn/internal/standin"
 )
 
-// A client has one command at the node, sends more, and closes: the end behind packets that wait for their turn was
-// not seen, and each of them was carried out in turn for nobody.
+// Guards against commands that run for a client that has disconnected. The client has one command at a node, sends more, and closes
+// the connection. The end of the stream comes after the packets that wait for their turn, so it was not noticed, and each of these
+// commands was executed in turn.
 func TestNothingIsBegunBehindPacketsOfAClientThatLeft(t *testing.T) {
 	node := standin.NewFileServer(t)
 	begun, goOn := make(chan struct{}, 64), make(chan struct{})
@@ -25,7 +26,7 @@
 	for i := range 20 {
 		raw.Write(standin.Command(14, uint32(i), fmt.Sprint("/a/", i), uint32(0)))
 	}
-	standin.Await(t, "the first command", begun)
+	standin.Await(t, "the first command at the node", begun)
 	raw.Close()
 	standin.Until(t, "the end of the client's requests", func() bool { return b.core.Tally().Open == 0 })
 	close(goOn)
@@ -35,6 +36,6 @@
 		return len(b.front.conns) == 0
 	})
 	if got := b.core.Tally(); got.ClientsLeft != 1 || len(begun) != 0 {
-		t.Errorf("%d further commands were begun, tally %+v", len(begun), got)
+		t.Errorf("%d further commands started, want none; tally %+v, want one client left", len(begun), got)
 	}
 }
--- a/internal/net/transport/sftp/transfer.go
+++ b/internal/net/transport/sftp/transfer.go
@@ -13,23 +13,23 @@
 	"otterturn/scheduler"
 )
 
-// handle is what a client has open.
+// handle is an open file or an open listing of a client.
 type handle interface{ about() string }
 
-// file is an open file: a path, which needs nothing at a node between two commands.
+// file is an open file. It consists of a path; no node keeps a state for it between two commands.
 type file struct {
 	path string
 
 	mu      sync.Mutex
-	spoilt  error         // the first write that was not served, for good
-	under   []span        // writes under way
-	written chan struct{} // closed, and made anew, as one of them ends
+	spoilt  error         // error of the first write that failed; it is never cleared
+	under   []span        // writes in progress
+	written chan struct{} // closed and replaced when a write ends
 }
 
-// span is a part of a file in bytes.
+// span is a range of bytes in a file; to is not included.
 type span struct{ from, to uint64 }
 
-// folder is an open listing; next is the first entry that the client has not been sent.
+// folder is an open listing. next is the index of the first entry that was not yet sent to the client.
 type folder struct {
 	path  string
 	infos []os.FileInfo
@@ -41,8 +41,8 @@
 
 func newFile(path string) *file { return &file{path: path, written: make(chan struct{})} }
 
-// begin waits until no write is under way to a part of the file that a transfer touches: nodes run what comes
-// over several connections in any order, and the draft promises clients that of their sending (section 6).
+// begin waits until no write to an overlapping range of the file is in progress. Nodes execute commands of several connections in
+// any order, while the draft guarantees clients the order in which they send them (section 6).
 func (f *file) begin(ctx context.Context, s span, write bool) error {
 	for {
 		f.mu.Lock()
@@ -63,8 +63,8 @@
 	}
 }
 
-// end tells how a write ended, and what its client is to be told: one that was not served spoils the file, and
-// whatever is answered after that fails, in whichever order the two were sent.
+// end records the result of a write and returns the error that its client gets. After a write has failed, every later answer on
+// this file is a failure too, in whichever order the commands were sent.
 func (f *file) end(s span, err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +82,7 @@
 	return err
 }
 
-// intact tells whether every write was served so far.
+// intact returns an error if an earlier write failed.
 func (f *file) intact() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,9 +92,9 @@
 	return nil
 }
 
-// move has a read or a write carried out. Clients send dozens ahead, and SFTP has no word for 'come back later':
-// one that is refused is an upload that failed. So it is taken only once the decisions have room for it, and the
-// rest waits unread.
+// move starts a read or a write. Clients send dozens of them ahead, and SFTP has no status that asks a client to retry later: an
+// upload fails if one of its writes is rejected. A command is therefore read only when the scheduler has room for it, and the
+// commands after it wait unread.
 func (v *visitor) move(r packet.Request, size int) error {
 	h, _ := v.handles[r.Handle].(*file)
 	cmd := files.Command{Op: files.Read, Offset: int64(r.Offset), Length: min(int(r.Length), v.front.limits.Files.ReadBytes)}
@@ -104,7 +104,7 @@
 	case h == nil || cmd.Offset < 0:
 		err = files.Failure("no open file under this handle")
 	case write:
-		cmd.Op, cmd.Length, cmd.Data = files.Write, 0, slices.Clone(r.Data) // the packet's bytes are read over
+		cmd.Op, cmd.Length, cmd.Data = files.Write, 0, slices.Clone(r.Data) // the buffer of the packet is reused
 		err = h.intact()
 	}
 	var request scheduler.Request
@@ -129,7 +129,7 @@
 	}
 	entry, err := v.front.core.SubmitWhenReady(v.taking, request, v.front.limits.Files.AdmitTimeout)
 	if err == nil {
-		_, err = v.in.Discard(lengthBytes + size) // the core has taken it, whatever ends meanwhile
+		_, err = v.in.Discard(lengthBytes + size) // the scheduler has accepted it, even if the connection ends now
 	}
 	if err != nil {
 		release()
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// reserve waits for the room of one more transfer, of this client and of the front.
+// reserve waits until both this client and the front have room for one more transfer.
 func (v *visitor) reserve() (release func(), err error) {
 	for i, room := range []chan struct{}{v.transfer, v.front.room} {
 		select {
@@ -176,7 +176,7 @@
 	}, nil
 }
 
-// tried is the attempt of a command.
+// tried returns the attempt function of a command.
 func (v *visitor) tried(cmd files.Command) func(context.Context, routing.Attempt) (files.Reply, scheduler.AttemptEnded) {
 	return func(ctx context.Context, a routing.Attempt) (files.Reply, scheduler.AttemptEnded) {
 		a.ClientGone = func() bool { return hungUp(v.conn) }
@@ -184,7 +184,7 @@
 	}
 }
 
-// status encodes how a command ended.
+// status encodes the result of a command as a status.
 func status(id uint32, err error) []byte {
 	s := files.StatusOf(err)
 	return packet.EncodeStatus(id, s.Code, s.Text)
--- a/internal/net/transport/sftp/upload_test.go
+++ b/internal/net/transport/sftp/upload_test.go
@@ -20,8 +20,8 @@
 	"otterturn/scheduler"
 )
 
-// upload sends a file as OpenSSH's client does: many writes ahead, and of their answers it keeps the last status
-// alone. It tells whether the client would call the upload good.
+// upload sends a file as OpenSSH's client does: it sends many writes ahead and keeps only the status of the last answer. It reports
+// whether that client would treat the upload as successful.
 func (r *rawConn) upload(t *testing.T, path string, content []byte, ahead int) (good bool) {
 	const part = 32 << 10
 	handle := r.create(t, path)
@@ -43,7 +43,7 @@
 	return r.status(standin.Command(4, parts, handle)) == 0 && last == 0
 }
 
-// inFolder returns a client of a site that has the folder /a.
+// inFolder creates the folder /a and returns the client that did so.
 func (b *bench) inFolder() *rawConn {
 	b.t.Helper()
 	raw := b.raw()
@@ -60,7 +60,7 @@
 	return binary.BigEndian.Uint32(body[4:])
 }
 
-// slowAtWrites carries out one write at a time, each in the time given.
+// slowAtWrites makes a node execute one write at a time, each with the given delay.
 func slowAtWrites(node *standin.FileServer, each time.Duration) {
 	var busy sync.Mutex
 	node.Before = func(op, _ string) bool {
@@ -73,7 +73,7 @@
 	}
 }
 
-// holds tells whether a node has a file with just that content.
+// holds reports whether a node has a file with exactly this content.
 func holds(t *testing.T, addr, path string, content []byte) bool {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -100,8 +100,8 @@
 	return out
 }
 
-// Uploads to a node that is slow at writes were called good by their clients with a fifth of their writes refused.
-// What is sent ahead must wait unread until it has room; then all of them come through.
+// Guards against damaged uploads that clients treat as successful. A fifth of the writes to a slow node were rejected, and clients
+// ignored it. Writes that clients send ahead must wait unread until there is room for them, so that all of them are executed.
 func TestUploadsToASlowNode(t *testing.T) {
 	for _, clients := range []int{1, 4} {
 		t.Run(fmt.Sprint(clients, " clients"), func(t *testing.T) {
@@ -119,17 +119,17 @@
 			all.Wait()
 			for i, g := range good {
 				if whole := holds(t, node.Addr, fmt.Sprint("/a/f", i), data); g && !whole {
-					t.Errorf("upload %d was called good and is damaged", i)
+					t.Errorf("upload %d is damaged, but the client treats it as successful", i)
 				}
 			}
 			if got := b.front.Count("a"); slices.Contains(good, false) || got.Refused+got.Failed > 0 {
-				t.Errorf("good %v, counted %+v", good, got)
+				t.Errorf("successful uploads %v, counts %+v", good, got)
 			}
 		})
 	}
 }
 
-// A write is answered with a failure after later ones were served: the handle is spoilt for good.
+// Checks that every command on a handle fails after one of its writes has failed, even if a later write had succeeded before that.
 func TestWriteThatFailsSpoilsItsHandle(t *testing.T) {
 	node := standin.NewFileServer(t)
 	first, goOn := make(chan struct{}, 1), make(chan struct{})
@@ -138,7 +138,7 @@
 		if op == "Write" {
 			select {
 			case <-first:
-				<-goOn // beyond the command's deadline
+				<-goOn // until after the command's deadline
 			default:
 			}
 		}
@@ -154,8 +154,8 @@
 		_, body := raw.reply()
 		codes[binary.BigEndian.Uint32(body)] = binary.BigEndian.Uint32(body[4:])
 	}
-	if codes[1]+codes[2] != 4 { // the node may have begun with either
-		t.Fatalf("codes %v, want one write failed alone", codes)
+	if codes[1]+codes[2] != 4 { // the node may have started with either
+		t.Fatalf("codes %v, want exactly one failed write", codes)
 	}
 	for name, command := range map[string][]byte{
 		"a later write":   standin.Command(6, 3, handle, uint64(2), "c"),
@@ -164,41 +164,41 @@
 		"the close of it": standin.Command(4, 6, handle),
 	} {
 		if name != "the close of it" && raw.status(command) == 0 {
-			t.Errorf("%s was served", name)
+			t.Errorf("%s succeeded", name)
 		}
 	}
 	if raw.status(standin.Command(4, 6, handle)) == 0 {
-		t.Error("the close was served")
+		t.Error("the close succeeded")
 	}
 	if raw.status(standin.Command(6, 7, other, uint64(0), "d")) != 0 || raw.status(standin.Command(4, 8, other)) != 0 {
-		t.Error("the client's other file is spoilt too")
+		t.Error("a write or the close of the client's other file failed")
 	}
 }
 
-// Refused in the midst of an upload, as the node drains, and served again later: the client keeps the last status
-// alone and must not call the upload good.
+// Guards against a damaged upload that its client treats as successful: a write is rejected while the node drains, and the next one
+// would succeed. The client keeps only the last status, so all later commands on the handle must fail.
 func TestUploadWhileItsNodeDrains(t *testing.T) {
 	node := standin.NewFileServer(t)
 	b := newBench(t, 200*time.Millisecond, nil, node.Addr)
 	raw := b.inFolder()
 	handle := raw.create(t, "/a/f")
 	if raw.status(standin.Command(6, 1, handle, uint64(0), "a")) != 0 {
-		t.Fatal("a write was not served")
+		t.Fatal("the first write failed")
 	}
 	b.tell(protocol.List{Hosts: []protocol.Host{host(0, node.Addr, scheduler.Draining)}})
 	if raw.status(standin.Command(6, 2, handle, uint64(1), "b")) == 0 {
-		t.Error("a write to a draining node was served")
+		t.Error("a write to a draining node succeeded")
 	}
 	b.tell(protocol.List{Hosts: []protocol.Host{host(0, node.Addr, scheduler.Running)}})
 	if raw.status(standin.Command(6, 3, handle, uint64(2), "c")) == 0 {
-		t.Error("a write behind the hole was served")
+		t.Error("a write after the failed one succeeded")
 	}
 	if raw.status(standin.Command(4, 4, handle)) == 0 {
-		t.Error("the close was served")
+		t.Error("the close succeeded")
 	}
 }
 
-// Writes to the same bytes must take effect in the order of their sending, though many are under way at once.
+// Checks that overlapping writes take effect in the order in which they were sent, although many are in progress at once.
 func TestWritesThatOverlapKeepTheirOrder(t *testing.T) {
 	node := standin.NewFileServer(t)
 	var n int
--- a/internal/net/transport/sftp/visitor.go
+++ b/internal/net/transport/sftp/visitor.go
@@ -18,30 +18,30 @@
 	"otterturn/internal/net/routing"
 )
 
-// errLeft tells that a client's connection has ended.
-var errLeft = errors.New("the client has left")
+// errLeft reports that a client's connection has ended.
+var errLeft = errors.New("client has disconnected")
 
-// errStopping tells that the front takes nothing more.
-var errStopping = errors.New("the front is stopping")
+// errStopping reports that the front accepts no more commands.
+var errStopping = errors.New("front is stopping")
 
-// visitor is one client's connection. One goroutine looks at its packets in turn and takes each once its time has
-// come; each taken command runs in one of its own. Reads and writes run side by side, as clients send many ahead.
-// Anything else waits for all before it and holds up all behind it, so a close knows how every write ended, and
-// the table of handles needs no lock.
+// visitor is one client's connection. One goroutine reads its packets in order and accepts each when it may run; each accepted
+// command runs in a goroutine of its own. Reads and writes run in parallel, because clients send many ahead. Any other command
+// waits for all earlier ones and delays all later ones. A close therefore knows the results of all writes, and the table of
+// handles needs no lock.
 type visitor struct {
 	front    *Front
 	conn     net.Conn
-	in       *bufio.Reader // holds the next packet whole
+	in       *bufio.Reader // its buffer holds the next packet completely
 	ctx      context.Context
-	left     context.CancelCauseFunc // ends ctx: the client is gone, what is out for it has lapsed
+	left     context.CancelCauseFunc // ends ctx: the client has disconnected, its commands are cancelled
 	taking   context.Context
-	noMore   context.CancelCauseFunc // ends taking: what is not taken yet never will be
+	noMore   context.CancelCauseFunc // ends taking: no further commands are accepted
 	stopping atomic.Bool
-	under    sync.WaitGroup // commands under way
-	alone    bool           // the one under way goes alone
-	transfer chan struct{}  // holds one for each read and write under way
+	under    sync.WaitGroup // commands in progress
+	alone    bool           // the command in progress must run alone
+	transfer chan struct{}  // holds one element per read or write in progress
 	handles  map[string]handle
-	opened   int // handles so far
+	opened   int // number of handles opened so far
 	writing  sync.Mutex
 }
 
@@ -55,7 +55,7 @@
 	return v
 }
 
-// host serves the client until it leaves, breaks the packet format or the front stops.
+// host serves the client until it disconnects, sends a malformed packet or the front stops.
 func (v *visitor) host() {
 	ended := make(chan struct{})
 	defer close(ended)
@@ -67,12 +67,12 @@
 	if !v.stopping.Load() {
 		v.left(fmt.Errorf("%w: %w", errLeft, err))
 	}
-	v.under.Wait() // each ends by its deadline
+	v.under.Wait() // each command ends by its deadline
 	v.close()
 	v.left(errLeft)
 }
 
-// greet answers the packet that opens a session.
+// greet reads and answers the packet that opens the session.
 func (v *visitor) greet() error {
 	body, err := v.look()
 	if err != nil {
@@ -87,8 +87,8 @@
 	return v.send(packet.EncodeVersion(packet.Pair{Name: packet.PosixRename, Data: "1"}))
 }
 
-// next has one more packet carried out. While it waits for its time the packet is not taken: nothing more is read
-// from the connection, so the client notices that it is ahead.
+// next handles one more packet. While the packet waits until it may run, nothing more is read from the connection, so that TCP
+// flow control slows the client down.
 func (v *visitor) next() error {
 	body, err := v.look()
 	if err != nil {
@@ -113,10 +113,10 @@
 	return nil
 }
 
-// lengthBytes stand ahead of each packet.
+// lengthBytes is the size of the length field before each packet.
 const lengthBytes = 4
 
-// look waits until the next packet is here whole, and returns it without its length. It is not taken yet.
+// look waits until the next packet has arrived completely and returns it without its length. The packet stays in the buffer.
 func (v *visitor) look() ([]byte, error) {
 	if err := v.patient(); err != nil {
 		return nil, err
@@ -127,7 +127,7 @@
 	}
 	n := binary.BigEndian.Uint32(head)
 	if n == 0 || n > uint32(v.front.limits.Files.PacketBytes) {
-		return nil, fmt.Errorf("%w: %d bytes, at most %d are taken", packet.ErrMalformed, n, v.front.limits.Files.PacketBytes)
+		return nil, fmt.Errorf("%w: length is %d bytes, must be 1 to %d", packet.ErrMalformed, n, v.front.limits.Files.PacketBytes)
 	}
 	if err := v.patient(); err != nil {
 		return nil, err
@@ -139,16 +139,16 @@
 	return whole[lengthBytes:], nil
 }
 
-// patient starts the time that the client may be silent.
+// patient restarts the time for which the client may be silent.
 func (v *visitor) patient() error {
 	err := v.conn.SetReadDeadline(time.Now().Add(v.front.limits.Files.IdleTimeout))
-	if v.stopping.Load() { // after the deadline is set, as stop sets one too
+	if v.stopping.Load() { // checked after the deadline was set, because stop sets one as well
 		return errStopping
 	}
 	return err
 }
 
-// take takes the packet that was looked at: from here on it is owed an answer.
+// take removes the packet that look returned from the buffer. From then on the client must get an answer to it.
 func (v *visitor) take(size int) error {
 	if v.taking.Err() != nil {
 		return context.Cause(v.taking)
@@ -157,7 +157,7 @@
 	return err
 }
 
-// send writes an answer. Where that fails the client has left.
+// send writes an answer. If that fails, it treats the client as disconnected.
 func (v *visitor) send(answer []byte) error {
 	v.writing.Lock()
 	defer v.writing.Unlock()
@@ -173,17 +173,17 @@
 	return err
 }
 
-// stop takes nothing more; what was taken is answered first.
+// stop ends the acceptance of commands. Those already accepted are still answered.
 func (v *visitor) stop() {
 	v.stopping.Store(true)
 	v.noMore(errStopping)
 	v.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// close ends the connection. Where the front stops, the client is let read what was written: commands that were
-// not taken would otherwise have it reset.
+// close closes the connection. When the front stops, it first lets the client read the last answers: closing a connection with
+// unread commands would reset it, and the client could lose these answers.
 func (v *visitor) close() {
-	half, ok := v.conn.(interface{ CloseWrite() error }) // TCP and TLS alike
+	half, ok := v.conn.(interface{ CloseWrite() error }) // both TCP and TLS have it
 	if ok && v.stopping.Load() && half.CloseWrite() == nil {
 		v.conn.SetReadDeadline(time.Now().Add(v.front.core.Guard.BeforeKill(v.front.limits.Files.LastAnswerTimeout)))
 		io.Copy(io.Discard, v.conn)
@@ -191,7 +191,7 @@
 	v.conn.Close()
 }
 
-// do has one command answered that clients don't send ahead: as one request of the core, which may refuse it.
+// do executes one command of a kind that clients don't send ahead, as one request of the scheduler, which may reject it.
 func (v *visitor) do(cmd files.Command) (files.Reply, error) {
 	f := v.front
 	request, count, err := f.request(cmd)
