--- a/internal/net/protocol/change.go
+++ b/internal/net/protocol/change.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	if out.Settings.Scheduler.MaxAttempts <= 0 { // no limit at a start, but in a reload more likely a damaged file
+	if out.Settings.Scheduler.MaxAttempts <= 0 { // at a start 0 means no limit; in a reload it indicates a damaged file
 		return Config{}, errors.New("settings: ceilings.tryLimit: must be above 0")
 	}
 	if out.Settings, err = former.Settings.followedBy(out.Settings); err != nil {
--- a/internal/net/protocol/figures.go
+++ b/internal/net/protocol/figures.go
@@ -27,7 +27,7 @@
 	Health        *HealthFigures // nil if fronts don't share the health of nodes; its lines are omitted then
 }
 
-// RuleFigures are the metrics of the checks that the process makes before an operation, such as during a shutdown.
+// RuleFigures are the metrics of the rules of package lifecycle, which decide whether an operation is allowed at a time.
 type RuleFigures struct {
 	Operations      []RuleCount
 	EndedByShutdown int64 // requests that were still open in a shutdown when all had to be answered
--- a/internal/net/protocol/figures_test.go
+++ b/internal/net/protocol/figures_test.go
@@ -5,11 +5,12 @@
 	"testing"
 )
 
-// Guards against health metrics where fronts don't share health: a reader of the other metrics may reject names that it does not know.
+// Guards against lines of health metrics if fronts don't share the health of nodes: a reader of the other metrics may reject names
+// that it does not know.
 func TestFiguresOfHealthOnlyWhereItIsShared(t *testing.T) {
 	off := FormatFigures(Figures{Attempts: 5})
 	if strings.Contains(off, "health") {
-		t.Errorf("off: %s", off)
+		t.Errorf("without shared health: %s", off)
 	}
 	on := FormatFigures(Figures{Attempts: 5, Health: &HealthFigures{
 		Probes: 1, MessagesSent: 2, BytesSent: 3, MessagesReceived: 4, Dropped: 5,
@@ -18,7 +19,7 @@
 	want := "svc.health.probes:1|c\nsvc.health.messages_sent:2|c\nsvc.health.bytes_sent:3|c\nsvc.health.messages_received:4|c\n" +
 		"svc.health.dropped:5|c\nsvc.health.shed:6|c\nsvc.health.lost:7|c\nsvc.health.condemned:8|g\n"
 	if on != off+want {
-		t.Errorf("on: %s", on)
+		t.Errorf("with shared health: %s", on)
 	}
 }
 
@@ -31,6 +32,6 @@
 	want := "svc.denied:3|c\nsvc.violations:3|c\nsvc.denied.take:2|c\nsvc.denied.send:1|c\nsvc.violations.send:3|c\n" +
 		"svc.ended_by_shutdown:4|c\nsvc.ended_overdue:5|c\nsvc.accept_errors:6|c\nsvc.log_lines_dropped:7|c\n"
 	if !strings.HasSuffix(text, want) {
-		t.Errorf("%s", text)
+		t.Errorf("the metrics do not end with the expected lines: %s", text)
 	}
 }
--- a/internal/net/protocol/sftp/command.go
+++ b/internal/net/protocol/sftp/command.go
@@ -53,7 +53,7 @@
 	Err   error
 }
 
-// Role is the kind of request that a command is. Each role has a class of the scheduler.
+// Role is the kind of a command. Each role has a class of the scheduler.
 type Role int
 
 // The roles. RoleWriteOnce is a write that must not run twice: SFTP has no idempotency key by which a node could detect a retry.
--- a/internal/net/protocol/sftp/command_test.go
+++ b/internal/net/protocol/sftp/command_test.go
@@ -8,7 +8,8 @@
 	"otterturn/internal/net/protocol/sftp/packet"
 )
 
-// Guards against the retry of a command that is not idempotent: only a RoleWrite may be sent again after it may have run.
+// Guards against the retry of a command that is not idempotent: of the commands that change something, only those with RoleWrite
+// may be retried after they may have run.
 func TestRolesAndUnits(t *testing.T) {
 	sizes := Sizes{UnitBytes: 100, BulkBytes: 1000, MostUnits: 4}
 	for _, c := range []struct {
--- a/internal/net/protocol/sftp/packet/packet_test.go
+++ b/internal/net/protocol/sftp/packet/packet_test.go
@@ -27,7 +27,7 @@
 	}
 	for n := range whole {
 		if _, err := Parse(whole[:n]); !errors.Is(err, ErrMalformed) {
-			t.Errorf("cut to %d bytes: %v", n, err)
+			t.Errorf("truncated to %d bytes: error %v, want ErrMalformed", n, err)
 		}
 	}
 	if r, err := Parse([]byte{99, 0, 0, 0, 1, 2}); err != nil || r.ID != 1 {
@@ -74,6 +74,6 @@
 		}
 	}
 	if got := Mode(os.ModeDir | os.ModeSticky | 0o777); got != 0o041777 {
-		t.Errorf("mode %o", got)
+		t.Errorf("POSIX mode %o, want 41777", got)
 	}
 }
--- a/internal/net/transport/nodes/dial_test.go
+++ b/internal/net/transport/nodes/dial_test.go
@@ -125,7 +125,7 @@
 	s, taken := newPool(t, d, func(l *limits.Limits) { l.Nodes.ConnectTimeout = 20 * l.Nodes.HedgeDelay })
 	_, err := s.Acquire(context.Background(), "a", Running)
 	if !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want DeadlineExceeded", err)
 	}
 	if most := int64(s.limits.Nodes.ConnectTries); d.begun.Load() > most || taken.Load() > 0 {
 		t.Errorf("%d attempts, want at most %d; %d accepted", d.begun.Load(), most, taken.Load())
@@ -144,7 +144,7 @@
 	}}
 	s, _ := newPool(t, d, func(*limits.Limits) {})
 	if _, err := s.Acquire(context.Background(), "a", Running); !errors.Is(err, refused) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want the refusal", err)
 	}
 	settled(t, s, 0)
 }
@@ -154,7 +154,7 @@
 	d := &dials{given: func(ctx context.Context, _ int64, _ func() (net.Conn, error)) (net.Conn, error) { return never(ctx) }}
 	s, _ := newPool(t, d, func(l *limits.Limits) { l.Nodes.Conns, l.Nodes.ConnectTimeout = 1, 20*l.Nodes.HedgeDelay })
 	if _, err := s.Acquire(context.Background(), "a", Running); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want DeadlineExceeded", err)
 	}
 	if d.begun.Load() != 1 {
 		t.Errorf("%d attempts, want 1 with a limit of one connection", d.begun.Load())
@@ -188,7 +188,7 @@
 		l.AcceptRetry, l.Nodes.ConnectTimeout, l.Nodes.HedgeDelay = time.Millisecond, 20*time.Millisecond, time.Hour
 	})
 	if _, err := s.Acquire(t.Context(), "a", Running); !errors.Is(err, ErrNoResources) {
-		t.Errorf("with a permanent EMFILE: %v", err)
+		t.Errorf("with a permanent EMFILE: error %v, want ErrNoResources", err)
 	}
 	settled(t, s, 0)
 }
--- a/internal/net/transport/nodes/nodes.go
+++ b/internal/net/transport/nodes/nodes.go
@@ -37,7 +37,8 @@
 	roomFreed chan struct{} // closed and replaced when a place may have become free
 }
 
-// node is a node since its last start. A restarted node gets a new entry, so that the connections of the former start are closed.
+// node is the entry of a node since its last start. A restarted node gets a new entry, so that the connections from before the
+// restart are closed.
 type node[T any] struct {
 	protocol.Host
 	idle []*Conn[T] // in the order of last use
--- a/internal/net/transport/sftp/front_test.go
+++ b/internal/net/transport/sftp/front_test.go
@@ -237,7 +237,7 @@
 		t.Errorf("%d writes reached the node, want only the complete one", n)
 	}
 	if got := b.core.Tally(); got.ClientsLeft != 1 {
-		t.Errorf("tally %+v, want one client left", got)
+		t.Errorf("tally %+v, want ClientsLeft 1", got)
 	}
 }
 
@@ -301,7 +301,7 @@
 // Guards against a panic of the front. A node that answers every command with the status OK makes the SFTP library return neither
 // the file nor the attributes. A node with truncated answers must not harm the front either.
 func TestNodeThatAnswersImproperly(t *testing.T) {
-	for name, status := range map[string][]byte{"ok": {0, 0, 0, 0}, "cut": nil} {
+	for name, status := range map[string][]byte{"ok": {0, 0, 0, 0}, "truncated": nil} {
 		broken := standin.Peer(t, func(_ int, c net.Conn) {
 			for r := (&rawConn{c}); ; {
 				kind, body := r.reply()
@@ -335,7 +335,7 @@
 		"empty":           {0, 0, 0, 0},
 		"far too long":    {0x7f, 0xff, 0xff, 0xff, 3},
 		"string too long": {0, 0, 0, 9, 17, 0, 0, 0, 1, 0xff, 0xff, 0xff, 0xff},
-		"setstat cut":     standin.Command(9, 1, "/a", uint32(0xf)),
+		"short setstat":   standin.Command(9, 1, "/a", uint32(0xf)),
 	} {
 		raw := b.raw()
 		raw.Write(bad)
--- a/internal/net/transport/sftp/leave_test.go
+++ b/internal/net/transport/sftp/leave_test.go
@@ -36,6 +36,6 @@
 		return len(b.front.conns) == 0
 	})
 	if got := b.core.Tally(); got.ClientsLeft != 1 || len(begun) != 0 {
-		t.Errorf("%d further commands started, want none; tally %+v, want one client left", len(begun), got)
+		t.Errorf("%d further commands started, want 0; tally %+v, want ClientsLeft 1", len(begun), got)
 	}
 }
--- a/internal/net/transport/sftp/upload_test.go
+++ b/internal/net/transport/sftp/upload_test.go
@@ -158,12 +158,12 @@
 		t.Fatalf("codes %v, want exactly one failed write", codes)
 	}
 	for name, command := range map[string][]byte{
-		"a later write":   standin.Command(6, 3, handle, uint64(2), "c"),
-		"setting a time":  standin.Command(10, 4, handle, uint32(8), uint32(1), uint32(1)),
-		"syncing it":      standin.Command(200, 5, "fsync@openssh.com", handle),
-		"the close of it": standin.Command(4, 6, handle),
+		"later write": standin.Command(6, 3, handle, uint64(2), "c"),
+		"setstat":     standin.Command(10, 4, handle, uint32(8), uint32(1), uint32(1)),
+		"fsync":       standin.Command(200, 5, "fsync@openssh.com", handle),
+		"close":       standin.Command(4, 6, handle),
 	} {
-		if name != "the close of it" && raw.status(command) == 0 {
+		if name != "close" && raw.status(command) == 0 {
 			t.Errorf("%s succeeded", name)
 		}
 	}
