--- a/internal/net/protocol/check_test.go
+++ b/internal/net/protocol/check_test.go
@@ -14,7 +14,7 @@
 
 // Checks that invalid settings are rejected at a start and at a reload, before they can affect a client, and that the error names
 // the field on a single line.
-func TestSettingsThatCannotBeAreNamed(t *testing.T) {
+func TestInvalidSettingsAreNamed(t *testing.T) {
 	good, err := ParseConfig([]byte(goodConfig))
 	if err != nil || good.Settings.Scheduler.Classes[0].DedupWindow != 3000 {
 		t.Fatal(err)
--- a/internal/net/protocol/fleet_test.go
+++ b/internal/net/protocol/fleet_test.go
@@ -9,10 +9,10 @@
 	"otterturn/scheduler"
 )
 
-// bigConfig returns the configuration of one of many fronts with as many nodes.
-func bigConfig(t *testing.T, many int) string {
+// largeConfig returns the configuration of one of many fronts with as many nodes.
+func largeConfig(t *testing.T, count int) string {
 	settings, err := json.Marshal(FormatSettings(scheduler.Settings{
-		Fronts: many, FrontIndex: many - 1, PeerMessages: true, Tick: 1000, MeanUnits: 2, MaxUnits: 6,
+		Fronts: count, FrontIndex: count - 1, PeerMessages: true, Tick: 1000, MeanUnits: 2, MaxUnits: 6,
 		Classes: []scheduler.Class{{LatencyObjective: 300_000, Priority: 1}}, Plans: []scheduler.Plan{{Weight: 1}},
 	}))
 	if err != nil {
@@ -21,7 +21,7 @@
 	text := strings.NewReplacer(`"ConnIdleUs":0`, `"ConnIdleUs":15000000`, `"ConnectTimeoutUs":0`, `"ConnectTimeoutUs":250000`,
 		`"GiveUpUs":0`, `"GiveUpUs":2500000`).Replace(string(settings))
 	var peers, hosts []string
-	for i := range many {
+	for i := range count {
 		peers = append(peers, fmt.Sprintf(`"10.3.%d.%d:7946"`, i/250, i%250+1))
 		hosts = append(hosts, fmt.Sprintf(`{"host":"s-%08x","dial":"10.1.%d.%d:5000","site":"a","block":%d,"health":"up","born_ms":0}`, i, i/250, i%250+1, i))
 	}
@@ -31,20 +31,20 @@
 }
 
 func TestConfigurationOfTwoThousandFrontsAndNodes(t *testing.T) {
-	const many = 2000
-	got, err := ParseConfig([]byte(bigConfig(t, many)))
+	const count = 2000
+	got, err := ParseConfig([]byte(largeConfig(t, count)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if set := got.Settings.Scheduler; len(got.Peers) != many || len(got.Known.Hosts) != many || set.Fronts != many || set.FrontIndex != many-1 || !set.PeerMessages {
+	if set := got.Settings.Scheduler; len(got.Peers) != count || len(got.Known.Hosts) != count || set.Fronts != count || set.FrontIndex != count-1 || !set.PeerMessages {
 		t.Errorf("%d peers, %d nodes, %d fronts, index %d, peer messages %v", len(got.Peers), len(got.Known.Hosts), set.Fronts, set.FrontIndex, set.PeerMessages)
 	}
 }
 
 // Guards against a front that uses the index of another one, because its peer list is wrong: it would grant capacity that the other
 // front grants. A peer list with an error is rejected as a whole, and the error names the field.
-func TestBadPeersNameTheField(t *testing.T) {
-	good := bigConfig(t, 3)
+func TestInvalidPeersAreNamed(t *testing.T) {
+	good := largeConfig(t, 3)
 	for old, c := range map[string]struct{ with, field string }{
 		`"10.3.0.2:7946"`:               {`"10.3.0.2"`, "peers[1]"},
 		`"10.3.0.3:7946"]`:              {`"10.3.0.3:7946","10.3.0.4:7946"]`, "peers: 4"},
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestBadNotesNameTheField(t *testing.T) {
+func TestInvalidPeerMessagesAreNamed(t *testing.T) {
 	for _, c := range []struct{ text, field string }{
 		{"", "no kind"},
 		{"ask", "no kind"},
--- a/internal/net/protocol/golden_test.go
+++ b/internal/net/protocol/golden_test.go
@@ -8,24 +8,24 @@
 	"otterturn/scheduler/slowstart"
 )
 
-// TestMessagesBetweenFrontsKeepTheirBytes guards against a change of the encoding: during a rollout, fronts of both versions
+// TestPeerMessageEncodingIsStable guards against a change of the encoding: during a rollout, fronts of both versions
 // exchange these messages.
-func TestMessagesBetweenFrontsKeepTheirBytes(t *testing.T) {
-	shown := slowstart.LoadReport{Served: 1.5, Units: 30.25, Time: 2}
+func TestPeerMessageEncodingIsStable(t *testing.T) {
+	report := slowstart.LoadReport{Served: 1.5, Units: 30.25, Time: 2}
 	cases := map[string]struct {
 		action scheduler.Action
 		bytes  string
 		event  scheduler.Event
 	}{
 		"request for capacity": {
-			scheduler.RequestCapacity{To: 3, Node: "node-1", StartedAt: 1_800_000_000_000_001, CapacityRequest: slowstart.CapacityRequest{Units: 4, MinUnits: 0.125, Report: shown}},
+			scheduler.RequestCapacity{To: 3, Node: "node-1", StartedAt: 1_800_000_000_000_001, CapacityRequest: slowstart.CapacityRequest{Units: 4, MinUnits: 0.125, Report: report}},
 			"ask 4 0.125 1.5 30.25 2 1800000000000001 node-1",
-			scheduler.CapacityRequested{From: 2, Node: "node-1", StartedAt: 1_800_000_000_000_001, CapacityRequest: slowstart.CapacityRequest{Units: 4, MinUnits: 0.125, Report: shown}},
+			scheduler.CapacityRequested{From: 2, Node: "node-1", StartedAt: 1_800_000_000_000_001, CapacityRequest: slowstart.CapacityRequest{Units: 4, MinUnits: 0.125, Report: report}},
 		},
 		"load report alone": {
-			scheduler.RequestCapacity{To: 3, Node: "node-1", CapacityRequest: slowstart.CapacityRequest{Report: shown}},
+			scheduler.RequestCapacity{To: 3, Node: "node-1", CapacityRequest: slowstart.CapacityRequest{Report: report}},
 			"ask 0 0 1.5 30.25 2 0 node-1",
-			scheduler.CapacityRequested{From: 2, Node: "node-1", CapacityRequest: slowstart.CapacityRequest{Report: shown}},
+			scheduler.CapacityRequested{From: 2, Node: "node-1", CapacityRequest: slowstart.CapacityRequest{Report: report}},
 		},
 		"grant": {
 			scheduler.GrantCapacity{To: 3, Node: "node-1", Units: 7.3, ValidUntil: 1_800_000_000_200_000},
--- a/internal/net/protocol/list.go
+++ b/internal/net/protocol/list.go
@@ -24,10 +24,10 @@
 	Dial string
 }
 
-var healths = map[string]scheduler.NodeState{"up": scheduler.Running, "draining": scheduler.Draining, "removed": scheduler.Removed}
+var nodeStates = map[string]scheduler.NodeState{"up": scheduler.Running, "draining": scheduler.Draining, "removed": scheduler.Removed}
 
-// zone returns the index of a zone. A zone that the settings do not name gets a negative number of its own, derived from its name.
-func zone(zones []string, name string) int {
+// zoneIndex returns the index of a zone. A zone that the settings do not name gets a negative number of its own, derived from its name.
+func zoneIndex(zones []string, name string) int {
 	if i := slices.Index(zones, name); i >= 0 {
 		return i
 	}
@@ -57,7 +57,7 @@
 	}
 	out := List{Seq: *in.Seq, Whole: in.Whole}
 	for i, h := range in.Hosts {
-		state, ok := healths[h.Health]
+		state, ok := nodeStates[h.Health]
 		_, err := netip.ParseAddrPort(h.Dial)
 		switch {
 		case h.Host == "":
@@ -73,7 +73,7 @@
 		}
 		out.Hosts = append(out.Hosts, Host{Dial: h.Dial, Endpoint: scheduler.Endpoint{
 			Node: h.Host,
-			Zone: zone(zones, h.Site), Shard: h.Block, State: state, StartedAt: scheduler.Micros(h.BornMs * 1000),
+			Zone: zoneIndex(zones, h.Site), Shard: h.Block, State: state, StartedAt: scheduler.Micros(h.BornMs * 1000),
 		}})
 	}
 	return out, nil
--- a/internal/net/protocol/figures.go
+++ b/internal/net/protocol/metrics.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// figurePrefix is the prefix of all metric names.
-const figurePrefix = "svc."
+// metricPrefix is the prefix of all metric names.
+const metricPrefix = "svc."
 
 // Ended counts a class's requests by result since the process started.
 type Ended struct {
@@ -58,7 +58,7 @@
 func FormatFigures(f Figures) string {
 	var out strings.Builder
 	line := func(kind, name string, value int64) {
-		fmt.Fprintf(&out, "%s%s:%d|%s\n", figurePrefix, name, value, kind)
+		fmt.Fprintf(&out, "%s%s:%d|%s\n", metricPrefix, name, value, kind)
 	}
 	for _, c := range f.Classes {
 		line("c", "served."+c.Class, c.Served)
--- a/internal/net/protocol/figures_test.go
+++ b/internal/net/protocol/metrics_test.go
@@ -7,7 +7,7 @@
 
 // Guards against lines of health metrics if fronts don't share the health of nodes: a reader of the other metrics may reject names
 // that it does not know.
-func TestFiguresOfHealthOnlyWhereItIsShared(t *testing.T) {
+func TestHealthMetricsOnlyIfShared(t *testing.T) {
 	off := FormatFigures(Figures{Attempts: 5})
 	if strings.Contains(off, "health") {
 		t.Errorf("without shared health: %s", off)
@@ -24,7 +24,7 @@
 }
 
 // Checks that denials and violations are reported in total and by operation, and that operations without any have no line.
-func TestFiguresOfTheRules(t *testing.T) {
+func TestRuleMetrics(t *testing.T) {
 	text := FormatFigures(Figures{Rules: RuleFigures{
 		Operations:      []RuleCount{{Operation: "take", Denied: 2}, {Operation: "send", Denied: 1, Violations: 3}, {Operation: "retry"}},
 		EndedByShutdown: 4, EndedOverdue: 5, AcceptErrors: 6, LogLinesDropped: 7,
--- a/internal/net/protocol/note.go
+++ b/internal/net/protocol/peer_message.go
@@ -15,9 +15,9 @@
 const (
 	// Units of the next request, units of the smallest one, units answered since the last report, units answered with a measured
 	// latency, the sum of these latencies in spans, the node's start as Unix time in microseconds, node.
-	noteAsk = "ask"
+	kindAsk = "ask"
 	// Units, end of their validity as Unix time in microseconds, node.
-	noteGrant = "grant"
+	kindGrant = "grant"
 )
 
 // FormatNote encodes an action as a message to another front. It returns nil if the action is not for another front, or if the
@@ -26,10 +26,10 @@
 	var text []byte
 	switch a := a.(type) {
 	case scheduler.RequestCapacity:
-		text = fmt.Appendf(nil, "%s %s %s %s %s %s %d %s", noteAsk, formatUnits(a.Units), formatUnits(a.MinUnits),
+		text = fmt.Appendf(nil, "%s %s %s %s %s %s %d %s", kindAsk, formatUnits(a.Units), formatUnits(a.MinUnits),
 			formatUnits(a.Report.Served), formatUnits(a.Report.Units), formatUnits(a.Report.Time), a.StartedAt, a.Node)
 	case scheduler.GrantCapacity:
-		text = fmt.Appendf(nil, "%s %s %d %s", noteGrant, formatUnits(a.Units), a.ValidUntil, a.Node)
+		text = fmt.Appendf(nil, "%s %s %d %s", kindGrant, formatUnits(a.Units), a.ValidUntil, a.Node)
 	}
 	if len(text) > LongestNote {
 		return nil
@@ -41,39 +41,39 @@
 func ParseNote(from int, text []byte) (scheduler.Event, error) {
 	words := strings.Split(string(text), " ")
 	switch {
-	case words[0] == noteAsk && len(words) == 8:
+	case words[0] == kindAsk && len(words) == 8:
 		e := scheduler.CapacityRequested{From: from, Node: words[7]}
-		for i, to := range []*float64{&e.Units, &e.MinUnits, &e.Report.Served, &e.Report.Units, &e.Report.Time} {
+		for i, value := range []*float64{&e.Units, &e.MinUnits, &e.Report.Served, &e.Report.Units, &e.Report.Time} {
 			units, err := parseUnits(words[i+1])
 			if err != nil {
 				return nil, fmt.Errorf("note: ask: %w", err)
 			}
-			*to = units
+			*value = units
 		}
-		since, err := parseTime("since", words[6], 0)
+		startedAt, err := parseTime("since", words[6], 0)
 		if err != nil {
 			return nil, fmt.Errorf("note: ask: %w", err)
 		}
-		e.StartedAt = since
+		e.StartedAt = startedAt
 		return e, nil
-	case words[0] == noteGrant && len(words) == 4:
+	case words[0] == kindGrant && len(words) == 4:
 		units, err := parseUnits(words[1])
 		if err != nil {
 			return nil, fmt.Errorf("note: grant: %w", err)
 		}
-		until, err := parseTime("until", words[2], 1)
+		validUntil, err := parseTime("until", words[2], 1)
 		if err != nil {
 			return nil, fmt.Errorf("note: grant: %w", err)
 		}
-		return scheduler.CapacityGranted{From: from, Node: words[3], Units: units, ValidUntil: until}, nil
+		return scheduler.CapacityGranted{From: from, Node: words[3], Units: units, ValidUntil: validUntil}, nil
 	}
 	return nil, fmt.Errorf("note: %.40q is of no kind", text)
 }
 
-// parseTime parses a Unix time in microseconds that is at least the given minimum.
-func parseTime(field, text string, least scheduler.Micros) (scheduler.Micros, error) {
+// parseTime parses a Unix time in microseconds that is not before earliest.
+func parseTime(field, text string, earliest scheduler.Micros) (scheduler.Micros, error) {
 	at, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || scheduler.Micros(at) < least {
+	if err != nil || scheduler.Micros(at) < earliest {
 		return 0, fmt.Errorf("%s: %.40q is not a valid time", field, text)
 	}
 	return scheduler.Micros(at), nil
--- a/internal/net/protocol/request.go
+++ b/internal/net/protocol/request.go
@@ -18,26 +18,26 @@
 
 // Headers of the platform's messages.
 const (
-	headerID          = "X-Correlation-Id"
-	headerClass       = "X-Service-Class"
-	headerPlan        = "X-Plan"
-	headerLeft        = "X-Time-Left"
-	headerIO          = "X-IO"
-	headerRepeat      = "X-Repeat"
-	headerKey         = "Idempotency-Key"
-	headerType        = "Content-Type"
-	headerUnprocessed = "X-Unprocessed"
-	headerElsewhere   = "X-Served-Elsewhere"
+	headerID              = "X-Correlation-Id"
+	headerClass           = "X-Service-Class"
+	headerPlan            = "X-Plan"
+	headerTimeLeft        = "X-Time-Left"
+	headerIO              = "X-IO"
+	headerRepeat          = "X-Repeat"
+	headerIdempotencyKey  = "Idempotency-Key"
+	headerContentType     = "Content-Type"
+	headerUnprocessed     = "X-Unprocessed"
+	headerServedElsewhere = "X-Served-Elsewhere"
 )
 
 // ErrNoPath reports that the front does not serve a request's path.
 var ErrNoPath = errors.New("unknown path")
 
-// longestID is the maximum length of an id in bytes. It limits the scheduler's memory per request, since clients choose the ids.
-const longestID = 128
+// maxIDBytes is the maximum length of an id in bytes. It limits the scheduler's memory per request, since clients choose the ids.
+const maxIDBytes = 128
 
 // forwarded lists the headers that are passed on to nodes. A request may have each only once, because a node might use the other value.
-var forwarded = []string{headerID, headerClass, headerPlan, headerLeft, headerIO, headerRepeat, headerKey, headerType}
+var forwarded = []string{headerID, headerClass, headerPlan, headerTimeLeft, headerIO, headerRepeat, headerIdempotencyKey, headerContentType}
 
 // Forwarded returns the headers of a client's request that are passed on to nodes.
 func Forwarded(h http.Header) http.Header {
@@ -50,15 +50,15 @@
 	return out
 }
 
-// hex reports whether a text consists of 16 hex digits, as the names of volumes and chunks do.
-func hex(text string) bool {
+// isHexID reports whether a text consists of 16 hex digits, as the names of volumes and chunks do.
+func isHexID(text string) bool {
 	_, err := strconv.ParseUint(text, 16, 64)
 	return len(text) == 16 && err == nil
 }
 
-// token reports whether a text is a valid id: one without characters that another parser might treat differently.
-func token(text string) bool {
-	return text != "" && len(text) <= longestID && !strings.ContainsFunc(text, func(c rune) bool {
+// isValidID reports whether a text is a valid id: one without characters that another parser might treat differently.
+func isValidID(text string) bool {
+	return text != "" && len(text) <= maxIDBytes && !strings.ContainsFunc(text, func(c rune) bool {
 		return c <= ' ' || c > '~' || c == ',' || c == '"'
 	})
 }
@@ -75,7 +75,7 @@
 func ParseRequest(r *http.Request, set Settings) (Request, error) {
 	parts := strings.Split(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class := slices.Index(set.Classes, parts[0])
-	if len(parts) != 3 || parts[0] == "" || class < 0 || !hex(parts[1]) || !hex(parts[2]) || r.URL.RawPath != "" {
+	if len(parts) != 3 || parts[0] == "" || class < 0 || !isHexID(parts[1]) || !isHexID(parts[2]) || r.URL.RawPath != "" {
 		return Request{}, ErrNoPath
 	}
 	for _, name := range forwarded {
@@ -87,7 +87,8 @@
 		ID: r.Header.Get(headerID), Class: class,
 		Plan: slices.Index(set.Plans, r.Header.Get(headerPlan)), Volume: parts[1], Key: parts[2],
 	}}
-	key, keyed := r.Header.Get(headerKey), class < len(set.Scheduler.Classes) && set.Scheduler.Classes[class].Idempotency == scheduler.IdempotentByKey
+	key, keyRequired := r.Header.Get(headerIdempotencyKey), class < len(set.Scheduler.Classes) &&
+		set.Scheduler.Classes[class].Idempotency == scheduler.IdempotentByKey
 	switch {
 	case r.Method != http.MethodGet && r.Method != http.MethodPut:
 		return Request{}, fmt.Errorf("method %q", r.Method)
@@ -95,20 +96,20 @@
 		return Request{}, fmt.Errorf("a read with a body")
 	case class < len(set.Writes) && set.Writes[class] != (r.Method == http.MethodPut):
 		return Request{}, fmt.Errorf("method %q is not the class's", r.Method)
-	case !token(out.ID):
-		return Request{}, fmt.Errorf("%s: not 1 to %d plain characters", headerID, longestID)
-	case key != "" && !token(key) || keyed && key == "":
-		return Request{}, fmt.Errorf("%s: missing, or not up to %d plain characters", headerKey, longestID)
+	case !isValidID(out.ID):
+		return Request{}, fmt.Errorf("%s: not 1 to %d plain characters", headerID, maxIDBytes)
+	case key != "" && !isValidID(key) || keyRequired && key == "":
+		return Request{}, fmt.Errorf("%s: missing, or not up to %d plain characters", headerIdempotencyKey, maxIDBytes)
 	case r.Header.Get(headerClass) != parts[0]:
 		return Request{}, fmt.Errorf("%s: not the path's class", headerClass)
 	case out.Plan < 0:
 		return Request{}, fmt.Errorf("%s: unknown plan", headerPlan)
 	}
-	left, err := parseLeft(r.Header.Get(headerLeft))
+	timeLeft, err := parseTimeLeft(r.Header.Get(headerTimeLeft))
 	if err != nil {
-		return Request{}, fmt.Errorf("%s: %w", headerLeft, err)
+		return Request{}, fmt.Errorf("%s: %w", headerTimeLeft, err)
 	}
-	out.TimeLeft = min(left, scheduler.Micros(set.LongestWait/time.Microsecond))
+	out.TimeLeft = min(timeLeft, scheduler.Micros(set.LongestWait/time.Microsecond))
 	if err := parseIO(r.Header.Get(headerIO), &out, set); err != nil {
 		return Request{}, fmt.Errorf("%s: %w", headerIO, err)
 	}
@@ -116,23 +117,23 @@
 }
 
 // FormatRequest builds a client's HTTP request to a front, as ParseRequest reads it. Writes use their id as the idempotency key.
-func FormatRequest(ctx context.Context, addr string, set Settings, q scheduler.Request) (*http.Request, error) {
+func FormatRequest(ctx context.Context, addr string, set Settings, request scheduler.Request) (*http.Request, error) {
 	method, body := http.MethodGet, io.Reader(nil)
-	if q.Class < len(set.Writes) && set.Writes[q.Class] {
-		method, body = http.MethodPut, strings.NewReader(q.ID)
+	if request.Class < len(set.Writes) && set.Writes[request.Class] {
+		method, body = http.MethodPut, strings.NewReader(request.ID)
 	}
-	class := set.Classes[q.Class]
-	r, err := http.NewRequestWithContext(ctx, method, fmt.Sprintf("http://%s/%s/%s/%s", addr, class, q.Volume, q.Key), body)
+	class := set.Classes[request.Class]
+	r, err := http.NewRequestWithContext(ctx, method, fmt.Sprintf("http://%s/%s/%s/%s", addr, class, request.Volume, request.Key), body)
 	if err != nil {
 		return nil, err
 	}
-	r.Header.Set(headerID, q.ID)
+	r.Header.Set(headerID, request.ID)
 	r.Header.Set(headerClass, class)
-	r.Header.Set(headerPlan, set.Plans[q.Plan])
-	r.Header.Set(headerLeft, formatLeft(time.Duration(q.TimeLeft)*time.Microsecond))
-	r.Header.Set(headerIO, fmt.Sprintf("units=%v,shard=%d,hosts=%d", q.Units, q.Shard, max(q.Fronts, 1)))
+	r.Header.Set(headerPlan, set.Plans[request.Plan])
+	r.Header.Set(headerTimeLeft, formatTimeLeft(time.Duration(request.TimeLeft)*time.Microsecond))
+	r.Header.Set(headerIO, fmt.Sprintf("units=%v,shard=%d,hosts=%d", request.Units, request.Shard, max(request.Fronts, 1)))
 	if method == http.MethodPut {
-		r.Header.Set(headerKey, q.ID)
+		r.Header.Set(headerIdempotencyKey, request.ID)
 	}
 	return r, nil
 }
@@ -146,8 +147,8 @@
 	return scheduler.Micros(seconds * 1e6)
 }
 
-// parseLeft parses a time with its unit: m for milliseconds, u for microseconds.
-func parseLeft(text string) (scheduler.Micros, error) {
+// parseTimeLeft parses a time with its unit: m for milliseconds, u for microseconds.
+func parseTimeLeft(text string) (scheduler.Micros, error) {
 	unit := scheduler.Micros(1)
 	digits, micro := strings.CutSuffix(text, "u")
 	if !micro {
@@ -164,8 +165,8 @@
 	return scheduler.Micros(n * float64(unit)), nil
 }
 
-// formatLeft formats a time as parseLeft reads it.
-func formatLeft(d time.Duration) string {
+// formatTimeLeft formats a time as parseTimeLeft reads it.
+func formatTimeLeft(d time.Duration) string {
 	return strconv.FormatInt(max(1, d.Microseconds()), 10) + "u"
 }
 
@@ -183,16 +184,16 @@
 		if err != nil {
 			return fmt.Errorf("%s %q is no number", name, value)
 		}
-		good, whole := true, n == math.Trunc(n)
+		valid, isInteger := true, n == math.Trunc(n)
 		switch name {
 		case "units":
-			good, out.Units = n > 0 && n <= cmp.Or(set.Scheduler.MaxUnits, 1e6), n
+			valid, out.Units = n > 0 && n <= cmp.Or(set.Scheduler.MaxUnits, 1e6), n
 		case "shard":
-			good, out.Shard = whole && n >= -1 && n < float64(set.Shards), int(n)
+			valid, out.Shard = isInteger && n >= -1 && n < float64(set.Shards), int(n)
 		case "hosts":
-			good, out.Fronts = whole && n >= 1 && n <= float64(cmp.Or(set.Scheduler.Fronts, 1e6)), int(n)
+			valid, out.Fronts = isInteger && n >= 1 && n <= float64(cmp.Or(set.Scheduler.Fronts, 1e6)), int(n)
 		}
-		if !good {
+		if !valid {
 			return fmt.Errorf("%s %q is out of range", name, value)
 		}
 	}
@@ -203,12 +204,12 @@
 }
 
 // SetLeft sets the header that tells a node how long the front will wait for its answer.
-func SetLeft(h http.Header, left time.Duration) { h.Set(headerLeft, formatLeft(left)) }
+func SetLeft(h http.Header, left time.Duration) { h.Set(headerTimeLeft, formatTimeLeft(left)) }
 
 // ParseOutcome returns the result of an attempt, given the node's answer.
 func ParseOutcome(status int, h http.Header) scheduler.AttemptEnded {
 	out := scheduler.AttemptEnded{Result: scheduler.Errored}
-	if n, err := strconv.ParseFloat(h.Get(headerElsewhere), 64); err == nil && n > 0 && n < 1e6 {
+	if n, err := strconv.ParseFloat(h.Get(headerServedElsewhere), 64); err == nil && n > 0 && n < 1e6 {
 		out.ServedElsewhere = n
 	}
 	switch {
--- a/internal/net/protocol/settings.go
+++ b/internal/net/protocol/settings.go
@@ -69,15 +69,17 @@
 }
 
 var (
-	repeats = map[string]scheduler.Idempotency{"retryable": scheduler.Idempotent, "dedup": scheduler.IdempotentByKey, "fragile": scheduler.NotIdempotent}
-	groups  = map[string]scheduler.DedupScope{
+	idempotencies = map[string]scheduler.Idempotency{
+		"retryable": scheduler.Idempotent, "dedup": scheduler.IdempotentByKey, "fragile": scheduler.NotIdempotent,
+	}
+	dedupScopes = map[string]scheduler.DedupScope{
 		"": scheduler.AllNodes, "all": scheduler.AllNodes, "zone": scheduler.SameZone,
 		"cell": scheduler.SameShard,
 	}
 )
 
-// registryAsked is the mode of discovery in which fronts get changes only on request.
-const registryAsked = "on_request"
+// registryOnRequest is the mode of discovery in which fronts get changes only on request.
+const registryOnRequest = "on_request"
 
 // queueFields are the possible names of the field of a load report that has the number of queued requests.
 var queueFields = map[string]bool{"queue": true, "backlog": true}
@@ -88,7 +90,7 @@
 	Classes     []string        // by the scheduler's index; "" for a class that is no longer configured
 	Names       []string        // the same, with the names of classes that are no longer configured
 	PlanNames   []string        // the same for plans
-	Waits       []time.Duration // by class, the longest that its clients wait
+	MaxWaits    []time.Duration // by class, the longest that its clients wait
 	Writes      []bool          // by class, whether its requests write; empty if unknown
 	Plans       []string
 	Zones       []string
@@ -131,7 +133,7 @@
 		Shards: in.FamilyInfo.Shards, MaxOpen: in.Ceilings.MaxOpen, ConnIdle: micros(in.Ceilings.ConnIdleUs),
 		Connect: micros(in.Ceilings.ConnectTimeoutUs), Retry: micros(in.Ceilings.MaxRetryAfterUs), DrainGrace: micros(s.DrainGraceUs),
 	}
-	if in.RegistryMode == registryAsked {
+	if in.RegistryMode == registryOnRequest {
 		out.Askers = in.Balancers
 	}
 	for _, field := range in.Report.Fields {
@@ -140,8 +142,8 @@
 		}
 	}
 	for i, c := range in.Classes {
-		repeat, ok := repeats[c.Semantics]
-		group, known := groups[c.Group]
+		idempotency, ok := idempotencies[c.Semantics]
+		scope, known := dedupScopes[c.Group]
 		if !ok || !known {
 			return Settings{}, fmt.Errorf("classes[%d]: unknown semantics %q or group %q", i, c.Semantics, c.Group)
 		}
@@ -149,10 +151,10 @@
 		if c.WindowUs != nil {
 			window = scheduler.Micros(*c.WindowUs)
 		}
-		out.Classes, out.Waits = append(out.Classes, c.Name), append(out.Waits, micros(c.GiveUpUs))
+		out.Classes, out.MaxWaits = append(out.Classes, c.Name), append(out.MaxWaits, micros(c.GiveUpUs))
 		out.LongestWait = max(out.LongestWait, micros(c.GiveUpUs))
 		set.Classes = append(set.Classes, scheduler.Class{
-			LatencyObjective: scheduler.Micros(c.AimUs), Idempotency: repeat, DedupScope: group,
+			LatencyObjective: scheduler.Micros(c.AimUs), Idempotency: idempotency, DedupScope: scope,
 			DedupWindow: window, InOrder: c.ByArrival, Priority: c.Credit,
 		})
 	}
@@ -187,14 +189,14 @@
 			in.WindowUs = new(int64)
 			*in.WindowUs = int64(c.DedupWindow)
 		}
-		for word, repeat := range repeats {
-			if repeat == c.Idempotency {
-				in.Semantics = word
+		for name, idempotency := range idempotencies {
+			if idempotency == c.Idempotency {
+				in.Semantics = name
 			}
 		}
-		for word, group := range groups {
-			if group == c.DedupScope && word != "" {
-				in.Group = word
+		for name, scope := range dedupScopes {
+			if scope == c.DedupScope && name != "" {
+				in.Group = name
 			}
 		}
 		out.Classes = append(out.Classes, in)
--- a/internal/net/protocol/sftp/command.go
+++ b/internal/net/protocol/sftp/command.go
@@ -117,19 +117,20 @@
 	Shard  int
 }
 
-// Find returns the project that a path belongs to: of all that match, the one with the longest prefix.
-func Find(projects []Project, name string) (Project, bool) {
+// FindProject returns the project that a path belongs to: of all that match, the one with the longest prefix.
+func FindProject(projects []Project, name string) (Project, bool) {
 	best, found := Project{}, false
 	for _, p := range projects {
-		if within(name, p.Prefix) && (!found || len(p.Prefix) > len(best.Prefix)) {
+		if isWithin(name, p.Prefix) && (!found || len(p.Prefix) > len(best.Prefix)) {
 			best, found = p, true
 		}
 	}
 	return best, found
 }
 
-// Above returns the names of the direct subfolders of a folder that is a parent of project prefixes, and none for any other folder.
-func Above(projects []Project, name string) []string {
+// VirtualSubfolders returns the names of the direct subfolders of a folder that is a parent of project prefixes, and none for any
+// other folder.
+func VirtualSubfolders(projects []Project, name string) []string {
 	var out []string
 	seen := map[string]bool{}
 	for _, p := range projects {
@@ -142,7 +143,7 @@
 	return out
 }
 
-func within(name, prefix string) bool {
+func isWithin(name, prefix string) bool {
 	return prefix == "/" || name == prefix || strings.HasPrefix(name, prefix+"/")
 }
 
--- a/internal/net/protocol/sftp/command_test.go
+++ b/internal/net/protocol/sftp/command_test.go
@@ -42,12 +42,12 @@
 		"/x/a": "a", "/x/a/f": "a", "/x/ab": "", "/x": "", "/x/a/deep/f": "deep",
 		"/x/a/deeper": "a", Clean("/x/a/../../x/b/f"): "b", Clean("../../x/a"): "a",
 	} {
-		if got, _ := Find(projects, path); got.Name != want {
+		if got, _ := FindProject(projects, path); got.Name != want {
 			t.Errorf("%s belongs to project %q, want %q", path, got.Name, want)
 		}
 	}
 	for path, want := range map[string][]string{"/": {"x"}, "/x": {"a", "b"}, "/y": nil} {
-		if got := Above(projects, path); !slices.Equal(got, want) {
+		if got := VirtualSubfolders(projects, path); !slices.Equal(got, want) {
 			t.Errorf("subfolders of %s: %v, want %v", path, got, want)
 		}
 	}
--- a/internal/net/protocol/sftp/packet/attrs.go
+++ b/internal/net/protocol/sftp/packet/attrs.go
@@ -26,7 +26,7 @@
 	Atime, Mtime uint32
 }
 
-func (s *reader) attrs(a *Attrs) bool {
+func (s *reader) readAttrs(a *Attrs) bool {
 	if !s.ReadUint32(&a.Has) {
 		return false
 	}
@@ -43,7 +43,7 @@
 			var unused []byte
 			ok := s.ReadUint32(&pairs)
 			for left := 2 * uint64(pairs); ok && left > 0; left-- {
-				ok = s.bytes(&unused)
+				ok = s.readBytes(&unused)
 			}
 			return ok
 		}},
--- a/internal/net/protocol/sftp/packet/packet_test.go
+++ b/internal/net/protocol/sftp/packet/packet_test.go
@@ -10,17 +10,17 @@
 	"golang.org/x/crypto/cryptobyte"
 )
 
-func open(path string, a Attrs) []byte {
+func openPacket(path string, a Attrs) []byte {
 	b := cryptobyte.NewBuilder([]byte{byte(Open), 0, 0, 0, 7})
-	addText(b, path)
+	addString(b, path)
 	b.AddUint32(OpenWrite | OpenCreate)
 	addAttrs(b, a)
 	return b.BytesOrPanic()
 }
 
-func TestParseTakesWholePacketsAlone(t *testing.T) {
+func TestParseRejectsTruncatedPackets(t *testing.T) {
 	want := Attrs{Has: HasSize | HasOwner | HasMode | HasTimes, Size: 1 << 40, UID: 1, GID: 2, Mode: 0o100644, Atime: 3, Mtime: 4}
-	whole := open("/a/f", want)
+	whole := openPacket("/a/f", want)
 	r, err := Parse(whole)
 	if err != nil || r.Kind != Open || r.ID != 7 || r.Path != "/a/f" || r.Flags != OpenWrite|OpenCreate || r.Attrs != want {
 		t.Fatalf("%+v, %v", r, err)
@@ -37,7 +37,7 @@
 
 // Guards against bytes of a client that end the program or that make it allocate more than it received.
 func FuzzParse(f *testing.F) {
-	f.Add(open("/a", Attrs{Has: HasSize}))
+	f.Add(openPacket("/a", Attrs{Has: HasSize}))
 	f.Add([]byte{byte(Write), 0, 0, 0, 1, 0, 0, 0, 1, 'h', 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{byte(Setstat), 0, 0, 0, 1, 0, 0, 0, 0, 0x80, 0, 0, 0, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -48,7 +48,7 @@
 	})
 }
 
-func TestAnswersCarryTheirLength(t *testing.T) {
+func TestAnswersHaveCorrectLength(t *testing.T) {
 	for kind, answer := range map[Kind][]byte{
 		VersionReply: EncodeVersion(Pair{PosixRename, "1"}), StatusReply: EncodeStatus(1, Failure, "no"),
 		HandleReply: EncodeHandle(1, "9"), DataReply: EncodeData(1, make([]byte, 1000)),
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestLineOfAListing(t *testing.T) {
+func TestListingLine(t *testing.T) {
 	at := uint32(time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC).Unix())
 	for mode, want := range map[os.FileMode]string{
 		os.ModeDir | 0o755:               "drwxr-xr-x    1 1        2               3 Dec  1  2026 x",
--- a/internal/net/protocol/sftp/packet/reply.go
+++ b/internal/net/protocol/sftp/packet/reply.go
@@ -19,21 +19,21 @@
 )
 
 // encode builds a packet: length, kind, then the bytes that fill adds. It allocates room for the given size in advance.
-func encode(kind Kind, room int, fill func(b *cryptobyte.Builder)) []byte {
-	b := cryptobyte.NewBuilder(make([]byte, 0, 16+room))
-	prefixed(b, func(b *cryptobyte.Builder) {
+func encode(kind Kind, capacity int, fill func(b *cryptobyte.Builder)) []byte {
+	b := cryptobyte.NewBuilder(make([]byte, 0, 16+capacity))
+	addLengthPrefixed(b, func(b *cryptobyte.Builder) {
 		b.AddUint8(uint8(kind))
 		fill(b)
 	})
 	return b.BytesOrPanic() // fails only beyond 4 GiB
 }
 
-func prefixed(b *cryptobyte.Builder, fill func(b *cryptobyte.Builder)) {
+func addLengthPrefixed(b *cryptobyte.Builder, fill func(b *cryptobyte.Builder)) {
 	b.AddUint32LengthPrefixed(fill)
 }
 
-func addText(b *cryptobyte.Builder, text string) {
-	prefixed(b, func(b *cryptobyte.Builder) { b.AddBytes([]byte(text)) })
+func addString(b *cryptobyte.Builder, text string) {
+	addLengthPrefixed(b, func(b *cryptobyte.Builder) { b.AddBytes([]byte(text)) })
 }
 
 // Pair is an extension in the version packet, with its data.
@@ -44,8 +44,8 @@
 	return encode(VersionReply, 128, func(b *cryptobyte.Builder) {
 		b.AddUint32(Version)
 		for _, e := range extensions {
-			addText(b, e.Name)
-			addText(b, e.Data)
+			addString(b, e.Name)
+			addString(b, e.Data)
 		}
 	})
 }
@@ -55,8 +55,8 @@
 	return encode(StatusReply, 16+len(text), func(b *cryptobyte.Builder) {
 		b.AddUint32(id)
 		b.AddUint32(uint32(code))
-		addText(b, text)
-		addText(b, "en")
+		addString(b, text)
+		addString(b, "en")
 	})
 }
 
@@ -64,7 +64,7 @@
 func EncodeHandle(id uint32, handle string) []byte {
 	return encode(HandleReply, len(handle), func(b *cryptobyte.Builder) {
 		b.AddUint32(id)
-		addText(b, handle)
+		addString(b, handle)
 	})
 }
 
@@ -72,7 +72,7 @@
 func EncodeData(id uint32, data []byte) []byte {
 	return encode(DataReply, len(data), func(b *cryptobyte.Builder) {
 		b.AddUint32(id)
-		prefixed(b, func(b *cryptobyte.Builder) { b.AddBytes(data) })
+		addLengthPrefixed(b, func(b *cryptobyte.Builder) { b.AddBytes(data) })
 	})
 }
 
@@ -82,8 +82,8 @@
 		b.AddUint32(id)
 		b.AddUint32(uint32(len(entries)))
 		for _, e := range entries {
-			addText(b, e.Name)
-			addText(b, e.line())
+			addString(b, e.Name)
+			addString(b, e.line())
 			addAttrs(b, e.Attrs)
 		}
 	})
--- a/internal/net/protocol/sftp/packet/request.go
+++ b/internal/net/protocol/sftp/packet/request.go
@@ -80,32 +80,32 @@
 
 // Parse decodes a packet without its length. An unknown kind or extension is not an error, because the client expects a status for it.
 func Parse(body []byte) (Request, error) {
-	s := fields(body)
+	s := newReader(body)
 	var r Request
 	var kind uint8
 	ok := s.ReadUint8(&kind) && s.ReadUint32(&r.ID)
 	r.Kind = Kind(kind)
 	switch r.Kind {
 	case Open:
-		ok = ok && s.text(&r.Path) && s.ReadUint32(&r.Flags) && s.attrs(&r.Attrs)
+		ok = ok && s.readString(&r.Path) && s.ReadUint32(&r.Flags) && s.readAttrs(&r.Attrs)
 	case Close, Fstat, Readdir:
-		ok = ok && s.text(&r.Handle)
+		ok = ok && s.readString(&r.Handle)
 	case Read:
-		ok = ok && s.text(&r.Handle) && s.ReadUint64(&r.Offset) && s.ReadUint32(&r.Length)
+		ok = ok && s.readString(&r.Handle) && s.ReadUint64(&r.Offset) && s.ReadUint32(&r.Length)
 	case Write:
-		ok = ok && s.text(&r.Handle) && s.ReadUint64(&r.Offset) && s.bytes(&r.Data)
+		ok = ok && s.readString(&r.Handle) && s.ReadUint64(&r.Offset) && s.readBytes(&r.Data)
 	case Lstat, Stat, Opendir, Remove, Rmdir, Realpath, Readlink:
-		ok = ok && s.text(&r.Path)
+		ok = ok && s.readString(&r.Path)
 	case Setstat, Mkdir:
-		ok = ok && s.text(&r.Path) && s.attrs(&r.Attrs)
+		ok = ok && s.readString(&r.Path) && s.readAttrs(&r.Attrs)
 	case Fsetstat:
-		ok = ok && s.text(&r.Handle) && s.attrs(&r.Attrs)
+		ok = ok && s.readString(&r.Handle) && s.readAttrs(&r.Attrs)
 	case Rename, Symlink:
-		ok = ok && s.text(&r.Path) && s.text(&r.Target)
+		ok = ok && s.readString(&r.Path) && s.readString(&r.Target)
 	case Extended:
-		ok = ok && s.text(&r.Extension)
+		ok = ok && s.readString(&r.Extension)
 		if r.Extension == PosixRename {
-			ok = ok && s.text(&r.Path) && s.text(&r.Target)
+			ok = ok && s.readString(&r.Path) && s.readString(&r.Target)
 		}
 	}
 	if !ok {
@@ -117,16 +117,16 @@
 // reader reads the fields of a packet in order. A string is a length of four bytes, then the bytes (section 3 of the draft).
 type reader struct{ cryptobyte.String }
 
-func fields(b []byte) *reader { return &reader{cryptobyte.String(b)} }
+func newReader(b []byte) *reader { return &reader{cryptobyte.String(b)} }
 
-func (s *reader) bytes(out *[]byte) bool {
+func (s *reader) readBytes(out *[]byte) bool {
 	var n uint32
 	return s.ReadUint32(&n) && uint64(n) <= uint64(len(s.String)) && s.ReadBytes(out, int(n))
 }
 
-func (s *reader) text(out *string) bool {
+func (s *reader) readString(out *string) bool {
 	var b []byte
-	ok := s.bytes(&b)
+	ok := s.readBytes(&b)
 	*out = string(b)
 	return ok
 }
--- a/internal/net/protocol/sftp/status.go
+++ b/internal/net/protocol/sftp/status.go
@@ -23,15 +23,15 @@
 // StatusOf maps the final answer of the scheduler, or an error of a node, to a status. The text of a rejection says when to retry.
 func StatusOf(err error) *Status {
 	var status *Status
-	var refused *routing.RejectedError
+	var rejected *routing.RejectedError
 	switch {
 	case err == nil:
 		return &Status{packet.OK, ""}
 	case errors.As(err, &status):
 		return status
-	case errors.As(err, &refused):
+	case errors.As(err, &rejected):
 		return &Status{packet.Failure, fmt.Sprintf("refused, nothing was changed: try again in %.3f s",
-			refused.RetryAfter.Seconds())}
+			rejected.RetryAfter.Seconds())}
 	case errors.Is(err, io.EOF):
 		return &Status{packet.EOF, "end of file"}
 	case errors.Is(err, routing.ErrStopped):
@@ -49,16 +49,16 @@
 // NoSuchFile returns the status for a path that belongs to no project.
 func NoSuchFile(name string) error { return &Status{packet.NoSuchFile, name + ": no such file"} }
 
-// Spoilt returns the status for every command on a handle after a write on that handle failed. Clients send many writes without
+// WriteFailed returns the status for every command on a handle after a write on that handle failed. Clients send many writes without
 // waiting and keep only the status of the last answer, so nothing else tells them that the file has a hole.
-func Spoilt(cause error) error {
+func WriteFailed(cause error) error {
 	return &Status{packet.Failure, "an earlier write to this file was not carried out: " + cause.Error()}
 }
 
-// NodeStatus classifies an error of the node client. An error that the node reported keeps the node's code; any other error means
+// ClassifyNodeError classifies an error of the node client. An error that the node reported keeps the node's code; any other error means
 // that the exchange broke off.
-func NodeStatus(err error) (said error, broken bool) {
-	var word *sftp.StatusError
+func ClassifyNodeError(err error) (nodeErr error, broken bool) {
+	var statusErr *sftp.StatusError
 	switch {
 	case err == nil:
 		return nil, false
@@ -68,8 +68,8 @@
 		return &Status{packet.NoSuchFile, "no such file"}, false
 	case errors.Is(err, os.ErrPermission):
 		return &Status{packet.PermissionDenied, "permission denied"}, false
-	case errors.As(err, &word):
-		return &Status{packet.Code(word.Code), word.Error()}, false
+	case errors.As(err, &statusErr):
+		return &Status{packet.Code(statusErr.Code), statusErr.Error()}, false
 	}
 	return nil, true
 }
--- a/internal/net/transport/nodes/dial.go
+++ b/internal/net/transport/nodes/dial.go
@@ -23,7 +23,7 @@
 	ctx     context.Context
 	address string
 	open    Dial
-	ended   chan dialResult
+	results chan dialResult
 	started int // attempts in total
 	running int // attempts that have not ended
 }
@@ -31,48 +31,48 @@
 // Dial opens a connection to an address. It fails when its context ends.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-func (r *dialRace) begin() {
+func (r *dialRace) start() {
 	r.started++
 	r.running++
 	go func() {
 		conn, err := r.open(r.ctx, "tcp", r.address)
-		r.ended <- dialResult{conn, err}
+		r.results <- dialResult{conn, err}
 	}()
 }
 
 // dial opens a connection within the connect timeout. The caller has reserved a place for the first attempt; each parallel one needs
 // a place of its own.
-func (s *Pool[T]) dial(ctx context.Context, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.limits.Nodes.ConnectTimeout)
+func (p *Pool[T]) dial(ctx context.Context, address string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.limits.Nodes.ConnectTimeout)
 	defer cancel()
-	r := &dialRace{ctx: ctx, address: address, open: s.dialer, ended: make(chan dialResult, s.limits.Nodes.ConnectTries)}
-	defer s.abandon(r)
-	r.begin()
-	hedge := time.NewTicker(s.limits.Nodes.HedgeDelay)
+	r := &dialRace{ctx: ctx, address: address, open: p.dialer, results: make(chan dialResult, p.limits.Nodes.ConnectTries)}
+	defer p.abandon(r)
+	r.start()
+	hedge := time.NewTicker(p.limits.Nodes.HedgeDelay)
 	defer hedge.Stop()
 	for {
 		select {
 		case <-hedge.C:
-			if r.started < s.limits.Nodes.ConnectTries && s.reserveExtra() {
-				r.begin()
+			if r.started < p.limits.Nodes.ConnectTries && p.reserveExtra() {
+				r.start()
 			}
-		case d := <-r.ended:
+		case d := <-r.results:
 			r.running--
 			switch {
 			case isOwnFault(d.err):
-				if err := s.retryOwnFault(r); err != nil {
+				if err := p.retryOwnFault(r); err != nil {
 					return nil, err
 				}
 			case !errors.Is(d.err, syscall.ECONNRESET):
 				return d.conn, d.err
 			case r.running > 0:
-				s.releaseExtra()
-			case r.started == s.limits.Nodes.ConnectTries:
+				p.releaseExtra()
+			case r.started == p.limits.Nodes.ConnectTries:
 				return nil, d.err
 			default:
 				// A machine refuses connections to a process that has died. A process that resets a new connection
 				// runs. If it were treated as dead, it would count as cold for the whole slow start once it answers.
-				r.begin()
+				r.start()
 			}
 		}
 	}
@@ -80,8 +80,8 @@
 
 // retryOwnFault waits and then repeats an attempt that failed because this machine lacked a resource. It returns an error if the
 // connect timeout expires first.
-func (s *Pool[T]) retryOwnFault(r *dialRace) error {
-	pause := time.NewTimer(s.limits.AcceptRetry)
+func (p *Pool[T]) retryOwnFault(r *dialRace) error {
+	pause := time.NewTimer(p.limits.AcceptRetry)
 	defer pause.Stop()
 	select {
 	case <-pause.C:
@@ -89,7 +89,7 @@
 		return fmt.Errorf("%w: %w", ErrNoResources, r.ctx.Err())
 	}
 	r.started--
-	r.begin()
+	r.start()
 	return nil
 }
 
@@ -109,33 +109,33 @@
 }
 
 // abandon closes the connections that are established after the race is decided, and frees the place of each attempt.
-func (s *Pool[T]) abandon(r *dialRace) {
+func (p *Pool[T]) abandon(r *dialRace) {
 	if r.running == 0 {
 		return
 	}
 	go func() {
 		for range r.running {
-			if d := <-r.ended; d.conn != nil {
+			if d := <-r.results; d.conn != nil {
 				d.conn.Close()
 			}
-			s.releaseExtra()
+			p.releaseExtra()
 		}
 	}()
 }
 
 // reserveExtra reserves a place for a further attempt. It reports whether one is free; it closes no idle connection for it.
-func (s *Pool[T]) reserveExtra() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.open >= s.limits.Nodes.Conns {
+func (p *Pool[T]) reserveExtra() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.open >= p.limits.Nodes.Conns {
 		return false
 	}
-	s.open++
+	p.open++
 	return true
 }
 
-func (s *Pool[T]) releaseExtra() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.uncount()
+func (p *Pool[T]) releaseExtra() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.decrementOpen()
 }
--- a/internal/net/transport/nodes/dial_test.go
+++ b/internal/net/transport/nodes/dial_test.go
@@ -16,84 +16,84 @@
 	"otterturn/scheduler"
 )
 
-// dials replaces the network: its function determines the result of each attempt to connect, numbered from 0.
-type dials struct {
-	begun atomic.Int64
-	given func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error)
+// fakeNetwork replaces the network: its function determines the result of each attempt to connect, numbered from 0.
+type fakeNetwork struct {
+	attempts atomic.Int64
+	respond  func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error)
 }
 
-func (d *dials) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	n := d.begun.Add(1) - 1
-	return d.given(ctx, n, func() (net.Conn, error) { return new(net.Dialer).DialContext(ctx, network, address) })
+func (d *fakeNetwork) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	n := d.attempts.Add(1) - 1
+	return d.respond(ctx, n, func() (net.Conn, error) { return new(net.Dialer).DialContext(ctx, network, address) })
 }
 
-// never is an attempt to connect that ends only with its context.
-func never(ctx context.Context) (net.Conn, error) {
+// blockUntilDone is an attempt to connect that ends only with its context.
+func blockUntilDone(ctx context.Context) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
 // newPool returns a pool with a single node "a" that connects through d, and the number of connections that the node accepted.
-func newPool(t *testing.T, d *dials, change func(*limits.Limits)) (*Pool[int], *atomic.Int64) {
-	taken := new(atomic.Int64)
+func newPool(t *testing.T, d *fakeNetwork, change func(*limits.Limits)) (*Pool[int], *atomic.Int64) {
+	accepted := new(atomic.Int64)
 	addr := standin.Peer(t, func(_ int, c net.Conn) {
-		taken.Add(1)
+		accepted.Add(1)
 		c.Read(make([]byte, 1)) // until the connection is closed
 	})
 	l := standin.Limits()
 	l.Nodes.ConnectTimeout, l.Nodes.HedgeDelay = standin.Patience, time.Millisecond
 	change(&l)
-	s := New(l, Session[int]{Open: func(net.Conn) (int, error) { return 0, nil }, Alive: func(net.Conn, int) bool { return true }})
-	s.dialer = d.dial
-	s.Apply(protocol.List{Whole: true, Hosts: []protocol.Host{{Dial: addr, Endpoint: scheduler.Endpoint{Node: "a"}}}})
-	return s, taken
+	pool := New(l, Session[int]{Open: func(net.Conn) (int, error) { return 0, nil }, Alive: func(net.Conn, int) bool { return true }})
+	pool.dialer = d.dial
+	pool.Apply(protocol.List{Whole: true, Hosts: []protocol.Host{{Dial: addr, Endpoint: scheduler.Endpoint{Node: "a"}}}})
+	return pool, accepted
 }
 
-// settled waits until the pool counts the given number of connections and attempts to open one.
-func settled(t *testing.T, s *Pool[int], open int) {
+// waitForOpen waits until the pool counts the given number of connections and attempts to open one.
+func waitForOpen(t *testing.T, pool *Pool[int], want int) {
 	t.Helper()
 	end := time.After(standin.Patience)
 	for {
-		s.mu.Lock()
-		freed, have := s.roomFreed, s.open
-		s.mu.Unlock()
-		if have == open {
+		pool.mu.Lock()
+		freed, counted := pool.placeFreed, pool.open
+		pool.mu.Unlock()
+		if counted == want {
 			return
 		}
 		select {
 		case <-freed:
 		case <-end:
-			t.Fatalf("the pool counts %d connections, want %d", have, open)
+			t.Fatalf("the pool counts %d connections, want %d", counted, want)
 		}
 	}
 }
 
 // Guards against a running node that is treated as dead, and then as cold for the whole slow start, because one connection is
 // established late although the next one succeeds at once. A third of all connections were late when this fault was found.
-func TestConnectionThatIsNotUpSoonGetsAnotherBesideIt(t *testing.T) {
-	given := make(chan struct{})
-	d := &dials{given: func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error) {
+func TestSlowConnectStartsParallelAttempt(t *testing.T) {
+	cancelled := make(chan struct{})
+	d := &fakeNetwork{respond: func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error) {
 		if n == 0 {
-			defer close(given)
-			return never(ctx)
+			defer close(cancelled)
+			return blockUntilDone(ctx)
 		}
 		return open()
 	}}
-	s, _ := newPool(t, d, func(*limits.Limits) {})
-	c, err := s.Acquire(context.Background(), "a", Running)
+	pool, _ := newPool(t, d, func(*limits.Limits) {})
+	c, err := pool.Acquire(context.Background(), "a", Running)
 	if err != nil {
 		t.Fatal(err)
 	}
-	<-given // the late attempt was cancelled
-	settled(t, s, 1)
-	s.Release(c, false)
-	settled(t, s, 0)
+	<-cancelled // the late attempt was cancelled
+	waitForOpen(t, pool, 1)
+	pool.Release(c, false)
+	waitForOpen(t, pool, 0)
 }
 
 // Guards against a leak of the connection that is established after another one has won.
-func TestConnectionThatComesUpBehindAnotherIsClosed(t *testing.T) {
+func TestLateConnectionIsClosed(t *testing.T) {
 	late, up := make(chan net.Conn, 1), make(chan struct{})
-	d := &dials{given: func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error) {
+	d := &fakeNetwork{respond: func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error) {
 		if n > 0 {
 			<-up
 			return open()
@@ -104,108 +104,112 @@
 		late <- c
 		return c, err
 	}}
-	s, _ := newPool(t, d, func(*limits.Limits) {})
-	c, err := s.Acquire(context.Background(), "a", Running)
+	pool, _ := newPool(t, d, func(*limits.Limits) {})
+	c, err := pool.Acquire(context.Background(), "a", Running)
 	if err != nil {
 		t.Fatal(err)
 	}
-	behind := <-late
-	if c.Conn == behind {
+	second := <-late
+	if c.Conn == second {
 		t.Error("the late connection was used")
 	}
-	settled(t, s, 1)
-	if _, err := behind.Write([]byte{0}); !errors.Is(err, net.ErrClosed) {
+	waitForOpen(t, pool, 1)
+	if _, err := second.Write([]byte{0}); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("the late connection is still open: %v", err)
 	}
 }
 
 // Checks that connecting to a node that is gone fails within the connect timeout and after a limited number of attempts.
-func TestVanishedNodeIsTriedABoundedNumberOfTimes(t *testing.T) {
-	d := &dials{given: func(ctx context.Context, _ int64, _ func() (net.Conn, error)) (net.Conn, error) { return never(ctx) }}
-	s, taken := newPool(t, d, func(l *limits.Limits) { l.Nodes.ConnectTimeout = 20 * l.Nodes.HedgeDelay })
-	_, err := s.Acquire(context.Background(), "a", Running)
+func TestConnectAttemptsAreLimited(t *testing.T) {
+	d := &fakeNetwork{respond: func(ctx context.Context, _ int64, _ func() (net.Conn, error)) (net.Conn, error) {
+		return blockUntilDone(ctx)
+	}}
+	pool, accepted := newPool(t, d, func(l *limits.Limits) { l.Nodes.ConnectTimeout = 20 * l.Nodes.HedgeDelay })
+	_, err := pool.Acquire(context.Background(), "a", Running)
 	if !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("error %v, want DeadlineExceeded", err)
 	}
-	if most := int64(s.limits.Nodes.ConnectTries); d.begun.Load() > most || taken.Load() > 0 {
-		t.Errorf("%d attempts, want at most %d; %d accepted", d.begun.Load(), most, taken.Load())
+	if limit := int64(pool.limits.Nodes.ConnectTries); d.attempts.Load() > limit || accepted.Load() > 0 {
+		t.Errorf("%d attempts, want at most %d; %d accepted", d.attempts.Load(), limit, accepted.Load())
 	}
-	settled(t, s, 0)
+	waitForOpen(t, pool, 0)
 }
 
 // Checks that a refused connection, as of a process that has died, ends connecting at once although another attempt is in progress.
-func TestRefusedConnectionDecides(t *testing.T) {
+func TestRefusedConnectionEndsDialing(t *testing.T) {
 	refused := errors.New("refused")
-	d := &dials{given: func(ctx context.Context, n int64, _ func() (net.Conn, error)) (net.Conn, error) {
+	d := &fakeNetwork{respond: func(ctx context.Context, n int64, _ func() (net.Conn, error)) (net.Conn, error) {
 		if n == 0 {
-			return never(ctx)
+			return blockUntilDone(ctx)
 		}
 		return nil, refused
 	}}
-	s, _ := newPool(t, d, func(*limits.Limits) {})
-	if _, err := s.Acquire(context.Background(), "a", Running); !errors.Is(err, refused) {
+	pool, _ := newPool(t, d, func(*limits.Limits) {})
+	if _, err := pool.Acquire(context.Background(), "a", Running); !errors.Is(err, refused) {
 		t.Errorf("error %v, want the refusal", err)
 	}
-	settled(t, s, 0)
+	waitForOpen(t, pool, 0)
 }
 
 // Checks that a further attempt starts only if a place in the pool is free: it must not exceed the limit on connections.
-func TestFurtherAttemptNeedsRoom(t *testing.T) {
-	d := &dials{given: func(ctx context.Context, _ int64, _ func() (net.Conn, error)) (net.Conn, error) { return never(ctx) }}
-	s, _ := newPool(t, d, func(l *limits.Limits) { l.Nodes.Conns, l.Nodes.ConnectTimeout = 1, 20*l.Nodes.HedgeDelay })
-	if _, err := s.Acquire(context.Background(), "a", Running); !errors.Is(err, context.DeadlineExceeded) {
+func TestParallelAttemptNeedsFreePlace(t *testing.T) {
+	d := &fakeNetwork{respond: func(ctx context.Context, _ int64, _ func() (net.Conn, error)) (net.Conn, error) {
+		return blockUntilDone(ctx)
+	}}
+	pool, _ := newPool(t, d, func(l *limits.Limits) { l.Nodes.Conns, l.Nodes.ConnectTimeout = 1, 20*l.Nodes.HedgeDelay })
+	if _, err := pool.Acquire(context.Background(), "a", Running); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("error %v, want DeadlineExceeded", err)
 	}
-	if d.begun.Load() != 1 {
-		t.Errorf("%d attempts, want 1 with a limit of one connection", d.begun.Load())
+	if d.attempts.Load() != 1 {
+		t.Errorf("%d attempts, want 1 with a limit of one connection", d.attempts.Load())
 	}
-	settled(t, s, 0)
+	waitForOpen(t, pool, 0)
 }
 
 // Guards against a node that is treated as dead because this machine lacks descriptors, memory or ports for a moment. Connecting is
 // retried, and if it still fails, the error says nothing about the node.
-func TestFaultsOfThisMachineAreNoNewsOfANode(t *testing.T) {
+func TestLocalErrorsDoNotCountAgainstNode(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN} {
-		d := &dials{given: func(_ context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error) {
+		d := &fakeNetwork{respond: func(_ context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error) {
 			if n < 5 {
 				return nil, os.NewSyscallError("socket", errno)
 			}
 			return open()
 		}}
-		s, _ := newPool(t, d, func(l *limits.Limits) { l.AcceptRetry, l.Nodes.HedgeDelay = time.Millisecond, time.Hour })
-		c, err := s.Acquire(t.Context(), "a", Running)
+		pool, _ := newPool(t, d, func(l *limits.Limits) { l.AcceptRetry, l.Nodes.HedgeDelay = time.Millisecond, time.Hour })
+		c, err := pool.Acquire(t.Context(), "a", Running)
 		if err != nil {
 			t.Errorf("after a temporary %v: %v", errno, err)
 			continue
 		}
-		s.Release(c, false)
-		settled(t, s, 0)
+		pool.Release(c, false)
+		waitForOpen(t, pool, 0)
 	}
-	d := &dials{given: func(context.Context, int64, func() (net.Conn, error)) (net.Conn, error) {
+	d := &fakeNetwork{respond: func(context.Context, int64, func() (net.Conn, error)) (net.Conn, error) {
 		return nil, os.NewSyscallError("socket", syscall.EMFILE)
 	}}
-	s, _ := newPool(t, d, func(l *limits.Limits) {
+	pool, _ := newPool(t, d, func(l *limits.Limits) {
 		l.AcceptRetry, l.Nodes.ConnectTimeout, l.Nodes.HedgeDelay = time.Millisecond, 20*time.Millisecond, time.Hour
 	})
-	if _, err := s.Acquire(t.Context(), "a", Running); !errors.Is(err, ErrNoResources) {
+	if _, err := pool.Acquire(t.Context(), "a", Running); !errors.Is(err, ErrNoResources) {
 		t.Errorf("with a permanent EMFILE: error %v, want ErrNoResources", err)
 	}
-	settled(t, s, 0)
+	waitForOpen(t, pool, 0)
 }
 
 // Guards against a request on a connection that its node has closed, after a reload shortened the idle timeout: the new timeout
 // must also apply to connections that are already idle.
-func TestReloadedIdleTimeHoldsAtOnce(t *testing.T) {
-	d := &dials{given: func(_ context.Context, _ int64, open func() (net.Conn, error)) (net.Conn, error) { return open() }}
-	s, _ := newPool(t, d, func(l *limits.Limits) { l.Nodes.ReuseDelay = 0 })
+func TestReloadedIdleTimeoutAppliesToIdleConnections(t *testing.T) {
+	d := &fakeNetwork{respond: func(_ context.Context, _ int64, open func() (net.Conn, error)) (net.Conn, error) { return open() }}
+	pool, _ := newPool(t, d, func(l *limits.Limits) { l.Nodes.ReuseDelay = 0 })
 	for i, idle := range []time.Duration{time.Hour, 0} {
-		s.Reconfigure(limits.NodeLimits{IdleTimeout: idle})
-		c, err := s.Acquire(t.Context(), "a", Running)
+		pool.Reconfigure(limits.NodeLimits{IdleTimeout: idle})
+		c, err := pool.Acquire(t.Context(), "a", Running)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Release(c, true)
-		if n := d.begun.Load(); n != int64(i)+1 {
+		pool.Release(c, true)
+		if n := d.attempts.Load(); n != int64(i)+1 {
 			t.Errorf("with an idle timeout of %v: %d connections were opened", idle, n)
 		}
 	}
--- a/internal/net/transport/nodes/nodes_test.go
+++ b/internal/net/transport/nodes/nodes_test.go
@@ -14,7 +14,7 @@
 
 // Guards against needless handshakes. Queued requests are sent when an answer arrives, and the connection of that answer must not be
 // reused for a short time. Opening a new connection in each such case caused a fifth of all handshakes of a fleet.
-func TestNextRequestWaitsForTheConnectionJustGivenBack(t *testing.T) {
+func TestAcquireWaitsForReleasedConnection(t *testing.T) {
 	var opened atomic.Int64
 	addr := standin.Peer(t, func(_ int, c net.Conn) {
 		opened.Add(1)
@@ -22,19 +22,19 @@
 	})
 	l := standin.Limits()
 	l.Nodes.ReuseDelay = 20 * time.Millisecond
-	s := New(l, Session[int]{Open: func(net.Conn) (int, error) { return 0, nil }, Alive: func(net.Conn, int) bool { return true }})
-	s.Apply(protocol.List{Whole: true, Hosts: []protocol.Host{{Dial: addr, Endpoint: scheduler.Endpoint{Node: "a"}}}})
-	first, err := s.Acquire(context.Background(), "a", Running)
+	pool := New(l, Session[int]{Open: func(net.Conn) (int, error) { return 0, nil }, Alive: func(net.Conn, int) bool { return true }})
+	pool.Apply(protocol.List{Whole: true, Hosts: []protocol.Host{{Dial: addr, Endpoint: scheduler.Endpoint{Node: "a"}}}})
+	first, err := pool.Acquire(context.Background(), "a", Running)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Release(first, true)
+	pool.Release(first, true)
 	ended, end := context.WithCancel(context.Background())
 	end()
-	if _, err := s.Acquire(ended, "a", Running); err != context.Canceled {
+	if _, err := pool.Acquire(ended, "a", Running); err != context.Canceled {
 		t.Errorf("error %v of a cancelled wait, want context.Canceled", err)
 	}
-	again, err := s.Acquire(context.Background(), "a", Running)
+	again, err := pool.Acquire(context.Background(), "a", Running)
 	if err != nil || again != first {
 		t.Errorf("error %v, a different connection: %v", err, again != first)
 	}
--- a/internal/net/transport/nodes/state.go
+++ b/internal/net/transport/nodes/state.go
@@ -10,11 +10,11 @@
 )
 
 // States returns the nodes, sorted by name.
-func (s *Pool[T]) States() []State {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (p *Pool[T]) States() []State {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var out []State
-	for _, n := range s.byName {
+	for _, n := range p.byName {
 		out = append(out, State{Host: n.Host, Idle: len(n.idle)})
 	}
 	slices.SortFunc(out, func(a, b State) int { return cmp.Compare(a.Node, b.Node) })
@@ -28,6 +28,6 @@
 func AnyState(scheduler.NodeState) bool { return true }
 
 // Reconfigure applies a new idle timeout, also to connections that are already idle.
-func (s *Pool[T]) Reconfigure(l limits.NodeLimits) { s.idle.Store(int64(l.IdleTimeout)) }
+func (p *Pool[T]) Reconfigure(l limits.NodeLimits) { p.idle.Store(int64(l.IdleTimeout)) }
 
-func (s *Pool[T]) idleTimeout() time.Duration { return time.Duration(s.idle.Load()) }
+func (p *Pool[T]) idleTimeout() time.Duration { return time.Duration(p.idle.Load()) }
--- a/internal/net/transport/sftp/client.go
+++ b/internal/net/transport/sftp/client.go
@@ -22,11 +22,11 @@
 	"otterturn/scheduler"
 )
 
-// errAnswer reports that a node's answer exceeds the limit on its size.
-var errAnswer = errors.New("node's answer is too long")
+// errAnswerTooLong reports that a node's answer exceeds the limit on its size.
+var errAnswerTooLong = errors.New("node's answer is too long")
 
-// errImproper reports an answer of a node that has the wrong type for the command.
-var errImproper = errors.New("node's answer does not fit the command")
+// errUnexpectedAnswer reports an answer of a node that has the wrong type for the command.
+var errUnexpectedAnswer = errors.New("node's answer does not fit the command")
 
 // Client sends commands to nodes, one at a time per connection.
 type Client struct {
@@ -36,31 +36,31 @@
 // session is an SFTP session with a node.
 type session struct {
 	*sftp.Client
-	wire *wire
+	conn *countingConn
 	dead atomic.Bool
 }
 
-// wire counts the bytes of an exchange on a connection and limits those of an answer.
-type wire struct {
+// countingConn counts the bytes of an exchange on a connection and limits those of an answer.
+type countingConn struct {
 	net.Conn
-	bound   int64
-	written atomic.Int64 // bytes since the start of the exchange
-	read    atomic.Int64
-	begun   func() // called after the first byte of the current exchange was written
+	maxRead     int64
+	written     atomic.Int64 // bytes since the start of the exchange
+	read        atomic.Int64
+	onFirstByte func() // called after the first byte of the current exchange was written
 }
 
-func (w *wire) Write(b []byte) (int, error) {
-	n, err := w.Conn.Write(b)
-	if n > 0 && w.written.Add(int64(n)) == int64(n) {
-		w.begun()
+func (c *countingConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	if n > 0 && c.written.Add(int64(n)) == int64(n) {
+		c.onFirstByte()
 	}
 	return n, err
 }
 
-func (w *wire) Read(b []byte) (int, error) {
-	n, err := w.Conn.Read(b)
-	if w.read.Add(int64(n)) > w.bound {
-		return 0, errAnswer // an endless listing must not exhaust the memory
+func (c *countingConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	if c.read.Add(int64(n)) > c.maxRead {
+		return 0, errAnswerTooLong // an endless listing must not exhaust the memory
 	}
 	return n, err
 }
@@ -69,12 +69,12 @@
 func NewClient(l limits.Limits) *Client {
 	return &Client{Pool: nodes.New(l, nodes.Session[*session]{
 		Open: func(c net.Conn) (*session, error) {
-			w := &wire{Conn: c, bound: l.Files.ResponseBytes, begun: func() {}}
-			client, err := sftp.NewClientPipe(w, w)
+			wire := &countingConn{Conn: c, maxRead: l.Files.ResponseBytes, onFirstByte: func() {}}
+			client, err := sftp.NewClientPipe(wire, wire)
 			if err != nil {
 				return nil, fmt.Errorf("open SFTP session: %w", err)
 			}
-			s := &session{Client: client, wire: w}
+			s := &session{Client: client, conn: wire}
 			go func() {
 				client.Wait()
 				s.dead.Store(true)
@@ -103,34 +103,34 @@
 	case err != nil:
 		return files.Reply{}, scheduler.AttemptEnded{Result: scheduler.Unreachable}
 	}
-	w := conn.Session.wire
-	w.begun = a.Written
-	w.written.Store(0)
-	w.read.Store(0)
-	unhook := context.AfterFunc(ctx, func() { conn.Close() }) // SFTP has no way to cancel a command
-	reply, err := carryOut(conn.Session.Client, cmd)
-	said, broken := files.NodeStatus(err)
-	intact := unhook()
+	wire := conn.Session.conn
+	wire.onFirstByte = a.Written
+	wire.written.Store(0)
+	wire.read.Store(0)
+	stopClose := context.AfterFunc(ctx, func() { conn.Close() }) // SFTP has no way to cancel a command
+	reply, err := execute(conn.Session.Client, cmd)
+	nodeErr, broken := files.ClassifyNodeError(err)
+	intact := stopClose()
 	c.Release(conn, intact && !broken)
 	switch {
 	case !broken:
-		reply.Err = cmp.Or(reply.Err, said)
+		reply.Err = cmp.Or(reply.Err, nodeErr)
 		return reply, scheduler.AttemptEnded{Result: scheduler.OK}
 	case ctx.Err() != nil:
 		return files.Reply{}, scheduler.AttemptEnded{Result: scheduler.TimedOut}
-	case w.written.Load() == 0:
+	case wire.written.Load() == 0:
 		return files.Reply{}, scheduler.AttemptEnded{Result: scheduler.Unreachable}
 	}
 	return files.Reply{}, scheduler.AttemptEnded{Result: scheduler.Reset, Alive: c.Reconnect(a.Node)}
 }
 
-// carryOut executes a command on a session.
-func carryOut(s *sftp.Client, cmd files.Command) (reply files.Reply, err error) {
+// execute executes a command on a session.
+func execute(s *sftp.Client, cmd files.Command) (reply files.Reply, err error) {
 	switch cmd.Op {
 	case files.Stat:
-		return one(s.Stat(cmd.Path))
+		return singleInfo(s.Stat(cmd.Path))
 	case files.Lstat:
-		return one(s.Lstat(cmd.Path))
+		return singleInfo(s.Lstat(cmd.Path))
 	case files.Readlink:
 		reply.Text, err = s.ReadLink(cmd.Path)
 	case files.List:
@@ -174,19 +174,19 @@
 func open(s *sftp.Client, path string, flags int) (*sftp.File, error) {
 	f, err := s.OpenFile(path, flags)
 	if f == nil && err == nil {
-		err = errImproper
+		err = errUnexpectedAnswer
 	}
 	return f, err
 }
 
-// one returns the answer for a single file. If a node answers with the status OK instead of attributes, the library returns a nil
+// singleInfo returns the answer for a single file. If a node answers with the status OK instead of attributes, the library returns a nil
 // pointer inside info, and the program would panic when it used it.
-func one(info os.FileInfo, err error) (files.Reply, error) {
+func singleInfo(info os.FileInfo, err error) (files.Reply, error) {
 	if err != nil {
 		return files.Reply{}, err
 	}
-	if about, ok := info.Sys().(*sftp.FileStat); !ok || about == nil {
-		return files.Reply{}, errImproper
+	if stat, ok := info.Sys().(*sftp.FileStat); !ok || stat == nil {
+		return files.Reply{}, errUnexpectedAnswer
 	}
 	return files.Reply{Infos: []os.FileInfo{info}}, nil
 }
@@ -206,19 +206,19 @@
 }
 
 func setAttr(s *sftp.Client, cmd files.Command) error {
-	to := cmd.Attrs
+	attrs := cmd.Attrs
 	var err error
-	if to.Has&packet.HasSize != 0 {
-		err = s.Truncate(cmd.Path, int64(to.Size))
+	if attrs.Has&packet.HasSize != 0 {
+		err = s.Truncate(cmd.Path, int64(attrs.Size))
 	}
-	if to.Has&packet.HasMode != 0 && err == nil {
-		err = s.Chmod(cmd.Path, os.FileMode(to.Mode).Perm())
+	if attrs.Has&packet.HasMode != 0 && err == nil {
+		err = s.Chmod(cmd.Path, os.FileMode(attrs.Mode).Perm())
 	}
-	if to.Has&packet.HasTimes != 0 && err == nil {
-		err = s.Chtimes(cmd.Path, time.Unix(int64(to.Atime), 0), time.Unix(int64(to.Mtime), 0))
+	if attrs.Has&packet.HasTimes != 0 && err == nil {
+		err = s.Chtimes(cmd.Path, time.Unix(int64(attrs.Atime), 0), time.Unix(int64(attrs.Mtime), 0))
 	}
-	if to.Has&packet.HasOwner != 0 && err == nil {
-		err = s.Chown(cmd.Path, int(to.UID), int(to.GID))
+	if attrs.Has&packet.HasOwner != 0 && err == nil {
+		err = s.Chown(cmd.Path, int(attrs.UID), int(attrs.GID))
 	}
 	return err
 }
@@ -227,17 +227,17 @@
 func (c *Client) Probe(l limits.Limits) func(node string) scheduler.HealthChecked {
 	return func(node string) scheduler.HealthChecked {
 		out := scheduler.HealthChecked{Node: node, Queue: -1}
-		ctx, release := context.WithTimeout(context.Background(), l.Nodes.ProbeTimeout)
-		defer release()
+		ctx, cancel := context.WithTimeout(context.Background(), l.Nodes.ProbeTimeout)
+		defer cancel()
 		conn, err := c.Acquire(ctx, node, nodes.AnyState)
 		if err != nil {
 			return out
 		}
-		unhook := context.AfterFunc(ctx, func() { conn.Close() })
+		stopClose := context.AfterFunc(ctx, func() { conn.Close() })
 		_, err = conn.Session.RealPath("/")
-		_, broken := files.NodeStatus(err)
+		_, broken := files.ClassifyNodeError(err)
 		out.OK = !broken
-		c.Release(conn, unhook() && !broken)
+		c.Release(conn, stopClose() && !broken)
 		return out
 	}
 }
--- a/internal/net/transport/sftp/leave_test.go
+++ b/internal/net/transport/sftp/disconnect_test.go
@@ -11,31 +11,31 @@
 // Guards against commands that run for a client that has disconnected. The client has one command at a node, sends more, and closes
 // the connection. The end of the stream comes after the packets that wait for their turn, so it was not noticed, and each of these
 // commands was executed in turn.
-func TestNothingIsBegunBehindPacketsOfAClientThatLeft(t *testing.T) {
+func TestDisconnectStopsQueuedCommands(t *testing.T) {
 	node := standin.NewFileServer(t)
-	begun, goOn := make(chan struct{}, 64), make(chan struct{})
+	started, resume := make(chan struct{}, 64), make(chan struct{})
 	node.Before = func(op, path string) bool {
 		if op == "Mkdir" && path != "/a" {
-			begun <- struct{}{}
-			<-goOn
+			started <- struct{}{}
+			<-resume
 		}
 		return false
 	}
-	b := newBench(t, 5*time.Second, nil, node.Addr)
-	raw := b.inFolder()
+	b := newTestbed(t, 5*time.Second, nil, node.Addr)
+	raw := b.dialRawWithFolder()
 	for i := range 20 {
 		raw.Write(standin.Command(14, uint32(i), fmt.Sprint("/a/", i), uint32(0)))
 	}
-	standin.Await(t, "the first command at the node", begun)
+	standin.Await(t, "the first command at the node", started)
 	raw.Close()
 	standin.Until(t, "the end of the client's requests", func() bool { return b.core.Tally().Open == 0 })
-	close(goOn)
+	close(resume)
 	standin.Until(t, "the end of the client", func() bool {
 		b.front.mu.Lock()
 		defer b.front.mu.Unlock()
 		return len(b.front.conns) == 0
 	})
-	if got := b.core.Tally(); got.ClientsLeft != 1 || len(begun) != 0 {
-		t.Errorf("%d further commands started, want 0; tally %+v, want ClientsLeft 1", len(begun), got)
+	if got := b.core.Tally(); got.ClientsLeft != 1 || len(started) != 0 {
+		t.Errorf("%d further commands started, want 0; tally %+v, want ClientsLeft 1", len(started), got)
 	}
 }
--- a/internal/net/transport/sftp/front.go
+++ b/internal/net/transport/sftp/front.go
@@ -32,56 +32,56 @@
 
 // Front serves SFTP clients.
 type Front struct {
-	site    Site
-	limits  limits.Limits
-	core    *routing.Core
-	attempt Attempter
-	tallies map[string]*tally // by project
-	room    chan struct{}     // holds one element per command that is submitted to the scheduler
-	ids     atomic.Int64
-	mu      sync.Mutex
-	conns   map[*visitor]struct{}
-	closing bool
-	hosts   sync.WaitGroup
+	site     Site
+	limits   limits.Limits
+	core     *routing.Core
+	attempt  Attempter
+	counters map[string]*counters // by project
+	slots    chan struct{}        // holds one element per command that is submitted to the scheduler
+	ids      atomic.Int64
+	mu       sync.Mutex
+	conns    map[*clientConn]struct{}
+	closing  bool
+	clients  sync.WaitGroup
 }
 
 // NewFront returns a front.
 func NewFront(site Site, l limits.Limits, core *routing.Core, attempt Attempter) *Front {
 	f := &Front{
-		site: site, limits: l, core: core, attempt: attempt, conns: map[*visitor]struct{}{},
-		tallies: map[string]*tally{}, room: make(chan struct{}, l.Requests.Open),
+		site: site, limits: l, core: core, attempt: attempt, conns: map[*clientConn]struct{}{},
+		counters: map[string]*counters{}, slots: make(chan struct{}, l.Requests.Open),
 	}
 	for _, p := range site.Projects {
-		f.tallies[p.Name] = &tally{}
+		f.counters[p.Name] = &counters{}
 	}
 	return f
 }
 
-// tally counts a project's commands by result.
-type tally struct{ served, refused, failed atomic.Int64 }
+// counters counts a project's commands by result.
+type counters struct{ served, refused, failed atomic.Int64 }
 
-// Count is a snapshot of a project's tally.
+// Count is a snapshot of a project's counters.
 type Count struct{ Served, Refused, Failed int64 }
 
 // Count returns how many of a project's commands ended with each result.
 func (f *Front) Count(project string) Count {
-	t := f.tallies[project]
-	if t == nil {
+	counts := f.counters[project]
+	if counts == nil {
 		return Count{}
 	}
-	return Count{t.served.Load(), t.refused.Load(), t.failed.Load()}
+	return Count{counts.served.Load(), counts.refused.Load(), counts.failed.Load()}
 }
 
-func (t *tally) add(err error) {
+func (c *counters) add(err error) {
 	var refused *routing.RejectedError
 	switch {
 	case err == nil:
-		t.served.Add(1)
+		c.served.Add(1)
 	case errors.As(err, &refused):
-		t.refused.Add(1)
-	case errors.Is(err, errLeft): // no client received a failure
+		c.refused.Add(1)
+	case errors.Is(err, errClientGone): // no client received a failure
 	default:
-		t.failed.Add(1)
+		c.failed.Add(1)
 	}
 }
 
@@ -99,25 +99,25 @@
 		if _, secure := c.(*tls.Conn); !secure { // a TLS connection is already wrapped below TLS
 			c = steady.Conn{Conn: c}
 		}
-		if !f.enter(newVisitor(f, c)) {
+		if !f.admit(newClientConn(f, c)) {
 			c.Close() // SFTP has no status for "too many clients" before a session
 		}
 	}
 }
 
-// enter starts to serve a client. It reports whether there was room for it.
-func (f *Front) enter(v *visitor) bool {
+// admit starts to serve a client. It reports whether there was room for it.
+func (f *Front) admit(c *clientConn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closing || len(f.conns) >= f.limits.Files.Conns {
 		return false
 	}
-	f.conns[v] = struct{}{}
-	f.hosts.Go(func() {
-		v.host()
+	f.conns[c] = struct{}{}
+	f.clients.Go(func() {
+		c.serve()
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		delete(f.conns, v)
+		delete(f.conns, c)
 	})
 	return true
 }
@@ -129,22 +129,22 @@
 	l.Close()
 	f.mu.Lock()
 	f.closing = true
-	for v := range f.conns {
-		v.stop()
+	for c := range f.conns {
+		c.stop()
 	}
 	f.mu.Unlock()
-	f.hosts.Wait() // each ends by the latest deadline of its commands
+	f.clients.Wait() // each ends by the latest deadline of its commands
 }
 
-// request returns the scheduler's request for a command, and the tally of its project. It returns an error for a command that no
+// request returns the scheduler's request for a command, and the counters of its project. It returns an error for a command that no
 // node can execute.
-func (f *Front) request(cmd files.Command) (scheduler.Request, *tally, error) {
-	project, ok := files.Find(f.site.Projects, cmd.Path)
+func (f *Front) request(cmd files.Command) (scheduler.Request, *counters, error) {
+	project, ok := files.FindProject(f.site.Projects, cmd.Path)
 	if !ok {
 		return scheduler.Request{}, nil, files.NoSuchFile(cmd.Path)
 	}
 	if cmd.Target != "" {
-		if to, _ := files.Find(f.site.Projects, cmd.Target); to.Name != project.Name {
+		if to, _ := files.FindProject(f.site.Projects, cmd.Target); to.Name != project.Name {
 			return scheduler.Request{}, nil, files.Unsupported("a rename between projects")
 		}
 	}
@@ -153,5 +153,5 @@
 		ID: "sftp-" + strconv.FormatInt(f.ids.Add(1), 10), Class: f.site.Classes[role],
 		Plan: project.Plan, Volume: project.Name, Key: cmd.Path, Units: cmd.Units(f.site.Sizes), Shard: project.Shard,
 		Fronts: 1, TimeLeft: scheduler.Micros(f.site.Wait[role] / time.Microsecond),
-	}, f.tallies[project.Name], nil
+	}, f.counters[project.Name], nil
 }
--- a/internal/net/transport/sftp/front_test.go
+++ b/internal/net/transport/sftp/front_test.go
@@ -22,8 +22,8 @@
 	"otterturn/scheduler"
 )
 
-// bench is a front with nodes on loopback. Projects /a and /b are on shards 0 and 1.
-type bench struct {
+// testbed is a front with nodes on loopback. Projects /a and /b are on shards 0 and 1.
+type testbed struct {
 	t      *testing.T
 	listen net.Listener
 	core   *routing.Core
@@ -32,13 +32,13 @@
 	addr   string
 }
 
-func newBench(t *testing.T, wait time.Duration, edit func(*limits.Limits), nodes ...string) *bench {
+func newTestbed(t *testing.T, wait time.Duration, edit func(*limits.Limits), nodes ...string) *testbed {
 	t.Helper()
 	l := standin.Limits()
 	if edit != nil {
 		edit(&l)
 	}
-	b := &bench{t: t, client: NewClient(l)}
+	b := &testbed{t: t, client: NewClient(l)}
 	set := standin.Settings()
 	set.HealthChecks = true
 	b.core = standin.Core(t, set, b.client.Probe(l))
@@ -46,7 +46,7 @@
 	for i, addr := range nodes {
 		list.Hosts = append(list.Hosts, host(i, addr, scheduler.Running))
 	}
-	b.tell(list)
+	b.updateEndpoints(list)
 	b.front = NewFront(Site{
 		Projects: []files.Project{{Name: "a", Prefix: "/a", Shard: 0}, {Name: "b", Prefix: "/b", Shard: 1}},
 		Sizes:    files.Sizes{UnitBytes: 16384, BulkBytes: 32768, MostUnits: 8},
@@ -74,9 +74,9 @@
 	}}
 }
 
-func (b *bench) tell(list protocol.List) { b.core.UpdateEndpoints(b.client.Apply(list)) }
+func (b *testbed) updateEndpoints(list protocol.List) { b.core.UpdateEndpoints(b.client.Apply(list)) }
 
-func (b *bench) dial() *sftp.Client {
+func (b *testbed) dial() *sftp.Client {
 	b.t.Helper()
 	c, err := net.Dial("tcp", b.addr)
 	if err != nil {
@@ -90,9 +90,9 @@
 	return s
 }
 
-func TestFilesPassThroughTheCore(t *testing.T) {
+func TestFileCommands(t *testing.T) {
 	one, two := standin.NewFileServer(t), standin.NewFileServer(t)
-	b := newBench(t, 5*time.Second, nil, one.Addr, two.Addr)
+	b := newTestbed(t, 5*time.Second, nil, one.Addr, two.Addr)
 	c := b.dial()
 	for _, root := range []string{"/a", "/b"} {
 		if err := c.Mkdir(root); err != nil {
@@ -138,7 +138,7 @@
 	if err := c.Mkdir("/a/folder"); err != nil {
 		t.Error(err)
 	}
-	raw := b.raw()
+	raw := b.dialRaw()
 	raw.send(13, "/a/folder") // remove, which applies only to files
 	if kind, body := raw.reply(); kind != 101 || binary.BigEndian.Uint32(body[4:]) != 4 {
 		t.Errorf("remove of a folder: kind %d, %q", kind, body)
@@ -164,12 +164,12 @@
 
 // Guards against the retry of a command that is not idempotent. A node closes the connection after it has executed a command, so the
 // front can't know whether the command ran. It may retry only what the class allows, and the client gets one answer.
-func TestCutOffCommandIsRepeatedOnlyAsItsClassPermits(t *testing.T) {
+func TestInterruptedCommandIsRetriedOnlyIfItsClassAllows(t *testing.T) {
 	node := standin.NewFileServer(t)
 	var armed atomic.Value
 	armed.Store("")
 	node.After = func(op, _ string) bool { return armed.CompareAndSwap(op, "") }
-	b := newBench(t, 5*time.Second, nil, node.Addr)
+	b := newTestbed(t, 5*time.Second, nil, node.Addr)
 	c := b.dial()
 	if err := c.Mkdir("/a"); err != nil {
 		t.Fatal(err)
@@ -209,30 +209,30 @@
 
 // Guards against a truncated write and a leaked request when a client's connection breaks inside a packet of an upload: the
 // incomplete packet must not reach a node, and the client's requests must end.
-func TestClientThatLeavesMidwayLeavesNothingBehind(t *testing.T) {
+func TestDisconnectDuringUploadCancelsRequests(t *testing.T) {
 	node := standin.NewFileServer(t)
-	begun, go_on := make(chan struct{}, 1), make(chan struct{})
+	started, resume := make(chan struct{}, 1), make(chan struct{})
 	node.Before = func(op, _ string) bool {
 		if op == "Write" {
-			begun <- struct{}{}
-			<-go_on
+			started <- struct{}{}
+			<-resume
 		}
 		return false
 	}
-	b := newBench(t, 5*time.Second, nil, node.Addr)
+	b := newTestbed(t, 5*time.Second, nil, node.Addr)
 	setUp := b.dial()
 	if err := setUp.Mkdir("/a"); err != nil {
 		t.Fatal(err)
 	}
-	raw := b.raw()
+	raw := b.dialRaw()
 	handle := raw.create(t, "/a/cut")
 	raw.send(6, handle, uint64(0), "whole")
-	standin.Await(t, "the complete write at the node", begun)
+	standin.Await(t, "the complete write at the node", started)
 	half := standin.Command(6, 9, handle, uint64(5), "cut off")
 	raw.Write(half[:len(half)-3])
 	raw.Close()
 	standin.Until(t, "the end of the client's requests", func() bool { return b.core.Tally().Open == 0 })
-	close(go_on)
+	close(resume)
 	if n := node.Count("Write", "/a/cut"); n != 1 {
 		t.Errorf("%d writes reached the node, want only the complete one", n)
 	}
@@ -243,16 +243,16 @@
 
 func TestListingWhileItsNodeDrains(t *testing.T) {
 	node := standin.NewFileServer(t)
-	begun, go_on := make(chan struct{}, 1), make(chan struct{})
+	started, resume := make(chan struct{}, 1), make(chan struct{})
 	node.Before = func(op, _ string) bool {
 		if op == "List" {
-			begun <- struct{}{}
-			<-go_on
+			started <- struct{}{}
+			<-resume
 		}
 		return false
 	}
 	wait := 2 * time.Second
-	b := newBench(t, wait, nil, node.Addr)
+	b := newTestbed(t, wait, nil, node.Addr)
 	c := b.dial()
 	if err := c.Mkdir("/a"); err != nil {
 		t.Fatal(err)
@@ -262,8 +262,8 @@
 		_, err := b.dial().ReadDir("/a")
 		out <- err
 	}()
-	standin.Await(t, "the listing at the node", begun)
-	b.tell(protocol.List{Hosts: []protocol.Host{host(0, node.Addr, scheduler.Draining)}})
+	standin.Await(t, "the listing at the node", started)
+	b.updateEndpoints(protocol.List{Hosts: []protocol.Host{host(0, node.Addr, scheduler.Draining)}})
 	began := time.Now()
 	_, err := c.ReadDir("/a")
 	if err == nil || !strings.Contains(err.Error(), "try again in") {
@@ -275,11 +275,11 @@
 	successor := standin.NewFileServer(t)
 	next := host(0, successor.Addr, scheduler.Running)
 	next.Node = "node-a2" // holds the same shard
-	b.tell(protocol.List{Hosts: []protocol.Host{next}})
+	b.updateEndpoints(protocol.List{Hosts: []protocol.Host{next}})
 	if _, err := c.ReadDir("/a"); !errors.Is(err, os.ErrNotExist) || successor.Count("List", "/a") != 1 {
 		t.Errorf("listing at the replacement node, which is empty: %v", err)
 	}
-	close(go_on)
+	close(resume)
 	if err := standin.Await(t, "the listing in progress", out); err != nil {
 		t.Errorf("listing in progress when the drain was announced: %v", err)
 	}
@@ -289,9 +289,9 @@
 }
 
 // Checks that the front answers a command by its deadline when the node accepts it and never answers.
-func TestSilentNodeIsAnsweredForByTheDeadline(t *testing.T) {
+func TestSilentNodeIsAnsweredByTheDeadline(t *testing.T) {
 	silent := standin.Peer(t, func(_ int, c net.Conn) { io.Copy(io.Discard, c) })
-	b := newBench(t, 300*time.Millisecond, func(l *limits.Limits) { l.Nodes.ConnectTimeout = 100 * time.Millisecond }, silent)
+	b := newTestbed(t, 300*time.Millisecond, func(l *limits.Limits) { l.Nodes.ConnectTimeout = 100 * time.Millisecond }, silent)
 	if _, err := b.dial().Stat("/a/x"); err == nil || errors.Is(err, os.ErrNotExist) {
 		t.Errorf("stat: %v", err)
 	}
@@ -300,7 +300,7 @@
 
 // Guards against a panic of the front. A node that answers every command with the status OK makes the SFTP library return neither
 // the file nor the attributes. A node with truncated answers must not harm the front either.
-func TestNodeThatAnswersImproperly(t *testing.T) {
+func TestNodeWithUnexpectedAnswers(t *testing.T) {
 	for name, status := range map[string][]byte{"ok": {0, 0, 0, 0}, "truncated": nil} {
 		broken := standin.Peer(t, func(_ int, c net.Conn) {
 			for r := (&rawConn{c}); ; {
@@ -315,7 +315,7 @@
 				c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(body)+1)), append([]byte{101}, body...)...))
 			}
 		})
-		b := newBench(t, 300*time.Millisecond, nil, broken)
+		b := newTestbed(t, 300*time.Millisecond, nil, broken)
 		c := b.dial()
 		if _, err := c.Stat("/a/x"); err == nil {
 			t.Errorf("%s: stat succeeded", name)
@@ -327,9 +327,9 @@
 }
 
 // Checks that a malformed packet ends only its own connection.
-func TestBadPacketsEndTheirConnectionAlone(t *testing.T) {
+func TestMalformedPacketsEndOnlyTheirConnection(t *testing.T) {
 	node := standin.NewFileServer(t)
-	b := newBench(t, 5*time.Second, nil, node.Addr)
+	b := newTestbed(t, 5*time.Second, nil, node.Addr)
 	for name, bad := range map[string][]byte{
 		"unknown kind":    {0, 0, 0, 5, 99, 0, 0, 0, 1},
 		"empty":           {0, 0, 0, 0},
@@ -337,7 +337,7 @@
 		"string too long": {0, 0, 0, 9, 17, 0, 0, 0, 1, 0xff, 0xff, 0xff, 0xff},
 		"short setstat":   standin.Command(9, 1, "/a", uint32(0xf)),
 	} {
-		raw := b.raw()
+		raw := b.dialRaw()
 		raw.Write(bad)
 		raw.Conn.(*net.TCPConn).CloseWrite()
 		if _, err := io.Copy(io.Discard, raw); err != nil && !errors.Is(err, net.ErrClosed) &&
@@ -359,12 +359,12 @@
 	node := standin.NewFileServer(t)
 	var ops atomic.Int64
 	cut := func(_, _ string) bool { return ops.Add(1)%3 == 0 }
-	b := newBench(t, 2*time.Second, nil, node.Addr)
+	b := newTestbed(t, 2*time.Second, nil, node.Addr)
 	if err := b.dial().Mkdir("/a"); err != nil {
 		t.Fatal(err)
 	}
 	node.Before, node.After = cut, cut
-	raw := b.raw()
+	raw := b.dialRaw()
 	kinds := []byte{17, 7, 11, 14, 13, 3, 18, 9, 200} // stat, lstat, opendir, mkdir, remove, open, rename, setstat, extended
 	const n = 90
 	go func() {
@@ -399,19 +399,19 @@
 }
 
 // Checks a stop while commands are in progress: each accepted command is answered, no other is accepted, and the connection ends.
-func TestStopAnswersWhatWasTaken(t *testing.T) {
+func TestStopAnswersAcceptedCommands(t *testing.T) {
 	node := standin.NewFileServer(t)
 	const n = 6
-	begun, goOn := make(chan struct{}, n), make(chan struct{})
+	started, resume := make(chan struct{}, n), make(chan struct{})
 	node.Before = func(op, _ string) bool {
 		if op == "Write" {
-			begun <- struct{}{}
-			<-goOn
+			started <- struct{}{}
+			<-resume
 		}
 		return false
 	}
-	b := newBench(t, 5*time.Second, nil, node.Addr)
-	raw := b.raw()
+	b := newTestbed(t, 5*time.Second, nil, node.Addr)
+	raw := b.dialRaw()
 	handle := raw.create(t, "/a")
 	var all []byte
 	for i := range uint32(n) {
@@ -419,7 +419,7 @@
 	}
 	raw.Write(append(all, standin.Command(6, n, handle, uint64(n), "x")[:9]...)) // and one that stays incomplete
 	for range n {
-		standin.Await(t, "a write at the node", begun)
+		standin.Await(t, "a write at the node", started)
 	}
 	stopped := make(chan struct{})
 	go func() {
@@ -431,7 +431,7 @@
 		defer b.front.mu.Unlock()
 		return b.front.closing
 	})
-	close(goOn)
+	close(resume)
 	seen := map[uint32]bool{}
 	for range n {
 		kind, body := raw.reply()
@@ -447,9 +447,9 @@
 	standin.Await(t, "the return of Stop", stopped)
 }
 
-func TestBoundsOfAClient(t *testing.T) {
+func TestClientLimits(t *testing.T) {
 	node := standin.NewFileServer(t)
-	b := newBench(t, 2*time.Second, func(l *limits.Limits) { l.Files.Handles, l.Files.Conns = 2, 2 }, node.Addr)
+	b := newTestbed(t, 2*time.Second, func(l *limits.Limits) { l.Files.Handles, l.Files.Conns = 2, 2 }, node.Addr)
 	c := b.dial()
 	if err := c.Mkdir("/a"); err != nil {
 		t.Fatal(err)
@@ -483,7 +483,7 @@
 // rawConn is a client that sends and reads single packets.
 type rawConn struct{ net.Conn }
 
-func (b *bench) raw() *rawConn {
+func (b *testbed) dialRaw() *rawConn {
 	b.t.Helper()
 	c, err := net.Dial("tcp", b.addr)
 	if err != nil {
--- a/internal/net/transport/sftp/upload_test.go
+++ b/internal/net/transport/sftp/upload_test.go
@@ -22,15 +22,15 @@
 
 // upload sends a file as OpenSSH's client does: it sends many writes ahead and keeps only the status of the last answer. It reports
 // whether that client would treat the upload as successful.
-func (r *rawConn) upload(t *testing.T, path string, content []byte, ahead int) (good bool) {
-	const part = 32 << 10
+func (r *rawConn) upload(t *testing.T, path string, content []byte, ahead int) (ok bool) {
+	const chunk = 32 << 10
 	handle := r.create(t, path)
 	sent, answered, last := uint32(0), uint32(0), uint32(0)
-	parts := uint32((len(content) + part - 1) / part)
-	for answered < parts {
-		for sent < parts && sent-answered < uint32(ahead) {
-			from := int(sent) * part
-			r.Write(standin.Command(6, sent, handle, uint64(from), string(content[from:min(from+part, len(content))])))
+	chunks := uint32((len(content) + chunk - 1) / chunk)
+	for answered < chunks {
+		for sent < chunks && sent-answered < uint32(ahead) {
+			from := int(sent) * chunk
+			r.Write(standin.Command(6, sent, handle, uint64(from), string(content[from:min(from+chunk, len(content))])))
 			sent++
 		}
 		kind, body := r.reply()
@@ -40,13 +40,13 @@
 		last = binary.BigEndian.Uint32(body[4:])
 		answered++
 	}
-	return r.status(standin.Command(4, parts, handle)) == 0 && last == 0
+	return r.status(standin.Command(4, chunks, handle)) == 0 && last == 0
 }
 
-// inFolder creates the folder /a and returns the client that did so.
-func (b *bench) inFolder() *rawConn {
+// dialRawWithFolder creates the folder /a and returns the client that did so.
+func (b *testbed) dialRawWithFolder() *rawConn {
 	b.t.Helper()
-	raw := b.raw()
+	raw := b.dialRaw()
 	if code := raw.status(standin.Command(14, 0, "/a", uint32(0))); code != 0 {
 		b.t.Fatalf("mkdir: code %d", code)
 	}
@@ -60,21 +60,21 @@
 	return binary.BigEndian.Uint32(body[4:])
 }
 
-// slowAtWrites makes a node execute one write at a time, each with the given delay.
-func slowAtWrites(node *standin.FileServer, each time.Duration) {
+// delayWrites makes a node execute one write at a time, each with the given delay.
+func delayWrites(node *standin.FileServer, delay time.Duration) {
 	var busy sync.Mutex
 	node.Before = func(op, _ string) bool {
 		if op == "Write" {
 			busy.Lock()
 			defer busy.Unlock()
-			time.Sleep(each)
+			time.Sleep(delay)
 		}
 		return false
 	}
 }
 
-// holds reports whether a node has a file with exactly this content.
-func holds(t *testing.T, addr, path string, content []byte) bool {
+// hasContent reports whether a node has a file with exactly this content.
+func hasContent(t *testing.T, addr, path string, content []byte) bool {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return err == nil && bytes.Equal(got, content)
 }
 
-func content(size int) []byte {
+func randomContent(size int) []byte {
 	out := make([]byte, size)
 	source := rand.NewChaCha8([32]byte{1})
 	source.Read(out)
@@ -106,19 +106,19 @@
 	for _, clients := range []int{1, 4} {
 		t.Run(fmt.Sprint(clients, " clients"), func(t *testing.T) {
 			node := standin.NewFileServer(t)
-			slowAtWrites(node, 20*time.Millisecond)
-			b := newBench(t, time.Second, func(l *limits.Limits) { l.Files.AdmitTimeout = standin.Patience }, node.Addr)
-			data := content(2 << 20 / clients)
-			b.inFolder()
+			delayWrites(node, 20*time.Millisecond)
+			b := newTestbed(t, time.Second, func(l *limits.Limits) { l.Files.AdmitTimeout = standin.Patience }, node.Addr)
+			data := randomContent(2 << 20 / clients)
+			b.dialRawWithFolder()
 			var all sync.WaitGroup
 			good := make([]bool, clients)
 			for i := range good {
-				raw := b.raw()
+				raw := b.dialRaw()
 				all.Go(func() { good[i] = raw.upload(t, fmt.Sprint("/a/f", i), data, 64) })
 			}
 			all.Wait()
 			for i, g := range good {
-				if whole := holds(t, node.Addr, fmt.Sprint("/a/f", i), data); g && !whole {
+				if whole := hasContent(t, node.Addr, fmt.Sprint("/a/f", i), data); g && !whole {
 					t.Errorf("upload %d is damaged, but the client treats it as successful", i)
 				}
 			}
@@ -130,23 +130,23 @@
 }
 
 // Checks that every command on a handle fails after one of its writes has failed, even if a later write had succeeded before that.
-func TestWriteThatFailsSpoilsItsHandle(t *testing.T) {
+func TestFailedWriteFailsItsHandle(t *testing.T) {
 	node := standin.NewFileServer(t)
-	first, goOn := make(chan struct{}, 1), make(chan struct{})
+	first, resume := make(chan struct{}, 1), make(chan struct{})
 	first <- struct{}{}
 	node.Before = func(op, _ string) bool {
 		if op == "Write" {
 			select {
 			case <-first:
-				<-goOn // until after the command's deadline
+				<-resume // until after the command's deadline
 			default:
 			}
 		}
 		return false
 	}
-	defer close(goOn)
-	b := newBench(t, 500*time.Millisecond, nil, node.Addr)
-	raw := b.inFolder()
+	defer close(resume)
+	b := newTestbed(t, 500*time.Millisecond, nil, node.Addr)
+	raw := b.dialRawWithFolder()
 	handle, other := raw.create(t, "/a/f"), raw.create(t, "/a/g")
 	raw.Write(slices.Concat(standin.Command(6, 1, handle, uint64(0), "a"), standin.Command(6, 2, handle, uint64(1), "b")))
 	codes := map[uint32]uint32{}
@@ -179,17 +179,17 @@
 // would succeed. The client keeps only the last status, so all later commands on the handle must fail.
 func TestUploadWhileItsNodeDrains(t *testing.T) {
 	node := standin.NewFileServer(t)
-	b := newBench(t, 200*time.Millisecond, nil, node.Addr)
-	raw := b.inFolder()
+	b := newTestbed(t, 200*time.Millisecond, nil, node.Addr)
+	raw := b.dialRawWithFolder()
 	handle := raw.create(t, "/a/f")
 	if raw.status(standin.Command(6, 1, handle, uint64(0), "a")) != 0 {
 		t.Fatal("the first write failed")
 	}
-	b.tell(protocol.List{Hosts: []protocol.Host{host(0, node.Addr, scheduler.Draining)}})
+	b.updateEndpoints(protocol.List{Hosts: []protocol.Host{host(0, node.Addr, scheduler.Draining)}})
 	if raw.status(standin.Command(6, 2, handle, uint64(1), "b")) == 0 {
 		t.Error("a write to a draining node succeeded")
 	}
-	b.tell(protocol.List{Hosts: []protocol.Host{host(0, node.Addr, scheduler.Running)}})
+	b.updateEndpoints(protocol.List{Hosts: []protocol.Host{host(0, node.Addr, scheduler.Running)}})
 	if raw.status(standin.Command(6, 3, handle, uint64(2), "c")) == 0 {
 		t.Error("a write after the failed one succeeded")
 	}
@@ -199,7 +199,7 @@
 }
 
 // Checks that overlapping writes take effect in the order in which they were sent, although many are in progress at once.
-func TestWritesThatOverlapKeepTheirOrder(t *testing.T) {
+func TestOverlappingWritesKeepTheirOrder(t *testing.T) {
 	node := standin.NewFileServer(t)
 	var n int
 	var mu sync.Mutex
@@ -215,8 +215,8 @@
 		}
 		return false
 	}
-	b := newBench(t, 5*time.Second, nil, node.Addr)
-	raw := b.inFolder()
+	b := newTestbed(t, 5*time.Second, nil, node.Addr)
+	raw := b.dialRawWithFolder()
 	handle := raw.create(t, "/a/f")
 	const times = 20
 	for i := range uint32(times) {
@@ -227,7 +227,7 @@
 			t.Fatalf("a packet of kind %d", kind)
 		}
 	}
-	if !holds(t, node.Addr, "/a/f", fmt.Appendf(nil, "%04d", times-1)) {
+	if !hasContent(t, node.Addr, "/a/f", fmt.Appendf(nil, "%04d", times-1)) {
 		t.Error("an earlier write took effect after a later one")
 	}
 }
