--- a/internal/net/protocol/peer_message.go
+++ b/internal/net/protocol/peer_message.go
@@ -11,13 +11,13 @@
 // LongestNote is the maximum size of a message between fronts, in bytes.
 const LongestNote = 256
 
-// A message between fronts consists of words separated by single spaces. The first word is its kind; its fields are listed here.
+// A message between fronts consists of words separated by single spaces. The first word is its kind. The fields of kindAsk are the
+// units of the next request, the units of the smallest one, the units answered since the last report, the units answered with a
+// measured latency, the sum of these latencies in spans, the node's start as Unix time in microseconds, and the node. Those of
+// kindGrant are the units, the end of their validity as Unix time in microseconds, and the node.
 const (
-	// Units of the next request, units of the smallest one, units answered since the last report, units answered with a measured
-	// latency, the sum of these latencies in spans, the node's start as Unix time in microseconds, node.
-	kindAsk = "ask"
-	// Units, end of their validity as Unix time in microseconds, node.
-	kindGrant = "grant"
+	kindAsk   = "ask"   // requests capacity of a node and reports what it has served
+	kindGrant = "grant" // grants capacity of a node
 )
 
 // FormatNote encodes an action as a message to another front. It returns nil if the action is not for another front, or if the
--- a/internal/net/transport/nodes/dial_test.go
+++ b/internal/net/transport/nodes/dial_test.go
@@ -19,12 +19,12 @@
 // fakeNetwork replaces the network: its function determines the result of each attempt to connect, numbered from 0.
 type fakeNetwork struct {
 	attempts atomic.Int64
-	respond  func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error)
+	outcome  func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error)
 }
 
 func (d *fakeNetwork) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	n := d.attempts.Add(1) - 1
-	return d.respond(ctx, n, func() (net.Conn, error) { return new(net.Dialer).DialContext(ctx, network, address) })
+	return d.outcome(ctx, n, func() (net.Conn, error) { return new(net.Dialer).DialContext(ctx, network, address) })
 }
 
 // blockUntilDone is an attempt to connect that ends only with its context.
@@ -50,20 +50,20 @@
 }
 
 // waitForOpen waits until the pool counts the given number of connections and attempts to open one.
-func waitForOpen(t *testing.T, pool *Pool[int], want int) {
+func waitForOpen(t *testing.T, pool *Pool[int], open int) {
 	t.Helper()
 	end := time.After(standin.Patience)
 	for {
 		pool.mu.Lock()
 		freed, counted := pool.placeFreed, pool.open
 		pool.mu.Unlock()
-		if counted == want {
+		if counted == open {
 			return
 		}
 		select {
 		case <-freed:
 		case <-end:
-			t.Fatalf("the pool counts %d connections, want %d", counted, want)
+			t.Fatalf("the pool counts %d connections, want %d", counted, open)
 		}
 	}
 }
@@ -71,10 +71,10 @@
 // Guards against a running node that is treated as dead, and then as cold for the whole slow start, because one connection is
 // established late although the next one succeeds at once. A third of all connections were late when this fault was found.
 func TestSlowConnectStartsParallelAttempt(t *testing.T) {
-	cancelled := make(chan struct{})
-	d := &fakeNetwork{respond: func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error) {
+	outcome := make(chan struct{})
+	d := &fakeNetwork{outcome: func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error) {
 		if n == 0 {
-			defer close(cancelled)
+			defer close(outcome)
 			return blockUntilDone(ctx)
 		}
 		return open()
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	<-cancelled // the late attempt was cancelled
+	<-outcome // the late attempt was cancelled
 	waitForOpen(t, pool, 1)
 	pool.Release(c, false)
 	waitForOpen(t, pool, 0)
@@ -93,7 +93,7 @@
 // Guards against a leak of the connection that is established after another one has won.
 func TestLateConnectionIsClosed(t *testing.T) {
 	late, up := make(chan net.Conn, 1), make(chan struct{})
-	d := &fakeNetwork{respond: func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error) {
+	d := &fakeNetwork{outcome: func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error) {
 		if n > 0 {
 			<-up
 			return open()
@@ -121,7 +121,7 @@
 
 // Checks that connecting to a node that is gone fails within the connect timeout and after a limited number of attempts.
 func TestConnectAttemptsAreLimited(t *testing.T) {
-	d := &fakeNetwork{respond: func(ctx context.Context, _ int64, _ func() (net.Conn, error)) (net.Conn, error) {
+	d := &fakeNetwork{outcome: func(ctx context.Context, _ int64, _ func() (net.Conn, error)) (net.Conn, error) {
 		return blockUntilDone(ctx)
 	}}
 	pool, accepted := newPool(t, d, func(l *limits.Limits) { l.Nodes.ConnectTimeout = 20 * l.Nodes.HedgeDelay })
@@ -138,7 +138,7 @@
 // Checks that a refused connection, as of a process that has died, ends connecting at once although another attempt is in progress.
 func TestRefusedConnectionEndsDialing(t *testing.T) {
 	refused := errors.New("refused")
-	d := &fakeNetwork{respond: func(ctx context.Context, n int64, _ func() (net.Conn, error)) (net.Conn, error) {
+	d := &fakeNetwork{outcome: func(ctx context.Context, n int64, _ func() (net.Conn, error)) (net.Conn, error) {
 		if n == 0 {
 			return blockUntilDone(ctx)
 		}
@@ -153,7 +153,7 @@
 
 // Checks that a further attempt starts only if a place in the pool is free: it must not exceed the limit on connections.
 func TestParallelAttemptNeedsFreePlace(t *testing.T) {
-	d := &fakeNetwork{respond: func(ctx context.Context, _ int64, _ func() (net.Conn, error)) (net.Conn, error) {
+	d := &fakeNetwork{outcome: func(ctx context.Context, _ int64, _ func() (net.Conn, error)) (net.Conn, error) {
 		return blockUntilDone(ctx)
 	}}
 	pool, _ := newPool(t, d, func(l *limits.Limits) { l.Nodes.Conns, l.Nodes.ConnectTimeout = 1, 20*l.Nodes.HedgeDelay })
@@ -170,7 +170,7 @@
 // retried, and if it still fails, the error says nothing about the node.
 func TestLocalErrorsDoNotCountAgainstNode(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN} {
-		d := &fakeNetwork{respond: func(_ context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error) {
+		d := &fakeNetwork{outcome: func(_ context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error) {
 			if n < 5 {
 				return nil, os.NewSyscallError("socket", errno)
 			}
@@ -185,7 +185,7 @@
 		pool.Release(c, false)
 		waitForOpen(t, pool, 0)
 	}
-	d := &fakeNetwork{respond: func(context.Context, int64, func() (net.Conn, error)) (net.Conn, error) {
+	d := &fakeNetwork{outcome: func(context.Context, int64, func() (net.Conn, error)) (net.Conn, error) {
 		return nil, os.NewSyscallError("socket", syscall.EMFILE)
 	}}
 	pool, _ := newPool(t, d, func(l *limits.Limits) {
@@ -200,7 +200,7 @@
 // Guards against a request on a connection that its node has closed, after a reload shortened the idle timeout: the new timeout
 // must also apply to connections that are already idle.
 func TestReloadedIdleTimeoutAppliesToIdleConnections(t *testing.T) {
-	d := &fakeNetwork{respond: func(_ context.Context, _ int64, open func() (net.Conn, error)) (net.Conn, error) { return open() }}
+	d := &fakeNetwork{outcome: func(_ context.Context, _ int64, open func() (net.Conn, error)) (net.Conn, error) { return open() }}
 	pool, _ := newPool(t, d, func(l *limits.Limits) { l.Nodes.ReuseDelay = 0 })
 	for i, idle := range []time.Duration{time.Hour, 0} {
 		pool.Reconfigure(limits.NodeLimits{IdleTimeout: idle})
--- a/internal/net/transport/nodes/nodes.go
+++ b/internal/net/transport/nodes/nodes.go
@@ -49,7 +49,7 @@
 	net.Conn
 	Session   T
 	node      *node[T]
-	idleSince time.Time
+	idleSince time.Time // time of the last release
 }
 
 // State is the state of a node, for operators.
--- a/internal/net/transport/sftp/client.go
+++ b/internal/net/transport/sftp/client.go
@@ -36,8 +36,8 @@
 // session is an SFTP session with a node.
 type session struct {
 	*sftp.Client
-	conn *countingConn
-	dead atomic.Bool
+	countingConn *countingConn
+	dead         atomic.Bool
 }
 
 // countingConn counts the bytes of an exchange on a connection and limits those of an answer.
@@ -74,7 +74,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("open SFTP session: %w", err)
 			}
-			s := &session{Client: client, conn: wire}
+			s := &session{Client: client, countingConn: wire}
 			go func() {
 				client.Wait()
 				s.dead.Store(true)
@@ -103,7 +103,7 @@
 	case err != nil:
 		return files.Reply{}, scheduler.AttemptEnded{Result: scheduler.Unreachable}
 	}
-	wire := conn.Session.conn
+	wire := conn.Session.countingConn
 	wire.onFirstByte = a.Written
 	wire.written.Store(0)
 	wire.read.Store(0)
--- a/internal/net/transport/sftp/client_conn.go
+++ b/internal/net/transport/sftp/client_conn.go
@@ -45,9 +45,9 @@
 	writeMu       sync.Mutex
 }
 
-func newClientConn(f *Front, conn net.Conn) *clientConn {
+func newClientConn(f *Front, c net.Conn) *clientConn {
 	client := &clientConn{
-		front: f, conn: conn, in: bufio.NewReaderSize(conn, lengthBytes+f.limits.Files.PacketBytes),
+		front: f, conn: c, in: bufio.NewReaderSize(c, lengthBytes+f.limits.Files.PacketBytes),
 		handles: map[string]handle{}, transferSlots: make(chan struct{}, f.limits.Files.Transfers),
 	}
 	client.ctx, client.cancel = context.WithCancelCause(context.Background())
--- a/internal/net/transport/sftp/disconnect_test.go
+++ b/internal/net/transport/sftp/disconnect_test.go
@@ -22,7 +22,7 @@
 		return false
 	}
 	b := newTestbed(t, 5*time.Second, nil, node.Addr)
-	raw := b.dialRawWithFolder()
+	raw := b.rawWithFolder()
 	for i := range 20 {
 		raw.Write(standin.Command(14, uint32(i), fmt.Sprint("/a/", i), uint32(0)))
 	}
--- a/internal/net/transport/sftp/front.go
+++ b/internal/net/transport/sftp/front.go
@@ -32,32 +32,32 @@
 
 // Front serves SFTP clients.
 type Front struct {
-	site     Site
-	limits   limits.Limits
-	core     *routing.Core
-	attempt  Attempter
-	counters map[string]*counters // by project
-	slots    chan struct{}        // holds one element per command that is submitted to the scheduler
-	ids      atomic.Int64
-	mu       sync.Mutex
-	conns    map[*clientConn]struct{}
-	closing  bool
-	clients  sync.WaitGroup
+	site      Site
+	limits    limits.Limits
+	core      *routing.Core
+	attempt   Attempter
+	byProject map[string]*counters // by project
+	slots     chan struct{}        // holds one element per command that is submitted to the scheduler
+	ids       atomic.Int64
+	mu        sync.Mutex
+	conns     map[*clientConn]struct{}
+	closing   bool
+	clients   sync.WaitGroup
 }
 
 // NewFront returns a front.
 func NewFront(site Site, l limits.Limits, core *routing.Core, attempt Attempter) *Front {
 	f := &Front{
 		site: site, limits: l, core: core, attempt: attempt, conns: map[*clientConn]struct{}{},
-		counters: map[string]*counters{}, slots: make(chan struct{}, l.Requests.Open),
+		byProject: map[string]*counters{}, slots: make(chan struct{}, l.Requests.Open),
 	}
 	for _, p := range site.Projects {
-		f.counters[p.Name] = &counters{}
+		f.byProject[p.Name] = &counters{}
 	}
 	return f
 }
 
-// counters counts a project's commands by result.
+// byProject counts a project's commands by result.
 type counters struct{ served, refused, failed atomic.Int64 }
 
 // Count is a snapshot of a project's counters.
@@ -65,7 +65,7 @@
 
 // Count returns how many of a project's commands ended with each result.
 func (f *Front) Count(project string) Count {
-	counts := f.counters[project]
+	counts := f.byProject[project]
 	if counts == nil {
 		return Count{}
 	}
@@ -153,5 +153,5 @@
 		ID: "sftp-" + strconv.FormatInt(f.ids.Add(1), 10), Class: f.site.Classes[role],
 		Plan: project.Plan, Volume: project.Name, Key: cmd.Path, Units: cmd.Units(f.site.Sizes), Shard: project.Shard,
 		Fronts: 1, TimeLeft: scheduler.Micros(f.site.Wait[role] / time.Microsecond),
-	}, f.counters[project.Name], nil
+	}, f.byProject[project.Name], nil
 }
--- a/internal/net/transport/sftp/front_test.go
+++ b/internal/net/transport/sftp/front_test.go
@@ -138,7 +138,7 @@
 	if err := c.Mkdir("/a/folder"); err != nil {
 		t.Error(err)
 	}
-	raw := b.dialRaw()
+	raw := b.raw()
 	raw.send(13, "/a/folder") // remove, which applies only to files
 	if kind, body := raw.reply(); kind != 101 || binary.BigEndian.Uint32(body[4:]) != 4 {
 		t.Errorf("remove of a folder: kind %d, %q", kind, body)
@@ -224,7 +224,7 @@
 	if err := setUp.Mkdir("/a"); err != nil {
 		t.Fatal(err)
 	}
-	raw := b.dialRaw()
+	raw := b.raw()
 	handle := raw.create(t, "/a/cut")
 	raw.send(6, handle, uint64(0), "whole")
 	standin.Await(t, "the complete write at the node", started)
@@ -337,7 +337,7 @@
 		"string too long": {0, 0, 0, 9, 17, 0, 0, 0, 1, 0xff, 0xff, 0xff, 0xff},
 		"short setstat":   standin.Command(9, 1, "/a", uint32(0xf)),
 	} {
-		raw := b.dialRaw()
+		raw := b.raw()
 		raw.Write(bad)
 		raw.Conn.(*net.TCPConn).CloseWrite()
 		if _, err := io.Copy(io.Discard, raw); err != nil && !errors.Is(err, net.ErrClosed) &&
@@ -364,7 +364,7 @@
 		t.Fatal(err)
 	}
 	node.Before, node.After = cut, cut
-	raw := b.dialRaw()
+	raw := b.raw()
 	kinds := []byte{17, 7, 11, 14, 13, 3, 18, 9, 200} // stat, lstat, opendir, mkdir, remove, open, rename, setstat, extended
 	const n = 90
 	go func() {
@@ -411,7 +411,7 @@
 		return false
 	}
 	b := newTestbed(t, 5*time.Second, nil, node.Addr)
-	raw := b.dialRaw()
+	raw := b.raw()
 	handle := raw.create(t, "/a")
 	var all []byte
 	for i := range uint32(n) {
@@ -483,7 +483,7 @@
 // rawConn is a client that sends and reads single packets.
 type rawConn struct{ net.Conn }
 
-func (b *testbed) dialRaw() *rawConn {
+func (b *testbed) raw() *rawConn {
 	b.t.Helper()
 	c, err := net.Dial("tcp", b.addr)
 	if err != nil {
--- a/internal/net/transport/sftp/upload_test.go
+++ b/internal/net/transport/sftp/upload_test.go
@@ -43,10 +43,10 @@
 	return r.status(standin.Command(4, chunks, handle)) == 0 && last == 0
 }
 
-// dialRawWithFolder creates the folder /a and returns the client that did so.
-func (b *testbed) dialRawWithFolder() *rawConn {
+// rawWithFolder creates the folder /a and returns the client that did so.
+func (b *testbed) rawWithFolder() *rawConn {
 	b.t.Helper()
-	raw := b.dialRaw()
+	raw := b.raw()
 	if code := raw.status(standin.Command(14, 0, "/a", uint32(0))); code != 0 {
 		b.t.Fatalf("mkdir: code %d", code)
 	}
@@ -109,11 +109,11 @@
 			delayWrites(node, 20*time.Millisecond)
 			b := newTestbed(t, time.Second, func(l *limits.Limits) { l.Files.AdmitTimeout = standin.Patience }, node.Addr)
 			data := randomContent(2 << 20 / clients)
-			b.dialRawWithFolder()
+			b.rawWithFolder()
 			var all sync.WaitGroup
 			good := make([]bool, clients)
 			for i := range good {
-				raw := b.dialRaw()
+				raw := b.raw()
 				all.Go(func() { good[i] = raw.upload(t, fmt.Sprint("/a/f", i), data, 64) })
 			}
 			all.Wait()
@@ -146,7 +146,7 @@
 	}
 	defer close(resume)
 	b := newTestbed(t, 500*time.Millisecond, nil, node.Addr)
-	raw := b.dialRawWithFolder()
+	raw := b.rawWithFolder()
 	handle, other := raw.create(t, "/a/f"), raw.create(t, "/a/g")
 	raw.Write(slices.Concat(standin.Command(6, 1, handle, uint64(0), "a"), standin.Command(6, 2, handle, uint64(1), "b")))
 	codes := map[uint32]uint32{}
@@ -180,7 +180,7 @@
 func TestUploadWhileItsNodeDrains(t *testing.T) {
 	node := standin.NewFileServer(t)
 	b := newTestbed(t, 200*time.Millisecond, nil, node.Addr)
-	raw := b.dialRawWithFolder()
+	raw := b.rawWithFolder()
 	handle := raw.create(t, "/a/f")
 	if raw.status(standin.Command(6, 1, handle, uint64(0), "a")) != 0 {
 		t.Fatal("the first write failed")
@@ -216,7 +216,7 @@
 		return false
 	}
 	b := newTestbed(t, 5*time.Second, nil, node.Addr)
-	raw := b.dialRawWithFolder()
+	raw := b.rawWithFolder()
 	handle := raw.create(t, "/a/f")
 	const times = 20
 	for i := range uint32(times) {
