--- a/internal/net/protocol/list.go
+++ b/internal/net/protocol/list.go
@@ -34,8 +34,8 @@
 	return -1 - int(crc32.ChecksumIEEE([]byte(name)))
 }
 
-// ParseList parses an answer of discovery. If any field can't be parsed, the whole list is rejected. An entry whose node starts
-// after now is impossible; if now is 0, any start time is accepted.
+// ParseList parses an answer of discovery. If any field can't be parsed, the whole list is rejected. An entry with a negative shard
+// or start time, or with a start after now, is impossible and ignored. If now is 0, any start time is accepted.
 func ParseList(text []byte, zones []string, now scheduler.Micros) (List, error) {
 	var in struct {
 		Seq   *int64
--- a/internal/net/protocol/sftp/packet/reply.go
+++ b/internal/net/protocol/sftp/packet/reply.go
@@ -18,7 +18,7 @@
 	Unsupported
 )
 
-// encode builds a packet: length, kind, then the bytes that fill adds. It allocates room for the given size in advance.
+// encode builds a packet: length, kind, then the bytes that fill adds. It allocates the given capacity in advance.
 func encode(kind Kind, capacity int, fill func(b *cryptobyte.Builder)) []byte {
 	b := cryptobyte.NewBuilder(make([]byte, 0, 16+capacity))
 	addLengthPrefixed(b, func(b *cryptobyte.Builder) {
--- a/internal/net/protocol/sftp/packet/request.go
+++ b/internal/net/protocol/sftp/packet/request.go
@@ -10,7 +10,7 @@
 	"golang.org/x/crypto/cryptobyte"
 )
 
-// Version is the version of the protocol. OpenSSH and most other clients use version 3.
+// Version is the version of the protocol. OpenSSH and the programs derived from it use version 3.
 const Version = 3
 
 // Kind is a packet's type (section 3 of the draft).
--- a/internal/net/transport/nodes/dial_test.go
+++ b/internal/net/transport/nodes/dial_test.go
@@ -16,7 +16,7 @@
 	"otterturn/scheduler"
 )
 
-// fakeNetwork replaces the network: its function determines the result of each attempt to connect, numbered from 0.
+// fakeNetwork replaces the network: outcome returns the result of each attempt to connect, numbered from 0.
 type fakeNetwork struct {
 	attempts atomic.Int64
 	outcome  func(ctx context.Context, n int64, open func() (net.Conn, error)) (net.Conn, error)
--- a/internal/net/transport/sftp/client.go
+++ b/internal/net/transport/sftp/client.go
@@ -124,7 +124,7 @@
 	return files.Reply{}, scheduler.AttemptEnded{Result: scheduler.Reset, Alive: c.Reconnect(a.Node)}
 }
 
-// execute executes a command on a session.
+// execute runs a command on a session.
 func execute(s *sftp.Client, cmd files.Command) (reply files.Reply, err error) {
 	switch cmd.Op {
 	case files.Stat:
--- a/internal/net/transport/sftp/commands.go
+++ b/internal/net/transport/sftp/commands.go
@@ -16,7 +16,7 @@
 // maxEntriesPerAnswer is the maximum number of entries in one answer to a Readdir.
 const maxEntriesPerAnswer = 100
 
-// execute executes a command other than a read or a write, while no other command runs, and returns the encoded answer.
+// execute runs a command other than a read or a write, while no other command runs, and returns the encoded answer.
 func (c *clientConn) execute(r packet.Request) []byte {
 	name := files.Clean(r.Path)
 	var err error
