--- a/internal/net/protocol/list.go
+++ b/internal/net/protocol/list.go
@@ -10,32 +10,32 @@
 	"otterturn/scheduler"
 )
 
-// List is discovery's list of nodes, or the entries of it that changed.
+// List is an answer of discovery: the whole endpoint list, or the entries that changed.
 type List struct {
 	Seq   int64
 	Whole bool
 	Hosts []Host
-	Odd   []string // nodes with an entry that can't be true: it is left out, and what was known of the node stays
+	Odd   []string // nodes with an impossible entry, which is ignored: what was known of the node stays
 }
 
-// Host is one node's entry: what the scheduler is told of it, and the address for sockets.
+// Host is a node's entry: its endpoint as the scheduler knows it, and the address to connect to.
 type Host struct {
 	scheduler.Endpoint
 	Dial string
 }
 
-var healths = map[string]scheduler.NodeState{"up": scheduler.Running, "draining": scheduler.Draining, "removed": scheduler.Removed}
+var nodeStates = map[string]scheduler.NodeState{"up": scheduler.Running, "draining": scheduler.Draining, "removed": scheduler.Removed}
 
-// zone numbers a zone. One that the settings do not name still differs from the others.
-func zone(zones []string, name string) int {
+// zoneIndex returns the index of a zone. A zone that the settings do not name gets a negative number of its own, derived from its name.
+func zoneIndex(zones []string, name string) int {
 	if i := slices.Index(zones, name); i >= 0 {
 		return i
 	}
 	return -1 - int(crc32.ChecksumIEEE([]byte(name)))
 }
 
-// ParseList reads an answer of discovery. A list that can't be read anywhere is no list at all. No node has started
-// after the time given, 0 for any.
+// ParseList parses an answer of discovery. If any field can't be parsed, the whole list is rejected. An entry with a negative shard
+// or start time, or with a start after now, is impossible and ignored. If now is 0, any start time is accepted.
 func ParseList(text []byte, zones []string, now scheduler.Micros) (List, error) {
 	var in struct {
 		Seq   *int64
@@ -57,7 +57,7 @@
 	}
 	out := List{Seq: *in.Seq, Whole: in.Whole}
 	for i, h := range in.Hosts {
-		state, ok := healths[h.Health]
+		state, ok := nodeStates[h.Health]
 		_, err := netip.ParseAddrPort(h.Dial)
 		switch {
 		case h.Host == "":
@@ -73,7 +73,7 @@
 		}
 		out.Hosts = append(out.Hosts, Host{Dial: h.Dial, Endpoint: scheduler.Endpoint{
 			Node: h.Host,
-			Zone: zone(zones, h.Site), Shard: h.Block, State: state, StartedAt: scheduler.Micros(h.BornMs * 1000),
+			Zone: zoneIndex(zones, h.Site), Shard: h.Block, State: state, StartedAt: scheduler.Micros(h.BornMs * 1000),
 		}})
 	}
 	return out, nil
--- a/internal/net/protocol/request.go
+++ b/internal/net/protocol/request.go
@@ -18,28 +18,28 @@
 
 // Headers of the platform's messages.
 const (
-	headerID          = "X-Correlation-Id"
-	headerClass       = "X-Service-Class"
-	headerPlan        = "X-Plan"
-	headerLeft        = "X-Time-Left"
-	headerIO          = "X-IO"
-	headerRepeat      = "X-Repeat"
-	headerKey         = "Idempotency-Key"
-	headerType        = "Content-Type"
-	headerUnprocessed = "X-Unprocessed"
-	headerElsewhere   = "X-Served-Elsewhere"
+	headerID              = "X-Correlation-Id"
+	headerClass           = "X-Service-Class"
+	headerPlan            = "X-Plan"
+	headerTimeLeft        = "X-Time-Left"
+	headerIO              = "X-IO"
+	headerRepeat          = "X-Repeat"
+	headerIdempotencyKey  = "Idempotency-Key"
+	headerContentType     = "Content-Type"
+	headerUnprocessed     = "X-Unprocessed"
+	headerServedElsewhere = "X-Served-Elsewhere"
 )
 
-// ErrNoPath tells that a request's path is none that the front serves.
+// ErrNoPath reports that the front does not serve a request's path.
 var ErrNoPath = errors.New("unknown path")
 
-// longestID bounds what clients may have the scheduler keep.
-const longestID = 128
+// maxIDBytes is the maximum length of an id in bytes. It limits the scheduler's memory per request, since clients choose the ids.
+const maxIDBytes = 128
 
-// forwarded are the headers that nodes have a use for. Each may stand once: a node might go by the other one.
-var forwarded = []string{headerID, headerClass, headerPlan, headerLeft, headerIO, headerRepeat, headerKey, headerType}
+// forwarded lists the headers that are passed on to nodes. A request may have each only once, because a node might use the other value.
+var forwarded = []string{headerID, headerClass, headerPlan, headerTimeLeft, headerIO, headerRepeat, headerIdempotencyKey, headerContentType}
 
-// Forwarded are the headers of a client's request that pass on.
+// Forwarded returns the headers of a client's request that are passed on to nodes.
 func Forwarded(h http.Header) http.Header {
 	out := http.Header{}
 	for _, name := range forwarded {
@@ -50,32 +50,32 @@
 	return out
 }
 
-// hex tells whether a text is that of 16 hex digits, as volumes and pieces of data are named.
-func hex(text string) bool {
+// isHexID reports whether a text consists of 16 hex digits, as the names of volumes and chunks do.
+func isHexID(text string) bool {
 	_, err := strconv.ParseUint(text, 16, 64)
 	return len(text) == 16 && err == nil
 }
 
-// token tells whether a text is an id that any reader takes for the same.
-func token(text string) bool {
-	return text != "" && len(text) <= longestID && !strings.ContainsFunc(text, func(c rune) bool {
+// isValidID reports whether a text is a valid id: one without characters that another parser might treat differently.
+func isValidID(text string) bool {
+	return text != "" && len(text) <= maxIDBytes && !strings.ContainsFunc(text, func(c rune) bool {
 		return c <= ' ' || c > '~' || c == ',' || c == '"'
 	})
 }
 
-// Request is a client's request: what the scheduler is told of it. Method, path, query and other headers pass
-// on with the HTTP request; Body is set once it has come whole.
+// Request is a client's request as the scheduler sees it. Method, path, query and other headers are passed on with the HTTP
+// request. Body is set once it has been read completely.
 type Request struct {
 	scheduler.Request
 	Body []byte
 }
 
-// ParseRequest reads the head of a client's request. What a node could not use ends here: it would close the
-// connection, which says that it is in trouble.
+// ParseRequest parses the head of a client's request. It rejects a request that a node could not parse, because the node would
+// close the connection, which counts as a failure of the node.
 func ParseRequest(r *http.Request, set Settings) (Request, error) {
 	parts := strings.Split(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class := slices.Index(set.Classes, parts[0])
-	if len(parts) != 3 || parts[0] == "" || class < 0 || !hex(parts[1]) || !hex(parts[2]) || r.URL.RawPath != "" {
+	if len(parts) != 3 || parts[0] == "" || class < 0 || !isHexID(parts[1]) || !isHexID(parts[2]) || r.URL.RawPath != "" {
 		return Request{}, ErrNoPath
 	}
 	for _, name := range forwarded {
@@ -87,7 +87,8 @@
 		ID: r.Header.Get(headerID), Class: class,
 		Plan: slices.Index(set.Plans, r.Header.Get(headerPlan)), Volume: parts[1], Key: parts[2],
 	}}
-	key, keyed := r.Header.Get(headerKey), class < len(set.Scheduler.Classes) && set.Scheduler.Classes[class].Idempotency == scheduler.IdempotentByKey
+	key, keyRequired := r.Header.Get(headerIdempotencyKey), class < len(set.Scheduler.Classes) &&
+		set.Scheduler.Classes[class].Idempotency == scheduler.IdempotentByKey
 	switch {
 	case r.Method != http.MethodGet && r.Method != http.MethodPut:
 		return Request{}, fmt.Errorf("method %q", r.Method)
@@ -95,49 +96,49 @@
 		return Request{}, fmt.Errorf("a read with a body")
 	case class < len(set.Writes) && set.Writes[class] != (r.Method == http.MethodPut):
 		return Request{}, fmt.Errorf("method %q is not the class's", r.Method)
-	case !token(out.ID):
-		return Request{}, fmt.Errorf("%s: not 1 to %d plain characters", headerID, longestID)
-	case key != "" && !token(key) || keyed && key == "":
-		return Request{}, fmt.Errorf("%s: missing, or not up to %d plain characters", headerKey, longestID)
+	case !isValidID(out.ID):
+		return Request{}, fmt.Errorf("%s: not 1 to %d plain characters", headerID, maxIDBytes)
+	case key != "" && !isValidID(key) || keyRequired && key == "":
+		return Request{}, fmt.Errorf("%s: missing, or not up to %d plain characters", headerIdempotencyKey, maxIDBytes)
 	case r.Header.Get(headerClass) != parts[0]:
 		return Request{}, fmt.Errorf("%s: not the path's class", headerClass)
 	case out.Plan < 0:
 		return Request{}, fmt.Errorf("%s: unknown plan", headerPlan)
 	}
-	left, err := parseLeft(r.Header.Get(headerLeft))
+	timeLeft, err := parseTimeLeft(r.Header.Get(headerTimeLeft))
 	if err != nil {
-		return Request{}, fmt.Errorf("%s: %w", headerLeft, err)
+		return Request{}, fmt.Errorf("%s: %w", headerTimeLeft, err)
 	}
-	out.TimeLeft = min(left, scheduler.Micros(set.LongestWait/time.Microsecond))
+	out.TimeLeft = min(timeLeft, scheduler.Micros(set.LongestWait/time.Microsecond))
 	if err := parseIO(r.Header.Get(headerIO), &out, set); err != nil {
 		return Request{}, fmt.Errorf("%s: %w", headerIO, err)
 	}
 	return out, nil
 }
 
-// FormatRequest writes a request to a front as ParseRequest reads it, for clients. Writes carry their id as their key.
-func FormatRequest(ctx context.Context, addr string, set Settings, q scheduler.Request) (*http.Request, error) {
+// FormatRequest builds a client's HTTP request to a front, as ParseRequest reads it. Writes use their id as the idempotency key.
+func FormatRequest(ctx context.Context, addr string, set Settings, request scheduler.Request) (*http.Request, error) {
 	method, body := http.MethodGet, io.Reader(nil)
-	if q.Class < len(set.Writes) && set.Writes[q.Class] {
-		method, body = http.MethodPut, strings.NewReader(q.ID)
+	if request.Class < len(set.Writes) && set.Writes[request.Class] {
+		method, body = http.MethodPut, strings.NewReader(request.ID)
 	}
-	class := set.Classes[q.Class]
-	r, err := http.NewRequestWithContext(ctx, method, fmt.Sprintf("http://%s/%s/%s/%s", addr, class, q.Volume, q.Key), body)
+	class := set.Classes[request.Class]
+	r, err := http.NewRequestWithContext(ctx, method, fmt.Sprintf("http://%s/%s/%s/%s", addr, class, request.Volume, request.Key), body)
 	if err != nil {
 		return nil, err
 	}
-	r.Header.Set(headerID, q.ID)
+	r.Header.Set(headerID, request.ID)
 	r.Header.Set(headerClass, class)
-	r.Header.Set(headerPlan, set.Plans[q.Plan])
-	r.Header.Set(headerLeft, formatLeft(time.Duration(q.TimeLeft)*time.Microsecond))
-	r.Header.Set(headerIO, fmt.Sprintf("units=%v,shard=%d,hosts=%d", q.Units, q.Shard, max(q.Fronts, 1)))
+	r.Header.Set(headerPlan, set.Plans[request.Plan])
+	r.Header.Set(headerTimeLeft, formatTimeLeft(time.Duration(request.TimeLeft)*time.Microsecond))
+	r.Header.Set(headerIO, fmt.Sprintf("units=%v,shard=%d,hosts=%d", request.Units, request.Shard, max(request.Fronts, 1)))
 	if method == http.MethodPut {
-		r.Header.Set(headerKey, q.ID)
+		r.Header.Set(headerIdempotencyKey, request.ID)
 	}
 	return r, nil
 }
 
-// ParseRetryAfter reads the advice when to come back, 0 where there is none.
+// ParseRetryAfter returns the Retry-After header, or 0 if it is missing or invalid.
 func ParseRetryAfter(h http.Header) scheduler.Micros {
 	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0 && seconds < 1e6) {
@@ -146,8 +147,8 @@
 	return scheduler.Micros(seconds * 1e6)
 }
 
-// parseLeft reads a time with its unit: m for milliseconds, u for microseconds.
-func parseLeft(text string) (scheduler.Micros, error) {
+// parseTimeLeft parses a time with its unit: m for milliseconds, u for microseconds.
+func parseTimeLeft(text string) (scheduler.Micros, error) {
 	unit := scheduler.Micros(1)
 	digits, micro := strings.CutSuffix(text, "u")
 	if !micro {
@@ -164,13 +165,13 @@
 	return scheduler.Micros(n * float64(unit)), nil
 }
 
-// formatLeft writes a time as parseLeft reads it.
-func formatLeft(d time.Duration) string {
+// formatTimeLeft formats a time as parseTimeLeft reads it.
+func formatTimeLeft(d time.Duration) string {
 	return strconv.FormatInt(max(1, d.Microseconds()), 10) + "u"
 }
 
-// parseIO reads a request's size and place. The scheduler keeps what it has once heard of a volume and a shard, so
-// a figure that can't be would stay.
+// parseIO parses a request's size and location. The scheduler keeps what it learns of a volume and a shard, so an impossible value
+// would remain in use.
 func parseIO(text string, out *Request, set Settings) error {
 	seen := map[string]bool{}
 	for pair := range strings.SplitSeq(text, ",") {
@@ -183,16 +184,16 @@
 		if err != nil {
 			return fmt.Errorf("%s %q is no number", name, value)
 		}
-		good, whole := true, n == math.Trunc(n)
+		valid, isInteger := true, n == math.Trunc(n)
 		switch name {
 		case "units":
-			good, out.Units = n > 0 && n <= cmp.Or(set.Scheduler.MaxUnits, 1e6), n
+			valid, out.Units = n > 0 && n <= cmp.Or(set.Scheduler.MaxUnits, 1e6), n
 		case "shard":
-			good, out.Shard = whole && n >= -1 && n < float64(set.Shards), int(n)
+			valid, out.Shard = isInteger && n >= -1 && n < float64(set.Shards), int(n)
 		case "hosts":
-			good, out.Fronts = whole && n >= 1 && n <= float64(cmp.Or(set.Scheduler.Fronts, 1e6)), int(n)
+			valid, out.Fronts = isInteger && n >= 1 && n <= float64(cmp.Or(set.Scheduler.Fronts, 1e6)), int(n)
 		}
-		if !good {
+		if !valid {
 			return fmt.Errorf("%s %q is out of range", name, value)
 		}
 	}
@@ -202,13 +203,13 @@
 	return nil
 }
 
-// SetLeft tells a node how long the front will wait.
-func SetLeft(h http.Header, left time.Duration) { h.Set(headerLeft, formatLeft(left)) }
+// SetLeft sets the header that tells a node how long the front will wait for its answer.
+func SetLeft(h http.Header, left time.Duration) { h.Set(headerTimeLeft, formatTimeLeft(left)) }
 
-// ParseOutcome tells from a node's answer how the attempt ended.
+// ParseOutcome returns the result of an attempt, given the node's answer.
 func ParseOutcome(status int, h http.Header) scheduler.AttemptEnded {
 	out := scheduler.AttemptEnded{Result: scheduler.Errored}
-	if n, err := strconv.ParseFloat(h.Get(headerElsewhere), 64); err == nil && n > 0 && n < 1e6 {
+	if n, err := strconv.ParseFloat(h.Get(headerServedElsewhere), 64); err == nil && n > 0 && n < 1e6 {
 		out.ServedElsewhere = n
 	}
 	switch {
@@ -222,17 +223,17 @@
 	return out
 }
 
-// SetRetryAfter advises a client when to come back, in decimal seconds.
+// SetRetryAfter sets the Retry-After header, in decimal seconds.
 func SetRetryAfter(h http.Header, after time.Duration) {
 	h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
 }
 
-// ParseLoad reads the queue from a load report such as "TEXT inflight=7, queue=2, util=0.61". Its fields have the
-// names that the settings give them.
+// ParseLoad returns the length of the queue in a load report such as "TEXT inflight=7, queue=2, util=0.61". The settings give the
+// name of the field.
 func ParseLoad(text, field string) (queue float64, err error) {
 	fields, ok := strings.CutPrefix(strings.TrimSpace(text), "TEXT ")
 	if !ok {
-		return 0, fmt.Errorf("load report: no TEXT form")
+		return 0, fmt.Errorf("load report: prefix TEXT is missing")
 	}
 	for pair := range strings.SplitSeq(fields, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
@@ -241,7 +242,7 @@
 		}
 		n, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(n >= 0 && n < 1e6) {
-			return 0, fmt.Errorf("load report: %s %q is no number", field, value)
+			return 0, fmt.Errorf("load report: %s %q is not a number in range", field, value)
 		}
 		return n, nil
 	}
--- a/internal/net/transport/nodes/state.go
+++ b/internal/net/transport/nodes/state.go
@@ -9,25 +9,25 @@
 	"otterturn/scheduler"
 )
 
-// States lists the nodes by name.
-func (s *Pool[T]) States() []State {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// States returns the nodes, sorted by name.
+func (p *Pool[T]) States() []State {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var out []State
-	for _, n := range s.byName {
+	for _, n := range p.byName {
 		out = append(out, State{Host: n.Host, Idle: len(n.idle)})
 	}
 	slices.SortFunc(out, func(a, b State) int { return cmp.Compare(a.Node, b.Node) })
 	return out
 }
 
-// Running is the condition under which a node gets new work.
+// Running reports whether a node in this state may get new requests.
 func Running(state scheduler.NodeState) bool { return state == scheduler.Running }
 
-// AnyState is the condition for probes.
+// AnyState accepts a node in any state. Health checks use it.
 func AnyState(scheduler.NodeState) bool { return true }
 
-// Reconfigure has connections be idle no longer than other settings allow, those that are idle already too.
-func (s *Pool[T]) Reconfigure(l limits.NodeLimits) { s.idle.Store(int64(l.IdleTimeout)) }
+// Reconfigure applies a new idle timeout, also to connections that are already idle.
+func (p *Pool[T]) Reconfigure(l limits.NodeLimits) { p.idle.Store(int64(l.IdleTimeout)) }
 
-func (s *Pool[T]) idleTimeout() time.Duration { return time.Duration(s.idle.Load()) }
+func (p *Pool[T]) idleTimeout() time.Duration { return time.Duration(p.idle.Load()) }
--- a/internal/net/transport/sftp/client.go
+++ b/internal/net/transport/sftp/client.go
@@ -1,4 +1,4 @@
-// Package sftp holds the sockets of the second front: SFTP version 3 over plain TCP, from clients and to nodes.
+// Package sftp is the front for SFTP: it serves SFTP version 3 over TCP or TLS to clients, and sends their commands to nodes over TCP.
 package sftp
 
 import (
@@ -22,13 +22,13 @@
 	"otterturn/scheduler"
 )
 
-// errAnswer tells that a node's answer passes its bound.
-var errAnswer = errors.New("the node's answer is too long")
+// errAnswerTooLong reports that a node's answer exceeds the limit on its size.
+var errAnswerTooLong = errors.New("node's answer is too long")
 
-// errImproper tells that a node's answer is none to the command.
-var errImproper = errors.New("the node's answer is none to the command")
+// errUnexpectedAnswer reports an answer of a node that has the wrong type for the command.
+var errUnexpectedAnswer = errors.New("node's answer does not fit the command")
 
-// Client carries commands to nodes, one at a time on a connection.
+// Client sends commands to nodes, one at a time per connection.
 type Client struct {
 	*nodes.Pool[*session]
 }
@@ -36,31 +36,31 @@
 // session is an SFTP session with a node.
 type session struct {
 	*sftp.Client
-	wire *wire
-	dead atomic.Bool
+	countingConn *countingConn
+	dead         atomic.Bool
 }
 
-// wire counts what an exchange moves over a connection.
-type wire struct {
+// countingConn counts the bytes of an exchange on a connection and limits those of an answer.
+type countingConn struct {
 	net.Conn
-	bound   int64
-	written atomic.Int64 // bytes since the exchange began
-	read    atomic.Int64
-	begun   func() // hears of the first byte of the exchange that is under way
+	maxRead     int64
+	written     atomic.Int64 // bytes since the start of the exchange
+	read        atomic.Int64
+	onFirstByte func() // called after the first byte of the current exchange was written
 }
 
-func (w *wire) Write(b []byte) (int, error) {
-	n, err := w.Conn.Write(b)
-	if n > 0 && w.written.Add(int64(n)) == int64(n) {
-		w.begun()
+func (c *countingConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	if n > 0 && c.written.Add(int64(n)) == int64(n) {
+		c.onFirstByte()
 	}
 	return n, err
 }
 
-func (w *wire) Read(b []byte) (int, error) {
-	n, err := w.Conn.Read(b)
-	if w.read.Add(int64(n)) > w.bound {
-		return 0, errAnswer // an endless listing must not fill the memory
+func (c *countingConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	if c.read.Add(int64(n)) > c.maxRead {
+		return 0, errAnswerTooLong // an endless listing must not exhaust the memory
 	}
 	return n, err
 }
@@ -69,12 +69,12 @@
 func NewClient(l limits.Limits) *Client {
 	return &Client{Pool: nodes.New(l, nodes.Session[*session]{
 		Open: func(c net.Conn) (*session, error) {
-			w := &wire{Conn: c, bound: l.Files.ResponseBytes, begun: func() {}}
-			client, err := sftp.NewClientPipe(w, w)
+			wire := &countingConn{Conn: c, maxRead: l.Files.ResponseBytes, onFirstByte: func() {}}
+			client, err := sftp.NewClientPipe(wire, wire)
 			if err != nil {
-				return nil, fmt.Errorf("start of the session: %w", err)
+				return nil, fmt.Errorf("open SFTP session: %w", err)
 			}
-			s := &session{Client: client, wire: w}
+			s := &session{Client: client, countingConn: wire}
 			go func() {
 				client.Wait()
 				s.dead.Store(true)
@@ -85,11 +85,11 @@
 	})}
 }
 
-// Attempt carries out a command at a node once and tells how that ended.
+// Attempt sends a command to a node once and returns the result of the attempt.
 func (c *Client) Attempt(ctx context.Context, a routing.Attempt, cmd files.Command) (files.Reply, scheduler.AttemptEnded) {
 	conn, err := c.Acquire(a.MayBegin, a.Node, nodes.Running)
 	denied := a.Permitted()
-	if err == nil && denied != nil { // it came up in that moment
+	if err == nil && denied != nil { // the permission ended while the connection was established
 		c.Release(conn, true)
 		err = denied
 	}
@@ -103,34 +103,34 @@
 	case err != nil:
 		return files.Reply{}, scheduler.AttemptEnded{Result: scheduler.Unreachable}
 	}
-	w := conn.Session.wire
-	w.begun = a.Written
-	w.written.Store(0)
-	w.read.Store(0)
-	unhook := context.AfterFunc(ctx, func() { conn.Close() }) // SFTP can't take a command back
-	reply, err := carryOut(conn.Session.Client, cmd)
-	said, broken := files.NodeStatus(err)
-	intact := unhook()
+	wire := conn.Session.countingConn
+	wire.onFirstByte = a.Written
+	wire.written.Store(0)
+	wire.read.Store(0)
+	stopClose := context.AfterFunc(ctx, func() { conn.Close() }) // SFTP has no way to cancel a command
+	reply, err := execute(conn.Session.Client, cmd)
+	nodeErr, broken := files.ClassifyNodeError(err)
+	intact := stopClose()
 	c.Release(conn, intact && !broken)
 	switch {
 	case !broken:
-		reply.Err = cmp.Or(reply.Err, said)
+		reply.Err = cmp.Or(reply.Err, nodeErr)
 		return reply, scheduler.AttemptEnded{Result: scheduler.OK}
 	case ctx.Err() != nil:
 		return files.Reply{}, scheduler.AttemptEnded{Result: scheduler.TimedOut}
-	case w.written.Load() == 0:
+	case wire.written.Load() == 0:
 		return files.Reply{}, scheduler.AttemptEnded{Result: scheduler.Unreachable}
 	}
 	return files.Reply{}, scheduler.AttemptEnded{Result: scheduler.Reset, Alive: c.Reconnect(a.Node)}
 }
 
-// carryOut runs a command on a session.
-func carryOut(s *sftp.Client, cmd files.Command) (reply files.Reply, err error) {
+// execute runs a command on a session.
+func execute(s *sftp.Client, cmd files.Command) (reply files.Reply, err error) {
 	switch cmd.Op {
 	case files.Stat:
-		return one(s.Stat(cmd.Path))
+		return singleInfo(s.Stat(cmd.Path))
 	case files.Lstat:
-		return one(s.Lstat(cmd.Path))
+		return singleInfo(s.Lstat(cmd.Path))
 	case files.Readlink:
 		reply.Text, err = s.ReadLink(cmd.Path)
 	case files.List:
@@ -151,7 +151,7 @@
 	case files.SetAttr:
 		err = setAttr(s, cmd)
 	case files.Remove:
-		// The library removes a folder where it finds no file of that name; the command means files alone.
+		// The library also removes a folder of that name, but this command must remove only files.
 		var info os.FileInfo
 		if info, err = s.Lstat(cmd.Path); err == nil && info.IsDir() {
 			reply.Err = files.Failure(cmd.Path + " is a folder")
@@ -170,23 +170,23 @@
 	return reply, err
 }
 
-// open opens a file. A node that answers 'ok' where a handle is due leaves the library without a file.
+// open opens a file. If a node answers with the status OK instead of a handle, the library returns neither a file nor an error.
 func open(s *sftp.Client, path string, flags int) (*sftp.File, error) {
 	f, err := s.OpenFile(path, flags)
 	if f == nil && err == nil {
-		err = errImproper
+		err = errUnexpectedAnswer
 	}
 	return f, err
 }
 
-// one is the answer about a single file. A node that answers 'ok' where attributes are due leaves the library
-// with an empty pointer, which would end the program once it is looked at.
-func one(info os.FileInfo, err error) (files.Reply, error) {
+// singleInfo returns the answer for a single file. If a node answers with the status OK instead of attributes, the library returns a nil
+// pointer inside info, and the program would panic when it used it.
+func singleInfo(info os.FileInfo, err error) (files.Reply, error) {
 	if err != nil {
 		return files.Reply{}, err
 	}
-	if about, ok := info.Sys().(*sftp.FileStat); !ok || about == nil {
-		return files.Reply{}, errImproper
+	if stat, ok := info.Sys().(*sftp.FileStat); !ok || stat == nil {
+		return files.Reply{}, errUnexpectedAnswer
 	}
 	return files.Reply{Infos: []os.FileInfo{info}}, nil
 }
@@ -206,38 +206,38 @@
 }
 
 func setAttr(s *sftp.Client, cmd files.Command) error {
-	to := cmd.Attrs
+	attrs := cmd.Attrs
 	var err error
-	if to.Has&packet.HasSize != 0 {
-		err = s.Truncate(cmd.Path, int64(to.Size))
+	if attrs.Has&packet.HasSize != 0 {
+		err = s.Truncate(cmd.Path, int64(attrs.Size))
 	}
-	if to.Has&packet.HasMode != 0 && err == nil {
-		err = s.Chmod(cmd.Path, os.FileMode(to.Mode).Perm())
+	if attrs.Has&packet.HasMode != 0 && err == nil {
+		err = s.Chmod(cmd.Path, os.FileMode(attrs.Mode).Perm())
 	}
-	if to.Has&packet.HasTimes != 0 && err == nil {
-		err = s.Chtimes(cmd.Path, time.Unix(int64(to.Atime), 0), time.Unix(int64(to.Mtime), 0))
+	if attrs.Has&packet.HasTimes != 0 && err == nil {
+		err = s.Chtimes(cmd.Path, time.Unix(int64(attrs.Atime), 0), time.Unix(int64(attrs.Mtime), 0))
 	}
-	if to.Has&packet.HasOwner != 0 && err == nil {
-		err = s.Chown(cmd.Path, int(to.UID), int(to.GID))
+	if attrs.Has&packet.HasOwner != 0 && err == nil {
+		err = s.Chown(cmd.Path, int(attrs.UID), int(attrs.GID))
 	}
 	return err
 }
 
-// Probe asks a node whether it answers at all; SFTP has no word for load.
+// Probe returns the health check of a node: whether it answers at all. SFTP has no load report.
 func (c *Client) Probe(l limits.Limits) func(node string) scheduler.HealthChecked {
 	return func(node string) scheduler.HealthChecked {
 		out := scheduler.HealthChecked{Node: node, Queue: -1}
-		ctx, release := context.WithTimeout(context.Background(), l.Nodes.ProbeTimeout)
-		defer release()
+		ctx, cancel := context.WithTimeout(context.Background(), l.Nodes.ProbeTimeout)
+		defer cancel()
 		conn, err := c.Acquire(ctx, node, nodes.AnyState)
 		if err != nil {
 			return out
 		}
-		unhook := context.AfterFunc(ctx, func() { conn.Close() })
+		stopClose := context.AfterFunc(ctx, func() { conn.Close() })
 		_, err = conn.Session.RealPath("/")
-		_, broken := files.NodeStatus(err)
+		_, broken := files.ClassifyNodeError(err)
 		out.OK = !broken
-		c.Release(conn, unhook() && !broken)
+		c.Release(conn, stopClose() && !broken)
 		return out
 	}
 }
