--- a/internal/net/routing/ask_test.go
+++ b/internal/net/routing/ask_test.go
@@ -8,8 +8,8 @@
 	"otterturn/scheduler"
 )
 
-// What is asked of the scheduler is asked behind all that came ahead of it. Where news of the list and a question waited
-// together, the question was answered first: a long body was turned away, as no node was known.
+// A query must see every event that was submitted before it. When an endpoint update and a query waited in the inbox
+// together, the query ran first: no node was known yet, so a request with a long body was rejected.
 func TestQuestionsWaitForWhatCameAheadOfThem(t *testing.T) {
 	set := scheduler.Settings{
 		Fronts: 1, Tick: 2000, MeanUnits: 2, MaxUnits: 8, Classes: []scheduler.Class{{LatencyObjective: 300_000}},
@@ -30,6 +30,6 @@
 	}
 	go c.Run(t.Context())
 	if node := <-placed; node != "a" {
-		t.Errorf("placed at %q", node)
+		t.Errorf("request placed at node %q, want \"a\"", node)
 	}
 }
--- a/internal/net/routing/attempt.go
+++ b/internal/net/routing/attempt.go
@@ -10,27 +10,28 @@
 	"otterturn/scheduler"
 )
 
-// Attempt is one that the scheduler decided on.
+// Attempt is an attempt that the scheduler has decided to start.
 type Attempt struct {
 	Node string
-	// MayBegin ends once nothing of the attempt may be written any more, if nothing was by then: the client has left, the
-	// attempt was cancelled, or a retry would come too late to be deduplicated by the nodes. It is what to wait under; whether
-	// to write is Permitted's word, as a context's end comes late where the process was held up.
+	// MayBegin ends when an attempt of which nothing has been written must not begin any more: the client has left, the
+	// attempt was cancelled, or the nodes would no longer deduplicate a retry. Use it for waiting. Call Permitted before
+	// writing, because after a stall of the process a context ends late.
 	MayBegin context.Context
 
-	// ClientGone asks whether the client has left by now, ahead of MayBegin's hearing of it. Set by the front, nil where it can't tell.
+	// ClientGone reports whether the client has left, possibly before MayBegin ends. The front sets it; nil if the front
+	// can't detect that.
 	ClientGone func() bool
 
-	guard     *lifecycle.Guard // nil for none
+	guard     *lifecycle.Guard // nil for no checks
 	operation lifecycle.Operation
 	beginBy   time.Time
 }
 
-// errClientGone tells that nobody waits for an attempt any more.
-var errClientGone = errors.New("the client has left")
+// errClientGone is returned by Permitted after the client has left.
+var errClientGone = errors.New("client has left")
 
-// Permitted asks whether the attempt may be written now. It is to be called right ahead of the first byte, and of the end of a
-// long request.
+// Permitted returns nil if the attempt may be written now. Call it immediately before writing the first byte, and before
+// writing the end of a long request.
 func (a Attempt) Permitted() error {
 	if err := a.MayBegin.Err(); err != nil {
 		return err
@@ -44,20 +45,20 @@
 	return a.guard.Allow(a.operation, a.beginBy)
 }
 
-// Written tells that the attempt was written whole just now.
+// Written records that the attempt has just been written completely.
 func (a Attempt) Written() {
 	if a.guard != nil {
 		a.guard.Done(a.operation, a.beginBy)
 	}
 }
 
-// AttemptFunc carries out an attempt and returns what it brought with its result. It ends when its context does, at the
-// request's deadline at the latest. Of the outcome Result, Alive, ServedElsewhere and, where it is known better than by the
-// call's duration, Latency are used.
+// AttemptFunc carries out an attempt and returns its value and outcome. It returns when its context ends, which is at the
+// request's deadline at the latest. Only Result, Alive, ServedElsewhere and Latency of the outcome are used; a zero Latency
+// is replaced by the duration of the call.
 type AttemptFunc[T any] func(ctx context.Context, a Attempt) (T, scheduler.AttemptEnded)
 
-// startAttempt carries out an attempt in a goroutine, reports its outcome to the scheduler, and hands on a success. The
-// returned function cancels it.
+// startAttempt carries out an attempt in a goroutine, reports its outcome to the scheduler, and sends the value of a
+// successful one to answers. The returned function cancels the attempt.
 func startAttempt[T any](ctx context.Context, s *Submission, v scheduler.StartAttempt, number int, attempt AttemptFunc[T],
 	answers chan<- T,
 ) context.CancelCauseFunc {
@@ -67,7 +68,7 @@
 	}
 	own, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	go func() {
-		// The contexts end only after the outcome is submitted: who sees them end may use the request's id again.
+		// The contexts end only after the outcome is submitted: code that waits for their end may reuse the request's id.
 		defer cancel(nil)
 		limited, release := context.WithDeadline(own, s.deadline)
 		defer release()
@@ -92,7 +93,7 @@
 	return cancel
 }
 
-// operationOf is what an attempt of a number is to the guard.
+// operationOf returns the guard's operation for an attempt: Send for the first one, Retry for all others.
 func operationOf(number int) lifecycle.Operation {
 	if number == 0 {
 		return lifecycle.Send
@@ -100,7 +101,7 @@
 	return lifecycle.Retry
 }
 
-// runAttempt carries out one attempt and completes its outcome.
+// runAttempt carries out one attempt and fills in its outcome.
 func runAttempt[T any](ctx context.Context, a Attempt, attempt AttemptFunc[T]) (T, scheduler.AttemptEnded) {
 	startedAt := time.Now()
 	value, outcome := attempt(ctx, a)
--- a/internal/net/routing/calls.go
+++ b/internal/net/routing/calls.go
@@ -6,26 +6,27 @@
 	"otterturn/scheduler"
 )
 
-// call is a request that is owed an answer, or one that is over with an attempt still out. Its verdicts are
-// closed when nothing more is owed. The rest is the loop's.
+// call is the state of a request from its submission until its final answer and the end of its last attempt. The channel
+// verdicts carries the scheduler's actions for the request and is closed after the last one. All fields except the
+// channels belong to the goroutine of Core.Run.
 type call struct {
 	id          string
 	verdicts    chan scheduler.Action
-	admitted    chan struct{} // closed once the scheduler has it
-	over        bool
-	outstanding int      // sends without an outcome
-	nodes       []string // by attempt, the node that it went to, "" where the observer did not take it; none without an observer
+	admitted    chan struct{} // closed once the request is admitted to the scheduler
+	over        bool          // verdicts is closed
+	outstanding int           // attempts without an outcome
+	nodes       []string      // node of each attempt, "" if the observer did not accept it; empty without an observer
 }
 
-// newCall returns the call of a request that the core is about to take.
+// newCall returns the state of a request that is about to be submitted.
 func newCall(id string) *call {
 	return &call{id: id, verdicts: make(chan scheduler.Action, verdictBuffer), admitted: make(chan struct{})}
 }
 
-// verdictBuffer holds all verdicts that can wait for one request: a send, its cancel, a final answer.
+// verdictBuffer has room for all actions that can be pending for one request: StartAttempt, CancelAttempt and a final answer.
 const verdictBuffer = 4
 
-// track keeps the table of calls in step with an event, and tells whether the scheduler is to hear of it.
+// track updates the state of requests for an event, and reports whether the event must be passed to the scheduler.
 func (c *Core) track(m message) bool {
 	switch e := m.event.(type) {
 	case scheduler.Request:
@@ -34,8 +35,8 @@
 			return false
 		}
 		close(m.call.admitted)
-		// The scheduler keeps requests by id: a second one under an id that is in use would take the first one's
-		// place, or be ended by the outcome of an attempt that is still out for it. One that is over must not run again.
+		// The scheduler identifies requests by id: a second request with an id in use would replace the first one, or be
+		// ended by the outcome of an outstanding attempt of the first one. A finished request must not run again.
 		if c.calls[e.ID] != nil || c.usedIDs.has(e.ID) {
 			close(m.call.verdicts)
 			return false
@@ -56,7 +57,7 @@
 			c.waitingForCapacity = slices.Delete(c.waitingForCapacity, i, i+1)
 			close(m.call.verdicts)
 		}
-		if c.calls[e.ID] != m.call { // never admitted, or over
+		if c.calls[e.ID] != m.call { // never admitted, or already finished
 			return false
 		}
 		c.end(m.call)
@@ -64,7 +65,7 @@
 	return true
 }
 
-// end closes a request's verdicts: nothing more is owed for it. Its id stays taken while an attempt is out.
+// end closes the request's channel of actions. Its id stays in use until no attempt is outstanding.
 func (c *Core) end(call *call) {
 	if !call.over {
 		call.over = true
--- a/internal/net/routing/core.go
+++ b/internal/net/routing/core.go
@@ -1,5 +1,6 @@
-// Package routing is the core of the program: requests, attempts and outcomes. It knows no wire. One goroutine
-// owns the scheduler of package scheduler; Do is the life of one request.
+// Package routing runs requests through the scheduler: it carries out the attempts that the scheduler decides on and
+// reports their outcomes. It is independent of any wire protocol. One goroutine, Core.Run, owns the scheduler; Do handles
+// one request from submission to final answer.
 package routing
 
 import (
@@ -16,38 +17,38 @@
 	"otterturn/scheduler"
 )
 
-// ErrFailed is the final answer that promises nothing about a request's effect.
+// ErrFailed is the final answer to a request that may or may not have been carried out.
 var ErrFailed = errors.New("the request failed")
 
-// ErrDuplicate tells that a request's id is that of another one, which may be over.
+// ErrDuplicate is returned if the request's id is that of another request, open or finished.
 var ErrDuplicate = errors.New("a request with this id has been taken")
 
-// ErrStopped tells that the core has ended.
+// ErrStopped is returned after Run has ended.
 var ErrStopped = errors.New("the core has stopped")
 
-// errAttemptCancelled ends an attempt that the scheduler cancelled.
-var errAttemptCancelled = errors.New("the attempt was taken back")
+// errAttemptCancelled is the cause of the context's end for an attempt that the scheduler cancelled.
+var errAttemptCancelled = errors.New("attempt cancelled by the scheduler")
 
-// RejectedError is the final answer that makes trying again harmless.
+// RejectedError is the final answer to a request that was not carried out, so that the client can safely retry it.
 type RejectedError struct {
-	RetryAfter time.Duration // the client should stay away so long
+	RetryAfter time.Duration // the client should wait this long before it retries
 }
 
 func (r *RejectedError) Error() string { return fmt.Sprintf("refused, come back in %v", r.RetryAfter) }
 
-// Clock tells Unix time in microseconds as of its start plus what has passed since, so a step of the system's
-// clock moves no deadline.
+// Clock returns Unix time in microseconds, computed from its start time and the monotonic time since then, so that steps of
+// the system clock move no deadline.
 type Clock struct{ start time.Time }
 
-// NewClock starts a clock.
+// NewClock returns a clock that starts at the present time.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// Now is the present time.
+// Now returns the present time.
 func (c Clock) Now() scheduler.Micros {
 	return scheduler.Micros(c.start.UnixMicro()) + scheduler.Micros(time.Since(c.start)/time.Microsecond)
 }
 
-// timeOf is when a time of this clock comes, or last if that is sooner or the time is 0.
+// timeOf converts a time of this clock to a time.Time. It returns last if that is earlier or if t is 0.
 func (c Clock) timeOf(t scheduler.Micros, last time.Time) time.Time {
 	if own := c.start.Add(time.Duration(t-scheduler.Micros(c.start.UnixMicro())) * time.Microsecond); t > 0 && own.Before(last) {
 		return own
@@ -55,40 +56,40 @@
 	return last
 }
 
-// message is an event on its way to the scheduler; call is set for a new request and for one that lapses. A
-// request with a time stays outside until the scheduler has room for it, or until that time.
+// message carries an event to the loop of Run. call is set for Request and ClientLeft events. A request with admitBy set is
+// held back until the scheduler is ready for it, or until that time.
 type message struct {
 	event   scheduler.Event
 	call    *call
 	admitBy scheduler.Micros
-	query   func(s *scheduler.Scheduler) // in the place of an event: run by the loop
+	query   func(s *scheduler.Scheduler) // if set, the loop runs it instead of handling an event
 }
 
-// Core owns the scheduler.
+// Core owns the scheduler and the state of all requests.
 type Core struct {
 	clock              Clock
 	scheduler          *scheduler.Scheduler
 	checkHealth        func(node string) scheduler.HealthChecked
 	inbox              chan message
 	stopped            chan struct{}
-	calls              map[string]*call // of the loop alone, as are
-	usedIDs            idHistory        // ids of calls that are over, and
-	waitingForCapacity []message        // requests that wait for room, the oldest first
-	saveRequested      chan struct{}    // holds one while a record of what is learned is wanted
+	calls              map[string]*call // by request id; only the loop uses calls, usedIDs and waitingForCapacity
+	usedIDs            idHistory        // ids of finished requests
+	waitingForCapacity []message        // requests that wait until the scheduler is ready for them, the oldest first
+	saveRequested      chan struct{}    // buffered; holds an element while the scheduler wants the learned state saved
 
-	SendToPeer func(to int, a scheduler.Action) // sends a message to another front; set before Run, none is sent without
+	SendToPeer func(to int, a scheduler.Action) // sends a message to another front; set before Run, discards messages by default
 
-	Observer Observer // hears of attempts; set before Run, nil for none
+	Observer Observer // is told of attempts; set before Run, may be nil
 
-	Log *slog.Logger // each request's way at level debug; set before Run, nothing is logged without
+	Log *slog.Logger // logs the progress of each request at level debug; set before Run, discards by default
 
-	Guard *lifecycle.Guard // decides what may be taken and sent now; set before Run, one of its own without
+	Guard *lifecycle.Guard // decides which operations are allowed now; set before Run, by default a guard of this core's own
 
 	counters   counters
-	announceID atomic.Pointer[func(id string)] // hears of each id that is taken
+	announceID atomic.Pointer[func(id string)] // is called with the id of each submitted request
 }
 
-// New returns a core. probe asks a node for its health and load, and returns within a bounded time.
+// New returns a core. The function probe runs a health check of a node and must return within a bounded time.
 func New(set scheduler.Settings, seed int64, l limits.Limits, probe func(node string) scheduler.HealthChecked) (*Core, error) {
 	decider, err := scheduler.New(set, seed)
 	if err != nil {
@@ -102,13 +103,13 @@
 	}, nil
 }
 
-// UpdateEndpoints hands news of the node list to the scheduler, ahead of any request submitted later.
+// UpdateEndpoints passes a change of the endpoint list to the scheduler, before any request that is submitted later.
 func (c *Core) UpdateEndpoints(news scheduler.EndpointsChanged) { c.submit(message{event: news}) }
 
-// Handle hands a message of another front to the scheduler.
+// Handle passes a message of another front to the scheduler.
 func (c *Core) Handle(e scheduler.Event) { c.submit(message{event: e}) }
 
-// SetMaxOpen tells the scheduler for how many open requests there is room from now on.
+// SetMaxOpen changes the maximum number of open requests.
 func (c *Core) SetMaxOpen(open int) {
 	c.submit(message{event: scheduler.OpenLimitChanged{MaxOpen: open}})
 }
@@ -122,19 +123,19 @@
 	}
 }
 
-// readyInterval is how soon the core asks again for room while requests wait for it: it may come with time alone, as
-// a limit's store fills.
+// readyInterval is how often waiting requests are checked for admission. Capacity may become free by the passing of time
+// alone, as a token bucket fills, so that no event announces it.
 const readyInterval = 10 * time.Millisecond
 
-// Run lets the scheduler decide until ctx ends: events that wait go into one step together, its actions are
-// carried out in order.
+// Run is the loop that owns the scheduler; it ends with ctx. It passes all pending events to the scheduler in one step and
+// carries out the resulting actions in order.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.stopped)
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	var events []scheduler.Event
 	take := func(m message) {
-		if m.query != nil { // what came ahead of it has to be known to the scheduler
+		if m.query != nil { // the scheduler must know all events that came before the query
 			c.step(c.clock.Now(), events, alarm)
 			events = events[:0]
 			m.query(c.scheduler)
@@ -170,7 +171,8 @@
 	}
 }
 
-// admitWaiting takes the requests for which there is room by now, each before the next is looked at.
+// admitWaiting admits the waiting requests that the scheduler is ready for or whose time is up. Each admitted request is
+// passed to the scheduler before the next one is checked.
 func (c *Core) admitWaiting(now scheduler.Micros, alarm *time.Timer) {
 	c.waitingForCapacity = slices.DeleteFunc(c.waitingForCapacity, func(m message) bool {
 		r := m.event.(scheduler.Request)
@@ -217,7 +219,7 @@
 	}
 }
 
-// deliver hands a verdict to the request that it is about; a final one ends it.
+// deliver passes an action to its request. A final action ends the request.
 func (c *Core) deliver(id string, verdict scheduler.Action, final bool) {
 	call := c.calls[id]
 	if call == nil || call.over {
--- a/internal/net/routing/core_test.go
+++ b/internal/net/routing/core_test.go
@@ -32,41 +32,41 @@
 		func(ctx context.Context, a routing.Attempt) (string, scheduler.AttemptEnded) {
 			tries++
 			if _, ok := ctx.Deadline(); !ok || a.Node != "a" {
-				t.Errorf("attempt %d at %q without a deadline", tries, a.Node)
+				t.Errorf("attempt %d goes to node %q, or has no deadline", tries, a.Node)
 			}
 			return fmt.Sprint("answer ", tries), scheduler.AttemptEnded{Result: results[tries-1]}
 		})
 	if err != nil || got != "answer 3" || tries != 3 {
-		t.Errorf("%q, %v after %d attempts", got, err, tries)
+		t.Errorf("answer %q, error %v after %d attempts, want \"answer 3\" after 3", got, err, tries)
 	}
 }
 
 func TestFinalAnswers(t *testing.T) {
 	core := newCore(t)
 	once := request("once")
-	once.Class = 2 // must not run twice
+	once.Class = 2 // not idempotent: must not run twice
 	_, err := routing.Do(t.Context(), core, once, func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
 		return 0, scheduler.AttemptEnded{Result: scheduler.Errored}
 	})
 	if !errors.Is(err, routing.ErrFailed) {
-		t.Errorf("an attempt that may have run, once: %v", err)
+		t.Errorf("non-idempotent request after an attempt that may have run: got %v, want ErrFailed", err)
 	}
 	elsewhere := request("elsewhere")
-	elsewhere.Shard = 1 // no node holds it
+	elsewhere.Shard = 1 // no node has this shard
 	_, err = routing.Do(t.Context(), core, elsewhere, func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
-		t.Error("sent")
+		t.Error("request without a node was sent")
 		return 0, scheduler.AttemptEnded{}
 	})
 	if refused := new(routing.RejectedError); !errors.As(err, &refused) {
-		t.Errorf("no node: %v", err)
+		t.Errorf("request without a node: got %v, want a RejectedError", err)
 	}
 	if got := core.Tally(); got.Sum(routing.Failed) != 1 || got.Sum(routing.Rejected) != 1 || got.Sum(routing.Served) != 0 {
 		t.Errorf("tally %+v", got)
 	}
 }
 
-// A client leaves while a further attempt is out: the attempt runs on to its outcome and nothing of it stays
-// behind. The goroutine of such an attempt once waited without end to hand over what it brought.
+// A client leaves during the second attempt: the attempt continues to its outcome and its goroutine ends. The goroutine
+// used to block forever on sending the answer.
 func TestAttemptOfAClientThatLeftEnds(t *testing.T) {
 	core := newCore(t)
 	for i := range 20 {
@@ -91,16 +91,16 @@
 			t.Fatal(err)
 		}
 		if own.Err() != nil {
-			t.Fatal("the attempt was ended with its client")
+			t.Fatal("the attempt ended when its client left")
 		}
 		close(goOn)
 		standin.Await(t, "the end of the attempt", own.Done())
 	}
 }
 
-// An id is in use until the last attempt under it has ended: a second request under it would be ended by the
-// first one's outcome, and one that is turned away for it must not end the first as its client leaves. It stays
-// used: what may run only once would run again.
+// An id is in use until the last attempt of its request has ended: otherwise the outcome of the first request would end a
+// second one. The end of a rejected duplicate's client must not end the first request. The id stays used afterwards, or a
+// request that may run only once would run again.
 func TestIdInUse(t *testing.T) {
 	core := newCore(t)
 	out, goOn := make(chan context.Context, 1), make(chan struct{})
@@ -110,7 +110,7 @@
 		return 1, scheduler.AttemptEnded{Result: scheduler.OK}
 	}
 	refuse := func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
-		t.Error("a second request under the id was sent")
+		t.Error("a second request with the id was sent")
 		return 0, scheduler.AttemptEnded{}
 	}
 	first, leave := context.WithCancel(t.Context())
@@ -127,24 +127,24 @@
 	}
 	select {
 	case err := <-done:
-		t.Fatalf("the first request ended with another's client: %v", err)
+		t.Fatalf("the first request ended when the client of a duplicate left: %v", err)
 	default:
 	}
 	leave()
 	standin.Await(t, "the end of the first request", done)
 	if _, err := routing.Do(t.Context(), core, request("same"), refuse); !errors.Is(err, routing.ErrDuplicate) {
-		t.Errorf("while the first one's attempt is out: %v", err)
+		t.Errorf("duplicate during the first request's attempt: got %v, want ErrDuplicate", err)
 	}
 	close(goOn)
 	standin.Await(t, "the end of the attempt", own.Done())
-	// Bad clients send copies of requests that were answered. One was sent to its node up to four times more.
+	// Faulty clients send copies of answered requests. Such a copy was sent to its node up to four more times.
 	if _, err := routing.Do(t.Context(), core, request("same"), refuse); !errors.Is(err, routing.ErrDuplicate) {
-		t.Errorf("after it: %v", err)
+		t.Errorf("duplicate after the first request's end: got %v, want ErrDuplicate", err)
 	}
 }
 
-// A repeat must begin within the window that its nodes drop repeats in, which runs from the first attempt: it was decided
-// on in time, and written whenever a connection came up.
+// A retry must begin within the deduplication window of the nodes, which starts with the first attempt. A retry that was
+// decided on in time was still written after the window if its connection came up late.
 func TestRepeatBeginsWithinItsWindow(t *testing.T) {
 	set := standin.Settings()
 	set.Classes[1].DedupWindow = 1_000_000
@@ -158,23 +158,23 @@
 		begin, _ := a.MayBegin.Deadline()
 		switch {
 		case tries == 1 && !begin.Equal(last):
-			t.Errorf("the first attempt may begin until %v, of %v", begin, last)
+			t.Errorf("the first attempt may begin until %v, want its deadline %v", begin, last)
 		case tries == 2 && (begin.After(time.Now().Add(time.Second)) || begin.Before(began)):
-			t.Errorf("the second one may begin until %v behind the first", begin.Sub(began))
+			t.Errorf("the second attempt may begin until %v after the first, want within the window of 1 s", begin.Sub(began))
 		}
 		if tries < 2 {
 			return 0, scheduler.AttemptEnded{Result: scheduler.Errored}
 		}
-		<-a.MayBegin.Done() // its connection comes up too late
+		<-a.MayBegin.Done() // the connection comes up too late
 		return 0, scheduler.AttemptEnded{Result: scheduler.NotStarted}
 	})
 	if !errors.Is(err, routing.ErrFailed) || tries != 2 {
-		t.Errorf("%v after %d attempts", err, tries)
+		t.Errorf("got %v after %d attempts, want ErrFailed after 2", err, tries)
 	}
 }
 
-// Clients leave at any moment, also between the decision to send and the send. The scheduler must hear of each
-// attempt's end, or it would count it as out for good and send the node nothing more.
+// Clients may leave at any time, also between the scheduler's decision and the start of the attempt. The scheduler must be
+// told of the end of each attempt, or it would count it as outstanding forever and send the node no more requests.
 func TestClientsThatLeaveAtAnyMoment(t *testing.T) {
 	core := newCore(t)
 	serve := func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
@@ -193,8 +193,8 @@
 	}
 }
 
-// Guards against lost requests whose attempt finds out for long whether its node lives: the final answer waits for no attempt beyond
-// the request's time.
+// An attempt may take long to find out whether its node is alive. The final answer must come at the request's deadline all the
+// same, without the outcome of the attempt.
 func TestFinalAnswerWaitsForNoAttempt(t *testing.T) {
 	core, goOn := newCore(t), make(chan struct{})
 	defer close(goOn)
@@ -206,12 +206,12 @@
 		return 0, scheduler.AttemptEnded{Result: scheduler.Reset}
 	})
 	if !errors.Is(err, routing.ErrFailed) || time.Since(began) > standin.Patience/2 || core.Tally().EndedOverdue != 1 {
-		t.Errorf("%v after %v, %+v", err, time.Since(began), core.Tally())
+		t.Errorf("got %v after %v, tally %+v; want ErrFailed at the deadline", err, time.Since(began), core.Tally())
 	}
 }
 
-// Guards against lost requests that are open as a shutdown's answers are due: each gets its final answer then, whatever its attempt
-// does, and what comes later is rejected at once and never sent.
+// Requests that are open when the answers of a shutdown are due must get their final answer then, whatever their attempts do.
+// Later requests are rejected at once and never sent.
 func TestShutdownAnswersWhatIsOpen(t *testing.T) {
 	core, begun, goOn := newCore(t), make(chan struct{}), make(chan struct{})
 	stop := limits.Stop(time.Second)
@@ -230,16 +230,16 @@
 	standin.Await(t, "the attempt", begun)
 	core.Guard.BeginShutdown(time.Now())
 	if err := standin.Await(t, "the final answer", ended); !errors.Is(err, routing.ErrFailed) {
-		t.Errorf("one that may have run: %v", err)
+		t.Errorf("open request: got %v, want ErrFailed", err)
 	}
 	_, err := routing.Do(t.Context(), core, request("late"), func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
-		t.Error("sent")
+		t.Error("request was sent during the shutdown")
 		return 0, scheduler.AttemptEnded{}
 	})
 	if refused := new(routing.RejectedError); !errors.As(err, &refused) {
-		t.Errorf("one that came late: %v", err)
+		t.Errorf("request during the shutdown: got %v, want a RejectedError", err)
 	}
 	if got := core.Tally(); got.EndedByShutdown != 1 || got.Open != 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("tally %+v, want one request ended by the shutdown and none open", got)
 	}
 }
--- a/internal/net/routing/handover.go
+++ b/internal/net/routing/handover.go
@@ -8,14 +8,15 @@
 	"otterturn/scheduler"
 )
 
-// HandoverState is what one process of a front leaves to the next.
+// HandoverState is the state that a front's process hands over to its successor.
 type HandoverState struct {
 	scheduler.Learned
-	StartedAt scheduler.Micros // since then limits have filled
-	IDs       []string         // of requests, open ones too, that must not be taken again
+	StartedAt scheduler.Micros // token buckets have filled since this time
+	IDs       []string         // of open and finished requests, which must not be accepted again
 }
 
-// Yield gives promises and ids to another process of the same front, see scheduler.Scheduler.Yield.
+// Yield gives up the capacity that this process may promise, and returns the state for another process of the same front. See
+// scheduler.Scheduler.Yield.
 func (c *Core) Yield(ctx context.Context) (g HandoverState, err error) {
 	err = c.query(ctx, func(s *scheduler.Scheduler) {
 		g.Learned, g.StartedAt = s.Yield(c.Now())
@@ -25,15 +26,15 @@
 	return g, err
 }
 
-// YieldAll leaves all promises to another process, which did not say what it had made, until Resume. The core must not run yet.
+// YieldAll leaves all capacity to another process, whose state is not known, until Resume. It must be called before Run.
 func (c *Core) YieldAll() { c.scheduler.Yield(c.Now()) }
 
-// Resume takes back what Yield gave, see scheduler.Scheduler.Resume.
+// Resume takes back what Yield gave up. See scheduler.Scheduler.Resume.
 func (c *Core) Resume(unused scheduler.Learned, peers bool) error {
 	return c.query(context.Background(), func(s *scheduler.Scheduler) { s.Resume(c.Now(), unused, peers) })
 }
 
-// TakeOver takes over what another process gave. The core must not run yet.
+// TakeOver adopts the state that another process handed over. It must be called before Run.
 func (c *Core) TakeOver(nodes scheduler.EndpointsChanged, g HandoverState) {
 	c.scheduler.Step(c.Now(), []scheduler.Event{nodes})
 	c.scheduler.TakeOver(c.Now(), g.Learned, g.StartedAt)
@@ -42,12 +43,12 @@
 	}
 }
 
-// MarkIDUsed has an id not be taken here any more: another process of the front took a request under it.
+// MarkIDUsed makes the core reject requests with this id, because another process of the front has accepted one.
 func (c *Core) MarkIDUsed(id string) {
 	c.submit(message{query: func(*scheduler.Scheduler) { c.usedIDs.add(c.Now(), id) }})
 }
 
-// AnnounceIDs has each id told as a request is taken under it from now on; nil for none.
+// AnnounceIDs sets a function that is called with the id of each request that is submitted from now on; nil for none.
 func (c *Core) AnnounceIDs(tell func(id string)) {
 	if tell == nil {
 		c.announceID.Store(nil)
--- a/internal/net/routing/observer.go
+++ b/internal/net/routing/observer.go
@@ -2,16 +2,16 @@
 
 import "otterturn/scheduler"
 
-// Observer hears of attempts as they are sent and as they end. It is called by the core's goroutine and must not block.
+// Observer is told of the start and end of attempts. It is called by the core's goroutine and must not block.
 type Observer interface {
-	// AttemptStarted tells of an attempt that was decided on. It returns false where the observer has no room for it;
-	// its end is not told then.
+	// AttemptStarted is called when the scheduler has decided on an attempt. It returns false if the observer has no
+	// room for it; AttemptEnded is not called for the attempt then.
 	AttemptStarted(node, id string, attempt int) bool
-	// AttemptEnded tells how an attempt ended that AttemptStarted took.
+	// AttemptEnded is called with the outcome of an attempt for which AttemptStarted returned true.
 	AttemptEnded(node string, e scheduler.AttemptEnded)
 }
 
-// observeStart tells the observer, where there is one, of an attempt.
+// observeStart tells the observer, if there is one, of the start of an attempt.
 func (c *Core) observeStart(call *call, send scheduler.StartAttempt) {
 	if c.Observer == nil {
 		return
@@ -23,7 +23,7 @@
 	call.nodes = append(call.nodes, node)
 }
 
-// observeEnd tells the observer how an attempt ended.
+// observeEnd tells the observer of the end of an attempt.
 func (c *Core) observeEnd(call *call, e scheduler.AttemptEnded) {
 	if e.Attempt < 0 || e.Attempt >= len(call.nodes) || call.nodes[e.Attempt] == "" {
 		return
--- a/internal/net/routing/observer_test.go
+++ b/internal/net/routing/observer_test.go
@@ -10,7 +10,7 @@
 	"otterturn/scheduler"
 )
 
-// observed keeps what an Observer hears, and takes no attempt at the node "b".
+// observed is an Observer that records its calls and accepts no attempt at node "b".
 type observed struct{ lines chan string }
 
 func (o *observed) AttemptStarted(node, id string, attempt int) bool {
@@ -22,7 +22,8 @@
 	o.lines <- fmt.Sprint("end ", node, " ", e.ID, " ", e.Attempt, " ", e.Result, " ", e.Alive)
 }
 
-// Each attempt is told at its start and at its end, with its node and number; one that was not taken has no end.
+// The observer is told of the start and the end of each attempt, with node and number; an attempt that it did not accept has
+// no end.
 func TestObserverHearsOfEachAttempt(t *testing.T) {
 	set := standin.Settings()
 	core, err := routing.New(set, 1, standin.Limits(), func(node string) scheduler.HealthChecked {
@@ -54,12 +55,12 @@
 	}
 	for _, want := range []string{"start a x 0", "end a x 0 broken true", "start a x 1", "end a x 1 answered false", "start b y 0"} {
 		if got := standin.Await(t, want, o.lines); got != want {
-			t.Errorf("heard %q, want %q", got, want)
+			t.Errorf("observer got %q, want %q", got, want)
 		}
 	}
 	select {
 	case line := <-o.lines:
-		t.Errorf("heard %q", line)
+		t.Errorf("observer got %q in addition", line)
 	default:
 	}
 }
--- a/internal/net/routing/request.go
+++ b/internal/net/routing/request.go
@@ -9,7 +9,7 @@
 	"otterturn/scheduler"
 )
 
-// Submission is a request that the core has taken and that Carry brings to its final answer.
+// Submission is a request that has been submitted to the core. Carry brings it to its final answer.
 type Submission struct {
 	core     *Core
 	request  scheduler.Request
@@ -17,7 +17,8 @@
 	deadline time.Time
 }
 
-// submitRequest hands a request to the core's loop: at once, or once the scheduler is ready for it, at admitBy at the latest.
+// submitRequest passes a request to the core's loop. It is admitted at once if admitBy is 0, otherwise when the scheduler is
+// ready for it, at admitBy at the latest.
 func (c *Core) submitRequest(r scheduler.Request, admitBy scheduler.Micros) (*Submission, error) {
 	s := &Submission{core: c, request: r, call: newCall(r.ID)}
 	if err := s.startDeadline(); err != nil {
@@ -32,8 +33,8 @@
 	return s, nil
 }
 
-// startDeadline has the request's time run from now on, no longer than the process may take for an answer. The error is a
-// RejectedError: the request does not fit any more.
+// startDeadline computes the request's deadline from its time left, but no later than this process can answer. It returns
+// a *RejectedError if there is no time for the request before a shutdown.
 func (s *Submission) startDeadline() error {
 	now := time.Now()
 	s.deadline = s.core.Guard.Deadline(time.Duration(s.request.TimeLeft) * time.Microsecond)
@@ -46,7 +47,8 @@
 	return nil
 }
 
-// rejectedNow is the answer to a request that does not fit any more. In a shutdown its client should come back behind the kill.
+// rejectedNow returns the answer to a request for which no time is left. During a shutdown its client should retry only after
+// the process has been killed.
 func (c *Core) rejectedNow() *RejectedError {
 	if c.Guard.Phase() == lifecycle.Serving {
 		return &RejectedError{}
@@ -54,9 +56,9 @@
 	return &RejectedError{RetryAfter: c.Guard.BeforeKill(c.Guard.Limits().Kill)}
 }
 
-// SubmitWhenReady submits a request once the scheduler would send it without a wait, or at the latest after the time given.
-// Until then it is not taken: nothing is owed for it, its time does not run, and it fails with the cause of ctx where that
-// ends first.
+// SubmitWhenReady submits a request when the scheduler could send it at once, or after the given time at the latest. Until
+// then the request is not accepted: it needs no answer and its time left does not run. If ctx ends first, SubmitWhenReady
+// returns its cause.
 func (c *Core) SubmitWhenReady(ctx context.Context, r scheduler.Request, longest time.Duration) (*Submission, error) {
 	s, err := c.submitRequest(r, c.clock.Now()+scheduler.Micros(longest/time.Microsecond))
 	if err != nil {
@@ -77,7 +79,7 @@
 	}
 }
 
-// Do is the life of one request: it is submitted, and carried to its one final answer.
+// Do submits a request and returns its final answer.
 func Do[T any](ctx context.Context, c *Core, r scheduler.Request, attempt AttemptFunc[T]) (T, error) {
 	s, err := c.submitRequest(r, 0)
 	if err != nil {
@@ -86,18 +88,18 @@
 	return Carry(ctx, s, attempt)
 }
 
-// Carry is the life of a request from where it was taken: it is sent, rejected or failed as the scheduler decides, and each
-// attempt's outcome is reported, until one final answer. The error is a RejectedError, ErrFailed, ErrDuplicate, ErrStopped or
-// the cause of ctx. Where ctx ends first the client has left; an attempt that is outstanding runs on to its outcome, since
-// closing a connection stops no work. One that was decided on and of which nothing is written yet is not begun.
+// Carry carries out the scheduler's actions for a submitted request and reports the outcome of each attempt, until the final
+// answer. The error is a *RejectedError, ErrFailed, ErrDuplicate, ErrStopped or the cause of ctx. The end of ctx means that
+// the client has left. An outstanding attempt continues to its outcome then, since closing a connection does not stop a node's
+// work; an attempt of which nothing has been written yet does not begin.
 func Carry[T any](ctx context.Context, s *Submission, attempt AttemptFunc[T]) (T, error) {
 	var none T
 	c := s.core
 	ctx, end := context.WithCancel(ctx)
-	defer end() // nothing is begun behind the final answer
+	defer end() // no attempt begins after the final answer
 	c.counters.addOpen(1)
 	defer c.counters.addOpen(-1)
-	answers := make(chan T, 1) // at most one attempt is answered, so nobody waits here
+	answers := make(chan T, 1) // at most one attempt succeeds, so sending never blocks
 	overdue := time.NewTimer(time.Until(s.deadline) + overdueGrace)
 	defer overdue.Stop()
 	cancelAttempt, attempts := context.CancelCauseFunc(func(error) {}), 0
@@ -120,7 +122,7 @@
 				return none, ErrDuplicate
 			}
 			if !owed {
-				verdicts = nil // served: the answer is on its way
+				verdicts = nil // an attempt succeeded; its value follows
 			}
 		case value := <-answers:
 			c.counters.countEnding(s.request.Class, Served)
@@ -137,17 +139,17 @@
 	}
 }
 
-// overdueGrace is how long behind a request's time its attempt and the scheduler may take to end it. An attempt that takes longer,
-// as it finds out whether its node lives, holds up no final answer.
+// overdueGrace is how long after a request's deadline its attempt and the scheduler may take to end it. An attempt that takes
+// longer, because it checks whether its node is alive, does not delay the final answer.
 const overdueGrace = 100 * time.Millisecond
 
-// Why a request is given up without the scheduler's verdict.
+// Reasons for giving up a request without an action of the scheduler.
 const (
 	endedByShutdown = "shutdown"
 	endedOverdue    = "overdue"
 )
 
-// giveUp gives a request its final answer, whatever its attempts do: one that has come just now, or an error.
+// giveUp returns the final answer without waiting for outstanding attempts: a value that has just arrived, or an error.
 func giveUp[T any](s *Submission, answers <-chan T, end func(), why string, attempts int) (T, error) {
 	select {
 	case value := <-answers:
@@ -155,7 +157,7 @@
 		return value, nil
 	default:
 	}
-	end() // what was decided on and not begun never will be
+	end() // an attempt that has not begun must not begin any more
 	s.core.abandon(s.call, attempts)
 	s.core.counters.countGivenUp(why)
 	s.core.Log.Info("request given up", "request", s.request.ID, "why", why, "attempts", attempts)
@@ -163,18 +165,18 @@
 		s.core.counters.countEnding(s.request.Class, Rejected)
 		return *new(T), s.core.rejectedNow()
 	}
-	s.core.counters.countEnding(s.request.Class, Failed) // it may have run
+	s.core.counters.countEnding(s.request.Class, Failed) // the request may have been carried out
 	return *new(T), ErrFailed
 }
 
-// clientLeft counts a request whose client has left, and returns the cause.
+// clientLeft counts a request whose client has left, ends it, and returns the cause of ctx.
 func (s *Submission) clientLeft(ctx context.Context, attempts int) error {
 	s.core.counters.countClientLeft()
 	s.core.abandon(s.call, attempts)
 	return context.Cause(ctx)
 }
 
-// rejected counts a request that the scheduler rejected, and returns the error for its client.
+// rejected counts and logs a request that the scheduler rejected, and returns the error for its client.
 func (s *Submission) rejected(v scheduler.Reject, attempts int) error {
 	s.core.counters.countEnding(s.request.Class, Rejected)
 	if s.core.debugEnabled() {
@@ -183,7 +185,7 @@
 	return &RejectedError{RetryAfter: time.Duration(v.RetryAfter) * time.Microsecond}
 }
 
-// failed counts a request that the scheduler failed, and returns the error for its client.
+// failed counts and logs a request that the scheduler failed, and returns the error for its client.
 func (s *Submission) failed(v scheduler.Fail, attempts int) error {
 	s.core.counters.countEnding(s.request.Class, Failed)
 	if s.core.debugEnabled() {
@@ -192,10 +194,11 @@
 	return ErrFailed
 }
 
-// debugEnabled reports whether each request's way is logged. Ask first: the arguments alone would cost on every request.
+// debugEnabled reports whether level debug is logged. Check it first: evaluating the log arguments would cost time on every
+// request.
 func (c *Core) debugEnabled() bool { return c.Log.Enabled(context.Background(), slog.LevelDebug) }
 
-// abandon ends a request whose client has left. An attempt that was decided on but not begun never will be.
+// abandon ends a request whose client has left. A pending StartAttempt is reported to the scheduler as not started.
 func (c *Core) abandon(call *call, attempts int) {
 	if !c.submit(message{event: scheduler.ClientLeft{ID: call.id}, call: call}) {
 		return
--- a/internal/net/routing/taken.go
+++ b/internal/net/routing/taken.go
@@ -2,14 +2,14 @@
 
 import "otterturn/scheduler"
 
-// idHistory remembers the ids of requests that are over, each for a while. An id is a request's own: what comes under one
-// again is no client's next try but a copy, as bad clients send, and to send that to a node is to run a request again that
-// may run only once.
+// idHistory remembers the ids of finished requests for a limited time. Each request has an id of its own, so a second request
+// with the same id is not a client's retry but a copy, as faulty clients send it. Sending the copy to a node would run a request
+// again that may have to run only once.
 type idHistory struct {
-	retention     scheduler.Micros // each id is remembered for so long, and no more than twice that
-	maxRecent     int              // ids of either half; past it the older half goes early
+	retention     scheduler.Micros // each id is remembered for at least this long and at most about twice as long
+	maxRecent     int              // maximum size of recent and of older; when recent is full, older is dropped early
 	recent, older map[string]struct{}
-	rotatedAt     scheduler.Micros // when the halves changed places
+	rotatedAt     scheduler.Micros // when recent became older
 }
 
 func newIDHistory(keep scheduler.Micros, most int) idHistory {
--- a/internal/net/routing/tally.go
+++ b/internal/net/routing/tally.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Ending is how a request ended.
+// Ending is the way in which a request ended.
 type Ending int
 
 // The kinds of Ending.
@@ -16,15 +16,15 @@
 	endingKinds
 )
 
-// Tally counts requests by how they ended.
+// Tally counts requests by the way in which they ended.
 type Tally struct {
 	Open, ClientsLeft int64
-	EndedByShutdown   int64                // requests that were open as all had to be answered
-	EndedOverdue      int64                // requests whose attempt or verdict did not come in time
-	ByClass           [][endingKinds]int64 // by the class's index, then by Ending; shorter where the last ones had none
+	EndedByShutdown   int64                // open requests that a shutdown had to answer
+	EndedOverdue      int64                // requests without an outcome or final action in time
+	ByClass           [][endingKinds]int64 // indexed by class, then by Ending; classes after the last counted one are missing
 }
 
-// Sum counts over all classes.
+// Sum returns the number of requests with an ending, over all classes.
 func (t Tally) Sum(e Ending) (n int64) {
 	for _, c := range t.ByClass {
 		n += c[e]
@@ -32,7 +32,7 @@
 	return n
 }
 
-// Class counts the endings of one class.
+// Class returns the counts of one class, indexed by Ending.
 func (t Tally) Class(class int) (n [endingKinds]int64) {
 	if class < len(t.ByClass) {
 		return t.ByClass[class]
@@ -40,7 +40,7 @@
 	return n
 }
 
-// counters is a Tally that many goroutines write.
+// counters is a Tally for concurrent use.
 type counters struct {
 	mu    sync.Mutex
 	tally Tally
@@ -77,7 +77,7 @@
 	c.tally.Open += n
 }
 
-// Tally tells how many requests are open and how the others ended.
+// Tally returns a copy of the counts.
 func (c *Core) Tally() Tally {
 	c.counters.mu.Lock()
 	defer c.counters.mu.Unlock()
@@ -86,10 +86,11 @@
 	return t
 }
 
-// CountRejected counts a request that was refused ahead of the scheduler, for want of room.
+// CountRejected counts a request that was rejected before it reached the scheduler, for lack of capacity.
 func (c *Core) CountRejected(class int) { c.counters.countEnding(class, Rejected) }
 
-// HoldOpen keeps a request open past its final answer's head, while its body is passed on. The returned function ends it.
+// HoldOpen counts a request as open after Carry has returned, while the body of its answer is still being sent. The returned
+// function ends that.
 func (c *Core) HoldOpen() (end func()) {
 	c.counters.addOpen(1)
 	return sync.OnceFunc(func() { c.counters.addOpen(-1) })
