--- a/internal/handover/channel.go
+++ b/internal/handover/channel.go
@@ -10,35 +10,36 @@
 	"time"
 )
 
-// Kind is what a message is about.
+// Kind is the type of a message.
 type Kind byte
 
-// The kinds of message. A state comes in parts, the last of which may carry the socket for other fronts' messages.
+// The kinds of message, with the process that sends them. A state is sent in parts; KindStateEnd may carry the socket for
+// messages of other fronts.
 const (
-	KindAsk        Kind = iota + 1 // successor: hand over; the text is the version
+	KindAsk        Kind = iota + 1 // successor: requests the state; the text is the version
 	KindStatePart                  // predecessor: a part of the state
-	KindStateEnd                   // predecessor: the state is whole
-	KindReady                      // successor: it can serve
-	KindGo                         // predecessor: it may
+	KindStateEnd                   // predecessor: the state is complete
+	KindReady                      // successor: it is ready to serve
+	KindGo                         // predecessor: the successor may serve
 	KindConnection                 // predecessor: a client's connection
-	KindRequestID                  // either: a request was taken under this id
-	KindBan                        // either: a node is kept out by hand; node and who told, apart by a line's end
-	KindUnban                      // either: it may serve again
+	KindRequestID                  // either: a request with this id was accepted
+	KindBan                        // either: a node was banned; the text is the node and who banned it, separated by a newline
+	KindUnban                      // either: the ban of a node has ended; text as for KindBan
 )
 
-// maxPartBytes is the room of a message: the kernel takes a packet of this size whole.
+// maxPartBytes is the maximum size of a message's text. The kernel transfers a packet of this size in one piece.
 const maxPartBytes = 32 << 10
 
-// maxStateBytes bounds a state.
+// maxStateBytes is the maximum size of an encoded state.
 const maxStateBytes = 64 << 20
 
-// sendTimeout is how long a message may wait for the other process to read: requests wait behind it.
+// sendTimeout is how long a message may wait for the other process to read it. Requests wait for it meanwhile.
 const sendTimeout = 250 * time.Millisecond
 
-// Channel is one end of the socket between two processes.
+// Channel is one end of the socket between predecessor and successor.
 type Channel struct{ conn *net.UnixConn }
 
-// Listen opens the socket at a path on which a successor asks. What a process left there that is gone is removed.
+// Listen opens the socket to which a successor connects. A socket file that an earlier process left at the path is removed.
 func Listen(path string) (*net.UnixListener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -47,11 +48,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	l.SetUnlinkOnClose(false) // the successor has one there by then
+	l.SetUnlinkOnClose(false) // the successor has its own socket at the path by then
 	return l, nil
 }
 
-// Dial reaches the predecessor. It fails where there is none.
+// Dial connects to the predecessor. It fails if there is none.
 func Dial(path string) (*Channel, error) {
 	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
@@ -60,13 +61,13 @@
 	return &Channel{c}, nil
 }
 
-// NewChannel is the channel on a connection that was accepted.
+// NewChannel returns the channel on an accepted connection.
 func NewChannel(c *net.UnixConn) *Channel { return &Channel{c} }
 
-// Close ends the channel.
+// Close closes the channel.
 func (c *Channel) Close() error { return c.conn.Close() }
 
-// Send sends a message, with a copy of a socket where one is given.
+// Send sends a message, with a copy of a socket unless that is nil.
 func (c *Channel) Send(k Kind, text []byte, socket syscall.Conn) error {
 	if err := c.conn.SetWriteDeadline(time.Now().Add(sendTimeout)); err != nil {
 		return err
@@ -89,7 +90,7 @@
 	return sent
 }
 
-// SendState sends a state in parts.
+// SendState sends an encoded state in parts, with a copy of a socket unless that is nil.
 func (c *Channel) SendState(text []byte, socket syscall.Conn) error {
 	for len(text) > 0 {
 		n := min(len(text), maxPartBytes)
@@ -101,7 +102,7 @@
 	return c.Send(KindStateEnd, nil, socket)
 }
 
-// Receive waits for a message. The file is the socket that came with it, nil for none.
+// Receive waits for a message and returns it with the socket that it carries, nil for none.
 func (c *Channel) Receive() (k Kind, text []byte, socket *os.File, err error) {
 	packet, rights := make([]byte, maxPartBytes+1), make([]byte, syscall.CmsgSpace(4))
 	n, oob, _, _, err := c.conn.ReadMsgUnix(packet, rights)
@@ -122,17 +123,17 @@
 func received(rights []byte) (*os.File, error) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil || len(messages) != 1 {
-		return nil, errors.Join(errors.New("a socket did not come whole"), err)
+		return nil, errors.Join(errors.New("handover: malformed socket control message"), err)
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return nil, errors.Join(errors.New("a socket did not come whole"), err)
+		return nil, errors.Join(errors.New("handover: control message does not carry exactly one socket"), err)
 	}
 	syscall.CloseOnExec(fds[0])
-	return os.NewFile(uintptr(fds[0]), "handed over"), nil
+	return os.NewFile(uintptr(fds[0]), "received socket"), nil
 }
 
-// SetTimeout bounds what is said from now on; 0 ends that.
+// SetTimeout sets the deadline of all further messages to the present time plus d; 0 removes it.
 func (c *Channel) SetTimeout(d time.Duration) error {
 	if d == 0 {
 		return c.conn.SetDeadline(time.Time{})
@@ -140,7 +141,7 @@
 	return c.conn.SetDeadline(time.Now().Add(d))
 }
 
-// RequestState has the predecessor give its state, and returns it with the socket that came with it, nil for none.
+// RequestState asks the predecessor for its state, and returns it with the socket that it carries, nil for none.
 func (c *Channel) RequestState() (state []byte, socket *os.File, err error) {
 	if err := c.Send(KindAsk, []byte{Version}, nil); err != nil {
 		return nil, nil, err
@@ -155,12 +156,12 @@
 		case k == KindStateEnd:
 			return state, with, nil
 		default:
-			return nil, nil, fmt.Errorf("a message of kind %d within the state, or over %d bytes", k, maxStateBytes)
+			return nil, nil, fmt.Errorf("unexpected message of kind %d while receiving the state, or state over %d bytes", k, maxStateBytes)
 		}
 	}
 }
 
-// AwaitRequest waits for the successor's question.
+// AwaitRequest waits until the successor asks for the state.
 func (c *Channel) AwaitRequest() error {
 	k, text, _, err := c.Receive()
 	if err == nil && (k != KindAsk || len(text) != 1 || text[0] != Version) {
@@ -169,7 +170,7 @@
 	return err
 }
 
-// Confirm tells the predecessor that this process can serve, and waits until it may.
+// Confirm tells the predecessor that this process is ready to serve, and waits for its permission.
 func (c *Channel) Confirm() error {
 	if err := c.Send(KindReady, nil, nil); err != nil {
 		return err
@@ -177,7 +178,7 @@
 	return c.await(KindGo)
 }
 
-// ReleaseSuccessor waits until the successor can serve, and lets it.
+// ReleaseSuccessor waits until the successor is ready to serve, and permits it.
 func (c *Channel) ReleaseSuccessor() error {
 	if err := c.await(KindReady); err != nil {
 		return err
@@ -188,7 +189,7 @@
 func (c *Channel) await(want Kind) error {
 	k, _, _, err := c.Receive()
 	if err == nil && k != want {
-		err = fmt.Errorf("a message of kind %d in the place of %d", k, want)
+		err = fmt.Errorf("received message of kind %d, want kind %d", k, want)
 	}
 	return err
 }
--- a/internal/handover/channel_test.go
+++ b/internal/handover/channel_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Guards against requests that wait for the other process: one that stands still, and reads nothing, is given up.
+// Requests wait for messages to the other process. Sending must time out if that process is stalled and reads nothing.
 func TestSendWaitsForNobodyLong(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "handover")
 	l, err := Listen(path)
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -14,9 +14,9 @@
 	"otterturn/scheduler/tokenbucket"
 )
 
-var update = flag.Bool("update", false, "write the state of this version anew")
+var update = flag.Bool("update", false, "rewrite the golden file of this version")
 
-// goldenState has every field set, so that one that is not handed over shows.
+// goldenState has every field set, so that a test notices a field that is not handed over.
 func goldenState() State {
 	return State{
 		Given: routing.HandoverState{
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestStateKeepsItsBytes holds what one process of a front gives to the next to the bytes of the build of 2026-12-02: an
-// upgrade hands over between two versions.
+// TestStateKeepsItsBytes checks that the encoded state has the bytes that the build of 2026-12-02 wrote, because an upgrade
+// hands over between two versions of the program.
 func TestStateKeepsItsBytes(t *testing.T) {
 	const name = "testdata/version-1.handover"
 	text, err := Encode(goldenState())
@@ -65,18 +65,18 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(text, golden) {
-		t.Errorf("given as %x, want %x", text, golden)
+		t.Errorf("encoded state is %x, want %x", text, golden)
 	}
 	if got, err := Decode(golden, []string{"gold", "basic"}); err != nil || !reflect.DeepEqual(got, goldenState()) {
-		t.Errorf("received %+v, %v", got, err)
+		t.Errorf("decoded golden file: %+v, %v", got, err)
 	}
 }
 
-// TestKindsKeepTheirNumbers holds the kinds of message to their numbers, which are their first byte.
+// TestKindsKeepTheirNumbers checks the numbers of the message kinds, which are the first byte of each message.
 func TestKindsKeepTheirNumbers(t *testing.T) {
 	for want, kind := range []Kind{KindAsk, KindStatePart, KindStateEnd, KindReady, KindGo, KindConnection, KindRequestID, KindBan, KindUnban} {
 		if int(kind) != want+1 {
-			t.Errorf("kind %d, want %d", kind, want+1)
+			t.Errorf("kind has number %d, want %d", kind, want+1)
 		}
 	}
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,7 +1,7 @@
-// Package handover implements the messages with which one process of a front hands over to the next, and their socket.
-// The successor asks; the predecessor stops promising, and gives its state; the successor says that it has it; the
-// predecessor lets it go on, and from then on passes connections of clients as they become idle. Until it has let go, a
-// predecessor that loses the successor takes all back; a successor that loses the predecessor before that begins as
+// Package handover implements the messages and the socket by which one process of a front hands over to its successor. The
+// successor requests the state; the predecessor stops promising capacity and sends its state; the successor confirms that it
+// is ready to serve; the predecessor releases it, and from then on passes on client connections as they become idle. If the
+// successor is lost before its release, the predecessor resumes; if the predecessor is lost before that, the successor starts as
 // after a restart.
 package handover
 
@@ -17,23 +17,23 @@
 	"otterturn/scheduler"
 )
 
-// Version is that of the messages. Processes of other versions don't hand over.
+// Version is the version of the messages. Processes with different versions do not hand over to each other.
 const Version = 1
 
-// ErrVersion tells that the other process speaks another version.
-var ErrVersion = errors.New("the other process hands over in another version")
+// ErrVersion is returned if the other process uses a different Version.
+var ErrVersion = errors.New("other process uses a different handover version")
 
-// State is what the predecessor gives.
+// State is the state that the predecessor hands over.
 type State struct {
 	Given routing.HandoverState
-	Plans []string          // by the number that accounts go by
-	List  protocol.List     // as it was told, whole
-	Bans  map[string]string // who told, by node
+	Plans []string          // names of the plans, by the index that volumes and flows refer to
+	List  protocol.List     // the complete endpoint list
+	Bans  map[string]string // who banned a node, by node
 }
 
 type form struct {
 	Version  int               `cbor:"1,keyasint"`
-	Snapshot []byte            `cbor:"2,keyasint"` // as it is kept in files, with its own version and checksum
+	Snapshot []byte            `cbor:"2,keyasint"` // in the format of snapshot files, with a version and checksum of its own
 	Began    int64             `cbor:"3,keyasint"`
 	IDs      []string          `cbor:"4,keyasint"`
 	Plans    []string          `cbor:"5,keyasint"`
@@ -50,7 +50,7 @@
 	Since int64  `cbor:"6,keyasint"`
 }
 
-// Encode writes a state.
+// Encode returns the encoded state.
 func Encode(s State) ([]byte, error) {
 	snap := snapshot.Snapshot{Saved: s.Given.At, Accounts: s.Given.Volumes, Leads: s.Given.Flows}
 	for _, k := range s.Given.Nodes {
@@ -67,19 +67,19 @@
 	return cbor.Marshal(f)
 }
 
-// Decode reads a state, whose accounts and leads get the numbers that plans have here. What stands under another plan is
-// left out: it begins anew.
+// Decode decodes a state and maps the plans of its volumes and flows, by name, to their indexes in plans. Volumes and flows
+// whose plan is not among them are dropped and start from scratch.
 func Decode(text []byte, plans []string) (State, error) {
 	var f form
 	if err := cbor.Unmarshal(text, &f); err != nil {
-		return State{}, fmt.Errorf("what the other process gave: %w", err)
+		return State{}, fmt.Errorf("decode handover state: %w", err)
 	}
 	if f.Version != Version {
 		return State{}, ErrVersion
 	}
 	snap, err := snapshot.Decode(f.Snapshot)
 	if err != nil {
-		return State{}, fmt.Errorf("what the other process learned: %w", err)
+		return State{}, fmt.Errorf("decode snapshot of handover state: %w", err)
 	}
 	numbers := map[int]int{}
 	for i, name := range f.Plans {
--- a/internal/net/accept/accept.go
+++ b/internal/net/accept/accept.go
@@ -1,6 +1,6 @@
-// Package accept has a server go on accepting where that fails for a while. net/http ends a server at the first error that it does
-// not call temporary, and waits up to a second behind the others; accept(2) names errors of the network, of the client and of
-// resources that all pass. The package accepts and retries; what a connection carries is its caller's.
+// Package accept provides a listener that retries failed accepts. A net/http server ends at the first error that is not marked
+// as temporary, and waits up to one second after a temporary one. Yet all errors of the network, of the client and of resources
+// that accept(2) names are transient. The package does not read or write the connections.
 package accept
 
 import (
@@ -12,25 +12,25 @@
 	"time"
 )
 
-// permanentAfter is for how long an error may last that names the listening socket itself, until it is the caller's.
+// permanentAfter is how long an error of the listening socket itself is retried before Accept returns it.
 const permanentAfter = 5 * time.Second
 
-// emptyAfter is how long an accept takes at the least that waited for a connection to come: one that finds some in the kernel's
-// queue takes less, on a busy machine too.
+// emptyAfter is the duration from which an accept counts as one that found the kernel's queue empty and waited for a new
+// connection. An accept that finds a connection in the queue takes less, even on a busy machine.
 const emptyAfter = 100 * time.Millisecond
 
-// Listener retries what fails. Only one goroutine may accept.
+// Listener retries failed accepts. Only one goroutine may call Accept.
 type Listener struct {
 	net.Listener
 	pause   time.Duration
 	onError func(error)
 	closed  atomic.Bool
 
-	failingSince time.Time // zero where the queue was found empty since the last failure
+	failingSince time.Time // time of the first failure; zero if the queue has been empty since the last one
 	delay        time.Duration
 }
 
-// New returns a listener that tries again after a pause. onError hears of each failure, nil for nobody.
+// New returns a listener that retries a failed accept after a pause. onError is called with each error; it may be nil.
 func New(l net.Listener, pause time.Duration, onError func(error)) *Listener {
 	if onError == nil {
 		onError = func(error) {}
@@ -38,8 +38,8 @@
 	return &Listener{Listener: l, pause: pause, onError: onError}
 }
 
-// Accept returns the next connection. Its error is net.ErrClosed, os.ErrDeadlineExceeded where a deadline was set, or one of the
-// listening socket itself that has lasted for permanentAfter.
+// Accept returns the next connection. Its error is net.ErrClosed, os.ErrDeadlineExceeded if a deadline is set, or an error of
+// the listening socket itself that has lasted for permanentAfter.
 func (l *Listener) Accept() (net.Conn, error) {
 	var brokenSince time.Time
 	for {
@@ -69,24 +69,24 @@
 	}
 }
 
-// noteAccepted computes for how long a connection may have waited in the kernel's queue.
+// noteAccepted computes how long the accepted connection may have waited in the kernel's queue.
 func (l *Listener) noteAccepted(began time.Time) {
 	now := time.Now()
 	l.delay = 0
 	if l.failingSince.IsZero() {
 		return
 	}
-	if now.Sub(began) > emptyAfter { // the queue was empty: who comes now did not wait
+	if now.Sub(began) > emptyAfter { // the queue was empty, so the connection did not wait
 		l.failingSince = time.Time{}
 		return
 	}
 	l.delay = now.Sub(l.failingSince)
 }
 
-// Delay tells for how long the connection that Accept returned last may have waited as accepting failed, at the most.
+// Delay returns an upper bound of the time that the connection last returned by Accept waited because of failed accepts.
 func (l *Listener) Delay() time.Duration { return l.delay }
 
-// Close ends the listener. Closing it again does nothing.
+// Close closes the listener. Further calls do nothing.
 func (l *Listener) Close() error {
 	if l.closed.Swap(true) {
 		return nil
@@ -94,7 +94,7 @@
 	return l.Listener.Close()
 }
 
-// isSocketBroken reports whether an error tells of the listening socket rather than of a connection or of resources.
+// isSocketBroken reports whether an error concerns the listening socket rather than a connection or resources.
 func isSocketBroken(err error) bool {
 	return errors.Is(err, syscall.EBADF) || errors.Is(err, syscall.ENOTSOCK) || errors.Is(err, syscall.EINVAL)
 }
--- a/internal/net/accept/accept_test.go
+++ b/internal/net/accept/accept_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// script is a listener whose accepts go by a list: an error, or nil for a connection.
+// script is a listener whose Accept returns the errors of a list in order, or a connection where the list has nil. The last
+// entry repeats.
 type script struct {
 	net.Listener
 	errs  []error
@@ -29,7 +30,7 @@
 
 func (s *script) Close() error { return nil }
 
-// Guards against the end of a server where accepting fails for a moment: every error that accept(2) names is passed over.
+// A transient failure of accept must not end a server: every error that accept(2) names is retried.
 func TestErrorsOfAcceptArePassedOver(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.EAGAIN, syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
@@ -40,20 +41,21 @@
 		l := New(&script{errs: []error{errno, errno, errno, nil}}, 0, func(error) { heard++ })
 		conn, err := l.Accept()
 		if err != nil || heard != 3 {
-			t.Errorf("%v: %v, heard of %d", errno, err, heard)
+			t.Errorf("%v: Accept returned %v after %d reported errors, want a connection after 3", errno, err, heard)
 			continue
 		}
 		conn.Close()
 	}
 }
 
-// A request on a connection that waited as accepting failed has waited with it.
+// Connections that were queued while accepting failed have waited for the time of the failures, which counts towards the time
+// that their requests waited.
 func TestDelayIsThatOfTheFailures(t *testing.T) {
 	const pause = 30 * time.Millisecond
 	l := New(&script{errs: []error{syscall.ENFILE, nil, nil}}, pause, nil)
 	for i := range 2 {
 		if _, err := l.Accept(); err != nil || l.Delay() < pause {
-			t.Errorf("connection %d from the queue: %v, waited %v", i, err, l.Delay())
+			t.Errorf("connection %d from the queue: error %v, delay %v, want at least the pause", i, err, l.Delay())
 		}
 	}
 }
@@ -66,11 +68,11 @@
 	l := New(inner, 0, nil)
 	l.Close()
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("closed: %v", err)
+		t.Errorf("Accept on a closed listener: got %v, want net.ErrClosed", err)
 	}
 	broken := New(&script{errs: []error{syscall.EBADF}}, 0, nil)
 	broken.closed.Store(true)
 	if _, err := broken.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("closed under a failure: %v", err)
+		t.Errorf("Accept that fails after Close: got %v, want net.ErrClosed", err)
 	}
 }
--- a/internal/net/backoff/backoff.go
+++ b/internal/net/backoff/backoff.go
@@ -1,8 +1,8 @@
-// Package backoff spreads the calls that many fronts make to one service of fixed capacity, which none of them knows.
-// A service that queues calls, and drops those that waited too long, serves nobody once more come than it bears: the
-// caller of each place in its queue has gone by the time it is reached. Fronts that start together, or fail together, and
-// call again after a fixed pause keep it there. So the first call is delayed at random, and retries follow an exponential
-// backoff with jitter. The package does no I/O and reads no clock.
+// Package backoff spreads the calls that many fronts make to one service whose capacity is fixed and unknown to them.
+// A service that queues calls and whose callers time out serves nobody once it is overloaded: when a call reaches the head of
+// the queue, its caller has already given up. Fronts that start or fail at the same time and retry after a fixed pause keep the
+// service overloaded. So the first call is delayed at random, and retries follow an exponential backoff with jitter. The
+// package does no I/O and reads no clock.
 package backoff
 
 import (
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// Config is what is known of the service.
+// Config describes the service.
 type Config struct {
-	Min    time.Duration // mean pause after a first failure at the least
-	Max    time.Duration // longest mean pause
-	Spread time.Duration // the first calls of all fronts come within this; 0 where each has a service of its own
+	Min    time.Duration // minimum of the mean pause after the first failure
+	Max    time.Duration // maximum of the mean pause
+	Spread time.Duration // the first calls of all fronts are spread over this time; 0 if the service is not shared
 }
 
-// Backoff tells one caller how long to wait. Pauses are drawn evenly from half to one and a half of their mean.
+// Backoff computes the pauses of one caller. Each pause is uniformly distributed between 0.5 and 1.5 times its mean.
 type Backoff struct {
 	config Config
 	rng    *rand.Rand
 	pause  time.Duration // mean pause after the next failure
 }
 
-// New returns the backoff of a caller. The seed drives its random choices; callers should have different ones.
+// New returns the backoff of one caller. Each caller should have a different seed, or all would draw the same pauses.
 func New(config Config, seed int64) *Backoff {
 	b := &Backoff{config: config, rng: rand.New(rand.NewPCG(uint64(seed), 1))}
 	b.Reset()
@@ -36,11 +36,11 @@
 	return time.Duration(b.rng.Float64() * float64(b.config.Spread))
 }
 
-// Reset is to be called after each call that succeeded. Where the service is shared, the pause after a failure begins at
-// the spread of the first calls rather than at Min.
+// Reset must be called after each successful call. The mean pause after the next failure is Min, or Spread if that is longer,
+// but at most Max.
 func (b *Backoff) Reset() { b.pause = min(max(b.config.Min, b.config.Spread), b.config.Max) }
 
-// Next returns the pause after a call that failed, and doubles the mean of the one after it.
+// Next returns the pause after a failed call, and doubles the mean of the following pause, up to Max.
 func (b *Backoff) Next() time.Duration {
 	pause := time.Duration((0.5 + b.rng.Float64()) * float64(b.pause))
 	b.pause = min(2*b.pause, b.config.Max)
--- a/internal/net/control/control.go
+++ b/internal/net/control/control.go
@@ -1,5 +1,5 @@
-// Package control is the address for operators: HTTP/1.1 with one call a connection. It has bounds of its own, so
-// that it answers whatever the front's load, and whoever else keeps a connection without a whole call.
+// Package control serves the operators' HTTP/1.1 address, with one call per connection. It has limits of its own, so that it
+// answers whatever the front's load is and however many connections never send a complete call.
 package control
 
 import (
@@ -16,15 +16,15 @@
 	"otterturn/internal/net/protocol"
 )
 
-// Front is what operators ask and tell.
+// Front is the front that operators query and control.
 type Front interface {
-	Ready() bool                        // this process can serve
-	Figures() (protocol.Figures, error) // within a bounded time
-	Ban(node, by string) bool           // leaves a node out, false for one that nobody has; it holds at return
-	Lift(node, by string) bool          // and lets it serve again
+	Ready() bool                        // reports whether this process can serve requests
+	Figures() (protocol.Figures, error) // must return within a bounded time
+	Ban(node, by string) bool           // bans a node before it returns; false if the node is unknown
+	Lift(node, by string) bool          // ends the ban of a node; false if the node is unknown
 }
 
-// Server answers operators.
+// Server answers the operators' calls.
 type Server struct {
 	front       Front
 	http        *http.Server
@@ -32,7 +32,7 @@
 	acceptRetry time.Duration
 }
 
-// New returns a server for a front.
+// New returns a server that controls a front.
 func New(f Front, l limits.Limits) *Server {
 	s := &Server{front: f, acceptRetry: l.AcceptRetry, calls: &calls{most: l.Control.Conns, open: map[net.Conn]int{}}}
 	mux := http.NewServeMux()
@@ -48,7 +48,7 @@
 	return s
 }
 
-// Serve answers until Close.
+// Serve accepts connections and answers calls until Close.
 func (s *Server) Serve(l net.Listener) error {
 	if err := s.http.Serve(accept.New(l, s.acceptRetry, nil)); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Close ends the server and its connections.
+// Close stops the server and closes its connections.
 func (s *Server) Close() error { return s.http.Close() }
 
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
@@ -88,13 +88,13 @@
 	}
 }
 
-// calls are the connections that are open. Past a number of them the one that has been longest without a whole call
-// gives way: callers that say nothing must not keep out those that do, nor use up the descriptors.
+// calls tracks the connections that have not sent a complete call yet. At the maximum, a new connection closes the oldest one:
+// idle connections must neither keep out active callers nor use up the file descriptors.
 type calls struct {
 	mu   sync.Mutex
 	most int
 	came int
-	open map[net.Conn]int // in the order in which they came; those with a whole call are not among them
+	open map[net.Conn]int // sequence number by connection; without those that have sent a complete call
 }
 
 func (c *calls) track(conn net.Conn, state http.ConnState) {
--- a/internal/net/routing/core.go
+++ b/internal/net/routing/core.go
@@ -29,7 +29,7 @@
 // errAttemptCancelled is the cause of the context's end for an attempt that the scheduler cancelled.
 var errAttemptCancelled = errors.New("attempt cancelled by the scheduler")
 
-// RejectedError is the final answer to a request that was not carried out, so that the client can safely retry it.
+// RejectedError is the final answer after which the client may safely retry the request.
 type RejectedError struct {
 	RetryAfter time.Duration // the client should wait this long before it retries
 }
--- a/internal/net/steady/steady.go
+++ b/internal/net/steady/steady.go
@@ -1,6 +1,6 @@
-// Package steady keeps a connection through system calls that fail for a moment. A read or write that returns an error has moved no
-// bytes, and Linux names errors of a route or of resources that leave the connection as it was; where it has really ended, the next
-// call says so. net.Conn would end a client's connection at the first, with the answer that is owed on it.
+// Package steady provides a connection that retries reads and writes after transient errors. A system call that returns an error
+// has transferred no bytes, and Linux has errors of routing and resources that do not affect the connection; if the connection has
+// really ended, the next call fails too. Without retries, such an error would end a client's connection before its answer is sent.
 package steady
 
 import (
@@ -11,26 +11,26 @@
 	"time"
 )
 
-// How long a call is tried again.
+// Bounds of the retries of one call.
 const (
 	pause     = 5 * time.Millisecond
-	mostTries = 60 // in a row: 0.3 s
+	mostTries = 60 // consecutive attempts: 0.3 s in total
 )
 
-// momentary are the errors of recv(2), send(2) and tcp(7) that leave a connection as it was.
+// momentary lists the errors of recv(2), send(2) and tcp(7) that do not affect the connection.
 var momentary = []error{
 	syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENETUNREACH, syscall.ENETDOWN,
 	syscall.ETIMEDOUT,
 }
 
-// Conn is a connection whose reads and writes are tried again.
+// Conn is a connection that retries reads and writes after transient errors.
 type Conn struct{ net.Conn }
 
 func isMomentary(err error) bool {
 	return err != nil && slices.ContainsFunc(momentary, func(m error) bool { return errors.Is(err, m) })
 }
 
-// Read reads as the connection does.
+// Read reads from the connection and retries after transient errors.
 func (c Conn) Read(p []byte) (n int, err error) {
 	for range mostTries {
 		if n, err = c.Conn.Read(p); n > 0 || !isMomentary(err) {
@@ -41,7 +41,7 @@
 	return n, err
 }
 
-// Write writes all of p, or tells how much of it.
+// Write writes all of p, and retries after transient errors. On an error n is the number of bytes written.
 func (c Conn) Write(p []byte) (n int, err error) {
 	for range mostTries {
 		var some int
@@ -54,7 +54,7 @@
 	return n, err
 }
 
-// CloseWrite ends the sending, where the connection can.
+// CloseWrite closes the writing side if the connection supports that, and returns errors.ErrUnsupported otherwise.
 func (c Conn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -62,10 +62,10 @@
 	return errors.ErrUnsupported
 }
 
-// NetConn is the connection below, as tls.Conn names it.
+// NetConn returns the wrapped connection. tls.Conn has a method of the same name.
 func (c Conn) NetConn() net.Conn { return c.Conn }
 
-// Innermost is the connection below all that wrap it.
+// Innermost returns the connection below all wrappers that have a method NetConn.
 func Innermost(c net.Conn) net.Conn {
 	for {
 		wrapped, ok := c.(interface{ NetConn() net.Conn })
--- a/internal/net/steady/steady_test.go
+++ b/internal/net/steady/steady_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// script is a connection whose calls fail by a list, and then move what they are given.
+// script is a connection whose calls return the errors of a list in order and succeed after its end. An error at the end of
+// the list repeats.
 type script struct {
 	net.Conn
 	errs []error
@@ -36,7 +37,7 @@
 }
 
 func (s *script) Write(p []byte) (int, error) {
-	if err := s.next(); err != nil { // half of it left
+	if err := s.next(); err != nil { // half of p was written
 		s.text = append(s.text, p[:len(p)/2]...)
 		return len(p) / 2, &net.OpError{Op: "write", Err: os.NewSyscallError("write", err)}
 	}
@@ -44,27 +45,27 @@
 	return len(p), nil
 }
 
-// Guards against answers that are lost as a system call on their client's connection fails for a moment.
+// A transient failure of a system call on a client's connection must not lose the answer.
 func TestCallsThatFailForAMomentAreTriedAgain(t *testing.T) {
 	for _, m := range momentary {
 		s := &script{errs: []error{m, m, nil}}
 		p := make([]byte, 8)
 		if n, err := (Conn{s}).Read(p); err != nil || string(p[:n]) != "data" {
-			t.Errorf("read, %v: %q, %v", m, p[:n], err)
+			t.Errorf("Read after %v: %q, %v", m, p[:n], err)
 		}
 		s.errs = []error{m, m, nil}
 		if n, err := (Conn{s}).Write([]byte("an answer")); err != nil || n != 9 || string(s.text) != "an answer" {
-			t.Errorf("write, %v: %d, %v, %q", m, n, err, s.text)
+			t.Errorf("Write after %v: %d, %v; %q was written", m, n, err, s.text)
 		}
 	}
 }
 
-// What ends a connection, or its time, is told at once; a call that goes on failing ends too.
+// Errors that end a connection and expired deadlines are returned at once. Retries of a call that keeps failing end too.
 func TestEndsAreToldAtOnce(t *testing.T) {
 	for _, end := range []error{syscall.ECONNRESET, syscall.EPIPE, os.ErrDeadlineExceeded, io.EOF} {
 		s := &script{errs: []error{end}}
 		if _, err := (Conn{s}).Write([]byte("x")); !errors.Is(err, end) || len(s.text) > 0 {
-			t.Errorf("%v: %v, %q", end, err, s.text)
+			t.Errorf("Write that fails with %v: got %v; %q was written", end, err, s.text)
 		}
 	}
 	s := &script{errs: []error{syscall.ENOBUFS}}
@@ -76,6 +77,6 @@
 func TestInnermost(t *testing.T) {
 	s := &script{}
 	if Innermost(tls.Server(Conn{s}, nil)) != net.Conn(s) || Innermost(s) != net.Conn(s) {
-		t.Error("another connection")
+		t.Error("Innermost did not return the wrapped connection")
 	}
 }
--- a/internal/state/decay/decay.go
+++ b/internal/state/decay/decay.go
@@ -1,7 +1,7 @@
-// Package decay decides what of a front's earlier knowledge still counts. It reads no clock and does no I/O.
+// Package decay decides which parts of a front's saved learned state are still valid. It reads no clock and does no I/O.
 //
-// Each kind of knowledge fades at its own rate towards what a fresh front assumes, by half in each of its
-// half-lives. What is hours old leaves no trace but the list of nodes.
+// Each value decays towards the assumption of a fresh front, with a half-life of its own. Of a snapshot that is hours old,
+// only the list of nodes is used.
 package decay
 
 import (
@@ -14,44 +14,45 @@
 	"otterturn/scheduler"
 )
 
-// Rates at which knowledge fades.
+// Half-lives and lifetimes of learned values.
 const (
-	// horizon is the age at which nothing is left of what was learned of nodes and projects.
+	// horizon is the age from which nothing of a snapshot's nodes, volumes and flows is used.
 	horizon = 10 * time.Minute
-	// speedHalf is for latencies, targets and budgets: load on a node changes within minutes.
+	// speedHalf is the half-life of latencies, targets and budgets: the load on a node changes within minutes.
 	speedHalf = time.Minute
-	// errorHalf is for the share of errors: what fails is mended, or not, within seconds.
+	// errorHalf is the half-life of the error rate: errors usually stop within seconds, or not at all.
 	errorHalf = 10 * time.Second
-	// unitLife is for the time of a unit, which goes with the machine. It is followed by steps that go up slowly, so
-	// one that faded towards 0 would mislead for longer than none.
+	// unitLife is the lifetime of the time per unit, which depends on the machine. The estimate rises only slowly, so a
+	// value that has decayed towards 0 would be wrong for longer than no value. It is dropped whole instead.
 	unitLife = 5 * time.Minute
-	// pointLife is a slow interval of the curve: a point older than the curve's length is none.
+	// pointLife is the time between two points of the curve. For each such interval of the snapshot's age, the oldest
+	// point is dropped.
 	pointLife = 2 * time.Second
-	// leadHalf and leadLife are for a project's lead over the shard's virtual time. A scheduler forgets an idle one
-	// after leadLife.
+	// leadHalf and leadLife are the half-life and lifetime of a flow's lead over the virtual time of its shard. The
+	// scheduler forgets the lead of a flow that has been idle for leadLife.
 	leadHalf = 8 * time.Second
 	leadLife = 32 * time.Second
-	// reserveAhead is how far ahead of now a reservation tag may stand: its second of store.
+	// reserveAhead is the maximum time between now and a reservation tag: a reservation stores up to one second.
 	reserveAhead = time.Second
 )
 
-// Why a snapshot is set aside.
+// Reasons why Check rejects a snapshot.
 var (
 	ErrFuture   = errors.New("it was saved later than now: the clock was set back")
 	ErrFront    = errors.New("it is another front's")
 	ErrSettings = errors.New("it was learned under other settings")
 )
 
-// Current is what a snapshot is held against.
+// Current describes the running front, with which a snapshot is compared.
 type Current struct {
 	At       scheduler.Micros
 	Front    string
 	Settings uint64
-	Fresh    scheduler.NodeStats // what a fresh front assumes of a node
+	Fresh    scheduler.NodeStats // assumptions of a fresh front about a node
 	Nodes    []snapshot.Node
 }
 
-// Check tells why a snapshot must not be used at all.
+// Check returns an error if nothing of a snapshot must be used.
 func Check(s snapshot.Snapshot, now Current) error {
 	switch {
 	case s.Front != now.Front:
@@ -66,8 +67,8 @@
 
 func duration(m scheduler.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Decay returns what still counts. older tells that a later snapshot was written and can't be read: what projects
-// drew since is unknown then, so their limits' stores start empty.
+// Decay returns the parts of a snapshot that are still valid. older means that a later snapshot was written but can't be used:
+// the units that volumes have drawn since are unknown then, so their token buckets start empty.
 func Decay(s snapshot.Snapshot, now Current, older bool) scheduler.Learned {
 	out := scheduler.Learned{At: now.At}
 	age := duration(now.At - s.Saved)
@@ -100,11 +101,11 @@
 	return out
 }
 
-// decayNode is what is left of a node's habits. One that started anew or moved is not the node that was learned.
+// decayNode returns the decayed statistics of a node. Those of a node that has restarted or has another address are dropped.
 func decayNode(old, listed snapshot.Node, now Current, age time.Duration) scheduler.NodeStats {
 	fresh := now.Fresh
 	if old.StartedAt != listed.StartedAt {
-		return fresh // the list's own start time has it guarded as cold
+		return fresh // the scheduler treats the node as cold because of the start time in the list
 	}
 	if old.Addr != listed.Addr {
 		fresh.SuspectedRestart = now.At
@@ -124,7 +125,7 @@
 	return h
 }
 
-// decay moves a value towards a fresh one, by half in each half-life.
+// decay moves a value towards a fresh one; the difference halves in each half-life.
 func decay(v, fresh float64, age, life time.Duration) float64 {
 	return fresh + (v-fresh)*math.Exp2(-age.Seconds()/life.Seconds())
 }
--- a/internal/state/decay/decay_test.go
+++ b/internal/state/decay/decay_test.go
@@ -24,7 +24,7 @@
 	return snapshot.Node{Addr: addr, LearnedNode: scheduler.LearnedNode{Endpoint: scheduler.Endpoint{Node: name, StartedAt: since}}}
 }
 
-// learned is a snapshot of an age that knows a node as slow and failing.
+// learned returns a snapshot of an age, in which the given nodes are slow and fail.
 func learned(age time.Duration, nodes ...snapshot.Node) snapshot.Snapshot {
 	s := snapshot.Snapshot{Front: "a", Settings: 1, Saved: at - micros(age)}
 	for _, n := range nodes {
@@ -52,7 +52,7 @@
 		n := now()
 		edit(&n)
 		if err := Check(s, n); !errors.Is(err, want) {
-			t.Errorf("%v, want %v", err, want)
+			t.Errorf("Check: got %v, want %v", err, want)
 		}
 	}
 }
@@ -63,45 +63,45 @@
 	for _, age := range []time.Duration{0, time.Second, 10 * time.Second, time.Minute, 5 * time.Minute, horizon - 1} {
 		l := Decay(learned(age, n), now(n), false)
 		if len(l.Nodes) != 1 {
-			t.Fatalf("%v: %d nodes", age, len(l.Nodes))
+			t.Fatalf("age %v: %d nodes, want 1", age, len(l.Nodes))
 		}
 		h := l.Nodes[0].NodeStats
 		off := math.Abs(h.Target-fresh.Target) + math.Abs(h.Budget-fresh.Budget) + h.SmoothedLatency + h.PreviousLatency + h.UnitTime + h.ErrorRate +
 			float64(len(h.Curve))
 		if off >= last || off < 0 || h.Target < fresh.Target {
-			t.Errorf("%v: %+v is not nearer to a fresh node than before", age, h)
+			t.Errorf("age %v: %+v is not closer to a fresh node than at the previous age", age, h)
 		}
 		last = off
 		if age == 0 && (h.SmoothedLatency != 700e3 || h.ErrorRate != 0.8 || h.Budget != 3 || len(h.Curve) != 16) {
-			t.Errorf("without an age: %+v", h)
+			t.Errorf("age 0: %+v has changed", h)
 		}
 		if age == 10*time.Second && (math.Abs(h.ErrorRate-0.4) > 1e-9 || len(h.Curve) != 11) {
-			t.Errorf("after 10 s: errors %v, %d points", h.ErrorRate, len(h.Curve))
+			t.Errorf("age 10 s: error rate %v, %d points, want 0.4 and 11 points", h.ErrorRate, len(h.Curve))
 		}
 	}
 	if l := Decay(learned(3*time.Hour, n), now(n), false); len(l.Nodes)+len(l.Volumes)+len(l.Flows) > 0 {
-		t.Errorf("hours later: %+v", l)
+		t.Errorf("age 3 h: %+v is left, want nothing", l)
 	}
 }
 
-// A node that started anew or moved is not the one that was learned.
+// What was learned about a node is dropped if the node has restarted or has another address.
 func TestAnotherNodeUnderTheName(t *testing.T) {
 	old := listed("a", "x:1", 5)
 	moved, restarted := listed("a", "x:2", 5), listed("a", "x:1", 6)
 	if got := Decay(learned(time.Second, old), now(moved), false).Nodes[0].NodeStats; got.SuspectedRestart != at || got.SmoothedLatency != 0 ||
 		got.Budget != fresh.Budget || got.ErrorRate != 0 {
-		t.Errorf("moved: %+v, want a fresh node that may be cold", got)
+		t.Errorf("other address: %+v, want a fresh node that may be cold", got)
 	}
 	if got := Decay(learned(time.Second, old), now(restarted), false).Nodes[0]; got.StartedAt != 6 || got.SmoothedLatency != 0 ||
 		got.SuspectedRestart != 0 || got.Budget != fresh.Budget {
-		t.Errorf("restarted: %+v, want a fresh node with its own start", got)
+		t.Errorf("restarted: %+v, want a fresh node with the new start time", got)
 	}
 	if got := Decay(learned(time.Second, old), now(listed("b", "x:1", 5)), false).Nodes; len(got) > 0 {
-		t.Errorf("another name: %+v", got)
+		t.Errorf("unknown name: %+v, want no nodes", got)
 	}
 }
 
-// Whatever was learned, no node is opened wider than a fresh front would, and nothing lies ahead of now.
+// Whatever was learned, no node gets a larger budget than a fresh one, and no time is after now.
 func TestNothingOpensWider(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := listed("a", "x:1", 5)
@@ -125,16 +125,16 @@
 	s.Accounts = []scheduler.VolumeUsage{{Volume: "v", Fronts: 1, ReservationTag: float64(at) + 1e9, Bucket: record}}
 	got := Decay(s, now(), false).Volumes
 	if len(got) != 1 || got[0].Bucket != record || got[0].ReservationTag != float64(at)+1e6 {
-		t.Errorf("%+v", got)
+		t.Errorf("usage of volumes: %+v, want the bucket as recorded and a reservation tag at most 1 s ahead", got)
 	}
-	// Once its time is over the front may have drawn without a lease, and so it may have behind a later record.
+	// After BoundUntil, or after a later record, the front may have drawn units that this record does not cover.
 	empty := tokenbucket.Bucket[scheduler.Micros]{At: at}
 	if got := Decay(s, now(), true).Volumes[0].Bucket; got != empty {
-		t.Errorf("of an older snapshot: %+v", got)
+		t.Errorf("older snapshot: bucket %+v, want an empty one", got)
 	}
 	s.Accounts[0].Bucket.BoundUntil = at - 1
 	if got := Decay(s, now(), false).Volumes[0].Bucket; got != empty {
-		t.Errorf("beyond its time: %+v", got)
+		t.Errorf("after BoundUntil: bucket %+v, want an empty one", got)
 	}
 }
 
@@ -143,6 +143,6 @@
 	s.Leads = []scheduler.FlowLead{{Volume: "v", Units: 10, LastSend: s.Saved}, {Volume: "w", Units: 10, LastSend: s.Saved - micros(leadLife)}}
 	got := Decay(s, now(), false).Flows
 	if len(got) != 1 || got[0].Volume != "v" || got[0].Units != 5 {
-		t.Errorf("%+v", got)
+		t.Errorf("flows %+v, want that of volume v with 5 units", got)
 	}
 }
--- a/internal/state/saver/cost_test.go
+++ b/internal/state/saver/cost_test.go
@@ -13,7 +13,7 @@
 	"otterturn/scheduler/tokenbucket"
 )
 
-// large is a scheduler that knows much of as many nodes and of ten projects for each, all of them with a limit.
+// large returns a scheduler with learned state of the given number of nodes and ten volumes per node, all with a limit.
 func large(tb testing.TB, nodes int) (*scheduler.Scheduler, scheduler.Micros) {
 	set := standin.Settings()
 	set.Plans = []scheduler.Plan{{Weight: 1, Limit: 12, Burst: 36}}
@@ -44,8 +44,8 @@
 	return s, now
 }
 
-// BenchmarkSave tells what a save costs: the time that the scheduler is kept from its work at once, in the median and
-// for one part in a hundred, and the time and bytes of the file, for nodes and ten times as many projects.
+// BenchmarkSave measures the cost of a save, for a number of nodes and ten volumes per node: the time for which each part blocks
+// the scheduler (median and 99th percentile), and the encoding time and size of the file.
 func BenchmarkSave(b *testing.B) {
 	for _, nodes := range []int{10, 1000, 10_000} {
 		b.Run(fmt.Sprint(nodes, " nodes"), func(b *testing.B) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// The time for which a save keeps the scheduler from its work must not grow with what it knows.
+// The time for which a save blocks the scheduler must not grow with the amount of learned state.
 func TestPauseDoesNotGrow(t *testing.T) {
 	for _, nodes := range []int{10, 1000} {
 		s, now := large(t, nodes)
@@ -92,14 +92,14 @@
 			l, next := s.ExportLearned(now, from, exportBatch)
 			n := len(l.Nodes) + len(l.Volumes) + len(l.Flows)
 			if entries += n; n > exportBatch {
-				t.Errorf("%d entries in a part, at most %d", n, exportBatch)
+				t.Errorf("%d entries in a part, want at most %d", n, exportBatch)
 			}
 			if from = next; from == 0 {
 				break
 			}
 		}
 		if entries != 11*nodes || parts > entries/exportBatch+nodes/exportBatch+1 {
-			t.Errorf("%d entries in %d parts of %d nodes", entries, parts+1, nodes)
+			t.Errorf("%d entries in %d parts for %d nodes", entries, parts+1, nodes)
 		}
 	}
 }
--- a/internal/state/saver/limit_test.go
+++ b/internal/state/saver/limit_test.go
@@ -11,22 +11,22 @@
 	"otterturn/scheduler"
 )
 
-// front is a scheduler in virtual time before a node that answers at once, with its file.
+// front simulates a front's process, in virtual time, with one node that answers at once and with its snapshot files.
 type front struct {
 	t       *testing.T
 	rng     *rand.Rand
 	set     scheduler.Settings
 	now     scheduler.Micros
 	s       *scheduler.Scheduler
-	disk    []byte           // the file
-	before  []byte           // and the one before
-	writing []byte           // a save under way
-	level   float64          // of the limit's store, as nobody forgets it
-	at      scheduler.Micros // and when
+	disk    []byte           // contents of the last file
+	before  []byte           // contents of the file before it
+	writing []byte           // contents of a save in progress, nil for none
+	level   float64          // exact level of the token bucket, which no crash affects
+	at      scheduler.Micros // time of level
 	drawn   float64          // units sent
-	wanted  bool             // a save before its time
+	wanted  bool             // the scheduler wants a save before the regular time
 	ids     int
-	out     []scheduler.Event // outcomes to come
+	out     []scheduler.Event // outcomes of attempts for the next step
 }
 
 const volume = "limited"
@@ -41,7 +41,7 @@
 	return f
 }
 
-// start is a process that begins: it reads the file, as far as that still counts.
+// start simulates the start of a process, which restores the parts of its files that are still valid.
 func (f *front) start() {
 	var err error
 	if f.s, err = scheduler.New(f.set, f.rng.Int64()); err != nil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// step hands events to the scheduler and checks what it sends against the limit.
+// step passes events to the scheduler and checks that the attempts it starts stay within the limit.
 func (f *front) step(events ...scheduler.Event) {
 	for _, a := range f.s.Step(f.now, append(f.out, events...)) {
 		if _, ok := a.(scheduler.SaveState); ok {
@@ -77,7 +77,7 @@
 			f.level = min(plan.Burst, f.level+plan.Limit*float64(f.now-f.at)/1e6) - units
 			f.at, f.drawn = f.now, f.drawn+units
 			if f.level < -1e-6 {
-				f.t.Fatalf("%.3f units beyond the limit", -f.level)
+				f.t.Fatalf("%.3f units over the limit", -f.level)
 			}
 			defer func() {
 				f.out = append(f.out, scheduler.AttemptEnded{ID: send.ID, Result: scheduler.OK, Latency: 1000, Final: true})
@@ -107,7 +107,7 @@
 	}
 }
 
-// moved is a save that took the last file's place.
+// moved makes the save in progress the last file, and the last file the one before it.
 func (f *front) moved() {
 	if f.disk != nil {
 		f.before = f.disk
@@ -115,7 +115,8 @@
 	f.disk = f.writing
 }
 
-// saved ends the save under way as it may end: well, ahead of the rename, or behind it and perhaps undone.
+// saved ends the save in progress with a random result: success, failure before the rename, or failure after the rename, which
+// may or may not be undone.
 func (f *front) saved() {
 	switch r := (scheduler.StateSaved{Readable: f.rng.IntN(4) > 0, Latest: f.rng.IntN(4) > 0}); {
 	case f.writing == nil:
@@ -134,7 +135,8 @@
 	f.writing = nil
 }
 
-// die ends the process at any moment: a save may have come to its end without its knowing, or tore the file.
+// die simulates a crash and a restart. A save in progress may have completed without the process knowing, and the file may
+// be truncated.
 func (f *front) die() {
 	if f.writing != nil && f.rng.IntN(2) == 0 {
 		f.moved()
@@ -146,8 +148,8 @@
 	f.start()
 }
 
-// A project's limit must hold through crashes in any number and at any moment, with saves that fail, are undone or
-// torn: each seed is a history of a few hundred such moments with requests all the time.
+// A volume's limit must hold across any number of crashes at any time, with saves that fail, are undone or leave a truncated
+// file. Each seed is one history of 600 steps with requests, saves and crashes.
 func TestLimitHoldsThroughCrashes(t *testing.T) {
 	crashes, drawn := 0, 0.0
 	for seed := range uint64(300) {
@@ -173,12 +175,12 @@
 		drawn += f.drawn
 	}
 	if crashes < 1000 || drawn < 1000 {
-		t.Fatalf("%d crashes, %.0f units drawn: too few to show anything", crashes, drawn)
+		t.Fatalf("%d crashes, %.0f units drawn: too few for a meaningful test", crashes, drawn)
 	}
-	t.Logf("%d crashes, %.0f units drawn, none beyond the limit", crashes, drawn)
+	t.Logf("%d crashes, %.0f units drawn, none over the limit", crashes, drawn)
 }
 
-// What a crash costs of the limit of a project that works in bursts, against a front that never crashed.
+// Each crash may cost a volume with bursts of requests at most one lease, compared with a front that never crashes.
 func TestCostOfALease(t *testing.T) {
 	run := func(every scheduler.Micros, keep bool) float64 {
 		f := newFront(t, 1)
@@ -188,10 +190,10 @@
 		}
 		end, crash, save := f.now+60_000_000, f.now+every, f.now
 		for ; f.now < end; f.now += 20_000 {
-			if (end-f.now)%6_000_000 < 2_000_000 { // a burst every 6 s, beyond what the limit has stored by then
+			if (end-f.now)%6_000_000 < 2_000_000 { // a burst every 6 s, larger than what the bucket holds by then
 				f.ask()
 			}
-			if keep && (f.now >= save || f.wanted && f.now >= save-1_800_000) { // each 2 s, or 0.2 s after the last
+			if keep && (f.now >= save || f.wanted && f.now >= save-1_800_000) { // every 2 s, or 0.2 s after the last save if one is wanted
 				save, f.wanted = f.now+2_000_000, false
 				f.save()
 				f.moved()
@@ -208,13 +210,13 @@
 	never := run(0, true)
 	for _, every := range []scheduler.Micros{30_000_000, 11_000_000, 5_000_000} {
 		with, without := run(every, true), run(every, false)
-		t.Logf("killed every %d s: %.1f%% of the units of a front that never was, with records; %.1f%% without", every/1e6,
+		t.Logf("killed every %d s: %.1f%% of the units of a front that is never killed, with records; %.1f%% without", every/1e6,
 			100*with/never, 100*without/never)
 		if with > never || without > never {
-			t.Errorf("more was drawn than without a crash: %v and %v of %v", with, without, never)
+			t.Errorf("with crashes %v and %v units were drawn, more than the %v without a crash", with, without, never)
 		}
 		if crashes := 60_000_000 / float64(every); never-with > crashes*36 {
-			t.Errorf("%.0f crashes cost %v units, more than a lease each", crashes, never-with)
+			t.Errorf("%.0f crashes cost %v units, more than one lease per crash", crashes, never-with)
 		}
 	}
 }
--- a/internal/state/saver/saver.go
+++ b/internal/state/saver/saver.go
@@ -1,5 +1,5 @@
-// Package saver saves what a front learns, now and then and at once where a project's lease runs low, and reads it
-// back at the next start. It decides nothing of what counts: that is package decay's.
+// Package saver saves a front's learned state at regular intervals, and earlier if a volume's lease runs low, and restores it at
+// the next start. Package decay decides which parts of it are still valid.
 package saver
 
 import (
@@ -16,30 +16,31 @@
 	"otterturn/scheduler"
 )
 
-// exportBatch is how many entries are taken from the scheduler at a time, so that a large fleet doesn't make it pause.
+// exportBatch is how many entries are exported from the scheduler at a time, so that a save does not block it for long, even with
+// a large fleet.
 const exportBatch = 50
 
-// Settings are what a keeper is told.
+// Settings configure a Saver.
 type Settings struct {
 	Front       string
-	Interval    time.Duration // between two saves
-	MinInterval time.Duration // and at the least, however low leases run
+	Interval    time.Duration // time between two saves
+	MinInterval time.Duration // minimum time between two saves, even if leases run low
 	Rules       scheduler.Settings
 	Log         *slog.Logger
-	Nodes       func() []snapshot.Node // the list as last told, with addresses
-	Shutdown    time.Duration          // the last save may take so long
+	Nodes       func() []snapshot.Node // returns the current endpoint list, with addresses
+	Shutdown    time.Duration          // timeout of the last save
 }
 
-// Status is what operators are told of the saves.
+// Status reports on the saves, for operators.
 type Status struct {
 	Saves, Failures int64
-	Last            time.Time     // of the last save that went well
-	Took            time.Duration // it
-	Bytes           int
-	Error           string // of the last one, empty where it went well
+	Last            time.Time     // time of the last successful save
+	Took            time.Duration // duration of the last successful save
+	Bytes           int           // size of the last successful save
+	Error           string        // of the last save, empty if it was successful
 }
 
-// Saver saves one core's knowledge in one folder.
+// Saver saves the learned state of one core in one folder.
 type Saver struct {
 	set          Settings
 	core         *routing.Core
@@ -52,13 +53,13 @@
 	count  uint64
 }
 
-// New returns a keeper.
+// New returns a Saver. Call Restore, then Run.
 func New(set Settings, core *routing.Core, s *store.Store) *Saver {
 	return &Saver{set: set, core: core, store: s, fingerprint: snapshot.Fingerprint(set.Rules), saveRequests: make(chan chan error)}
 }
 
-// Restore hands the core what its former self learned, as far as it still counts. The core must not run yet. It
-// returns the nodes of the last snapshot, as a hint.
+// Restore imports into the core the parts of the last usable snapshot that are still valid. It must be called before the core
+// runs. It returns all nodes of the snapshot, from which the caller can restore the state that operators set.
 func (k *Saver) Restore() []snapshot.Node {
 	now := decay.Current{At: k.core.Now(), Front: k.set.Front, Settings: k.fingerprint, Fresh: k.core.NewNodeStats(), Nodes: k.set.Nodes()}
 	found, notes := k.store.Load(func(s snapshot.Snapshot) error { return decay.Check(s, now) })
@@ -85,8 +86,8 @@
 	return out
 }
 
-// Run saves until ctx ends. The first save is made at once: until then nothing may be drawn from the limits that
-// were recalled.
+// Run saves until ctx ends. It makes the first save at once, because nothing may be drawn from restored token buckets before
+// that.
 func (k *Saver) Run(ctx context.Context) {
 	var asked chan error
 	for {
@@ -111,7 +112,7 @@
 	}
 }
 
-// Save saves as soon as the pace allows, and tells how that went.
+// Save makes Run save as soon as MinInterval allows, and returns the result.
 func (k *Saver) Save(ctx context.Context) error {
 	done := make(chan error, 1)
 	select {
@@ -127,7 +128,8 @@
 	}
 }
 
-// Close makes the last save, once the core has ended: nothing is drawn any more, so no lease is needed.
+// Close makes the last save. It must be called after the core has ended: nothing is drawn any more, so the snapshot includes no
+// leases.
 func (k *Saver) Close() error {
 	ctx, end := context.WithTimeout(context.Background(), k.set.Shutdown)
 	defer end()
@@ -147,7 +149,7 @@
 	began := time.Now()
 	snap, err := k.collect(ctx)
 	if err != nil {
-		return err // the core has ended, or ctx
+		return err // the core or ctx has ended
 	}
 	r, err := k.store.Save(snap)
 	k.core.StateSaved(scheduler.StateSaved{Readable: r.There, Latest: r.Sure})
@@ -170,7 +172,7 @@
 	return nil
 }
 
-// collect takes what the core knows, part by part.
+// collect exports the core's learned state in parts.
 func (k *Saver) collect(ctx context.Context) (snapshot.Snapshot, error) {
 	k.mu.Lock()
 	snap := snapshot.Snapshot{Front: k.set.Front, Settings: k.fingerprint, Count: k.count}
@@ -183,7 +185,7 @@
 	for from := 0; ; {
 		l, next, err := k.core.ExportLearned(ctx, from, exportBatch)
 		if err != nil {
-			return snapshot.Snapshot{}, fmt.Errorf("ask what is learned: %w", err)
+			return snapshot.Snapshot{}, fmt.Errorf("export learned state: %w", err)
 		}
 		for _, n := range l.Nodes {
 			snap.Nodes = append(snap.Nodes, snapshot.Node{LearnedNode: n, Addr: addrs[n.Node]})
@@ -197,7 +199,7 @@
 	}
 }
 
-// Status tells how the saves went.
+// Status returns the results of the saves so far.
 func (k *Saver) Status() Status {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/state/snapshot/file.go
+++ b/internal/state/snapshot/file.go
@@ -8,37 +8,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A file is a head of 28 bytes and a body: eight letters, the form's version, the body's length, the checksum of
-// all else (XXH64), big-endian each, then the value in CBOR (RFC 8949, deterministic encoding).
+// A file is a header of 28 bytes and a body. The header has the magic string of 8 bytes, the format version (4 bytes), the
+// body's length (8 bytes) and the XXH64 checksum of everything else (8 bytes), all big-endian. The body is the snapshot in CBOR
+// (RFC 8949, deterministic encoding).
 const (
 	letters  = "OTTLEARN"
 	headSize = len(letters) + 4 + 8 + 8
 	sumAt    = headSize - 8
 )
 
-// FormVersion is the version of the form that is written.
+// FormVersion is the version of the file format that Encode writes.
 const FormVersion = 1
 
-// Bounds of a file.
+// Bounds of a file's size and of the entries in one list.
 const (
 	MostBytes   = 256 << 20
 	mostEntries = 4 << 20
 )
 
-// ErrDamaged tells of bytes that are not what a front wrote.
+// ErrDamaged is returned for a file that is not exactly as a front wrote it.
 var ErrDamaged = errors.New("damaged")
 
-// ErrVersion tells of a file of a form that this program does not know.
+// ErrVersion is returned for an intact file whose format version this program does not know.
 var ErrVersion = errors.New("of an unknown version")
 
-// Encode returns the bytes of a file.
+// Encode returns the contents of a snapshot file.
 func Encode(s Snapshot) ([]byte, error) {
 	body, err := encoder.Marshal(s.form())
 	if err != nil {
-		return nil, fmt.Errorf("encode what is learned: %w", err)
+		return nil, fmt.Errorf("encode snapshot: %w", err)
 	}
 	if headSize+len(body) > MostBytes {
-		return nil, fmt.Errorf("what is learned takes %d bytes, more than the %d that are kept", len(body), MostBytes)
+		return nil, fmt.Errorf("snapshot body has %d bytes, a file may have at most %d", len(body), MostBytes)
 	}
 	out := append(make([]byte, 0, headSize+len(body)), letters...)
 	out = binary.BigEndian.AppendUint32(out, FormVersion)
@@ -49,7 +50,7 @@
 	return out, nil
 }
 
-// checksum covers all of a file but the checksum itself.
+// checksum returns the checksum of a file, without the checksum field itself.
 func checksum(file []byte) uint64 {
 	d := xxhash.New()
 	d.Write(file[:sumAt])
@@ -57,18 +58,18 @@
 	return d.Sum64()
 }
 
-// Decode checks and reads a file. A file that was written whole by another version is ErrVersion, anything else
-// that can't be read ErrDamaged.
+// Decode checks and decodes a file. The error is ErrVersion for an intact file of another format version, and ErrDamaged
+// for any other file that can't be decoded.
 func Decode(file []byte) (Snapshot, error) {
 	switch {
 	case len(file) < headSize:
-		return Snapshot{}, fmt.Errorf("%w: %d bytes, its head alone has %d", ErrDamaged, len(file), headSize)
+		return Snapshot{}, fmt.Errorf("%w: file has %d bytes, its header alone needs %d", ErrDamaged, len(file), headSize)
 	case string(file[:len(letters)]) != letters:
-		return Snapshot{}, fmt.Errorf("%w: it does not begin with %q", ErrDamaged, letters)
+		return Snapshot{}, fmt.Errorf("%w: file does not begin with %q", ErrDamaged, letters)
 	case binary.BigEndian.Uint64(file[len(letters)+4:]) != uint64(len(file)-headSize):
-		return Snapshot{}, fmt.Errorf("%w: its length is not the one it names", ErrDamaged)
+		return Snapshot{}, fmt.Errorf("%w: file length differs from the length in its header", ErrDamaged)
 	case binary.BigEndian.Uint64(file[sumAt:]) != checksum(file):
-		return Snapshot{}, fmt.Errorf("%w: its checksum does not hold", ErrDamaged)
+		return Snapshot{}, fmt.Errorf("%w: checksum does not match", ErrDamaged)
 	}
 	if v := binary.BigEndian.Uint32(file[len(letters):]); v != FormVersion {
 		return Snapshot{}, fmt.Errorf("%w: %d, this program reads %d", ErrVersion, v, FormVersion)
--- a/internal/state/snapshot/golden_test.go
+++ b/internal/state/snapshot/golden_test.go
@@ -7,10 +7,10 @@
 	"otterturn/scheduler"
 )
 
-// goldenFingerprint is that of goldenSettings, as the build of 2026-12-02 wrote it into the files that it left.
+// goldenFingerprint is the fingerprint of goldenSettings that the build of 2026-12-02 wrote into its files.
 const goldenFingerprint = 0x3045f963c0cb8316
 
-// goldenSettings has every field set, so that one whose stored name changes shows.
+// goldenSettings has every field set, so that a test notices a field whose stored name changes.
 func goldenSettings() scheduler.Settings {
 	return scheduler.Settings{
 		Fronts: 2, FrontIndex: 1, PeerMessages: true, Tick: 1000,
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestFingerprintIsThatOfEarlierBuilds holds the fingerprint to what stored files carry: under another one a new version
-// would take what an earlier one learned for learned under other settings, and drop it.
+// TestFingerprintIsThatOfEarlierBuilds checks the fingerprint against the one in stored files. If it changed, a new version would
+// drop the learned state of an earlier one as learned under other settings.
 func TestFingerprintIsThatOfEarlierBuilds(t *testing.T) {
 	set := goldenSettings()
 	if got := Fingerprint(set); got != goldenFingerprint {
@@ -33,7 +33,7 @@
 	value := reflect.ValueOf(set)
 	for i := range value.NumField() {
 		if value.Field(i).IsZero() {
-			t.Errorf("settings.%s is not set", value.Type().Field(i).Name)
+			t.Errorf("scheduler.Settings.%s is not set", value.Type().Field(i).Name)
 		}
 	}
 }
--- a/internal/state/snapshot/snapshot.go
+++ b/internal/state/snapshot/snapshot.go
@@ -1,4 +1,4 @@
-// Package snapshot is what a front keeps of what it learned, as a value and as the bytes of a file. It does no I/O.
+// Package snapshot defines the saved form of a front's learned state, as a value and as the contents of a file. It does no I/O.
 package snapshot
 
 import (
@@ -10,37 +10,38 @@
 	"otterturn/scheduler/tokenbucket"
 )
 
-// Snapshot is what was known at a time. Times are Unix microseconds, sizes units.
+// Snapshot is a front's learned state at one time. Times are in Unix microseconds, sizes in units.
 type Snapshot struct {
 	Front    string // name of the front that learned it
-	Settings uint64 // fingerprint of the settings that it learned it under
+	Settings uint64 // fingerprint of the settings that were in effect
 	Saved    scheduler.Micros
-	Count    uint64 // snapshots before this one, over all starts
-	Closed   bool   // the front ended after it, in order
-	List     int64  // version of the node list, 0 where it has none, as an operator's file
+	Count    uint64 // number of earlier snapshots, across restarts
+	Closed   bool   // the last snapshot of a graceful shutdown
+	List     int64  // version of the endpoint list; 0 for a list without versions, such as an operator's file
 	Nodes    []Node
 	Accounts []scheduler.VolumeUsage
 	Leads    []scheduler.FlowLead
 }
 
-// Node is a node as it was listed, with the address under which it was learned.
+// Node is a node of the endpoint list with its learned state and the address that it had.
 type Node struct {
 	scheduler.LearnedNode
 	Addr string
 }
 
-// Fingerprint tells settings apart: what was learned under others may mean something else now.
+// Fingerprint returns a hash of the settings that affect learned state. State that was learned under other settings may not
+// be valid.
 func Fingerprint(set scheduler.Settings) uint64 {
-	set.MaxOpen, set.Lease, set.RecordLifetime = 0, 0, 0 // what is learned does not depend on them
+	set.MaxOpen, set.Lease, set.RecordLifetime = 0, 0, 0 // learned state does not depend on them
 	text, err := encoder.Marshal(set)
 	if err != nil {
-		panic(err) // a plain value
+		panic(err) // a plain value can always be encoded
 	}
 	return xxhash.Sum64(text)
 }
 
-// What follows is the file's form, apart from the scheduler's types: a field that is renamed there must not change
-// the form in silence. Numbers are given once and never used for anything else.
+// The types below define the file format. They are separate from the scheduler's types, so that a field renamed there does not
+// change the format unnoticed. A key number must never be reused for another field.
 
 type fileForm struct {
 	Front    string        `cbor:"1,keyasint"`
@@ -151,7 +152,7 @@
 	return out
 }
 
-// encoder writes the same bytes for the same value, so that fingerprints compare.
+// encoder is deterministic, so that equal settings have equal fingerprints.
 var encoder = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -160,7 +161,7 @@
 	return mode
 }()
 
-// decoder takes the largest fleets, and no bytes behind the value.
+// decoder accepts lists that are long enough for the largest fleets, and rejects bytes after the value.
 var decoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: mostEntries}.DecMode()
 	if err != nil {
--- a/internal/state/snapshot/snapshot_test.go
+++ b/internal/state/snapshot/snapshot_test.go
@@ -14,9 +14,9 @@
 	"otterturn/scheduler/tokenbucket"
 )
 
-var update = flag.Bool("update", false, "write the file of this version anew")
+var update = flag.Bool("update", false, "rewrite the golden file of this version")
 
-// sample has every field set, so that one that is not kept shows.
+// sample has every field set, so that a test notices a field that is not stored.
 func sample() Snapshot {
 	return Snapshot{
 		Front: "files-1", Settings: 7, Saved: 1_800_000_000_000_000, Count: 3, Closed: true, List: 41,
@@ -42,15 +42,15 @@
 	}
 	got, err := Decode(file)
 	if err != nil || !reflect.DeepEqual(got, sample()) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded %+v, %v; want the encoded snapshot", got, err)
 	}
 	again, err := Encode(got)
 	if err != nil || !bytes.Equal(again, file) {
-		t.Errorf("the same snapshot became other bytes, %v", err)
+		t.Errorf("encoding the same snapshot again gave different bytes, %v", err)
 	}
 }
 
-// A file that was cut at any byte, or that has any bit flipped, must not be read.
+// A file that is truncated at any byte, is too long or has any bit flipped must be rejected.
 func TestDamageAnywhereShows(t *testing.T) {
 	file, err := Encode(sample())
 	if err != nil {
@@ -58,22 +58,22 @@
 	}
 	for n := range file {
 		if _, err := Decode(file[:n]); !errors.Is(err, ErrDamaged) {
-			t.Errorf("cut to %d bytes: %v", n, err)
+			t.Errorf("truncated to %d bytes: got %v, want ErrDamaged", n, err)
 		}
 	}
 	if _, err := Decode(append(bytes.Clone(file), 0)); !errors.Is(err, ErrDamaged) {
-		t.Errorf("a byte too many: %v", err)
+		t.Errorf("one byte too many: got %v, want ErrDamaged", err)
 	}
 	for i := range len(file) * 8 {
 		bad := bytes.Clone(file)
 		bad[i/8] ^= 1 << (i % 8)
 		if _, err := Decode(bad); !errors.Is(err, ErrDamaged) {
-			t.Errorf("bit %d flipped: %v", i, err)
+			t.Errorf("bit %d flipped: got %v, want ErrDamaged", i, err)
 		}
 	}
 }
 
-// A file of this form, as the first version of the program wrote it, is read as long as the form is.
+// A file of the first version of the program must be decoded as long as the format version is supported.
 func TestFileOfTheFirstVersion(t *testing.T) {
 	const name = "testdata/version-1.learned"
 	if *update {
@@ -90,23 +90,23 @@
 		t.Fatal(err)
 	}
 	if got, err := Decode(file); err != nil || !reflect.DeepEqual(got, sample()) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded %+v, %v; want the sample", got, err)
 	}
-	// One of a form to come is whole, and not for this program.
+	// An intact file of a later format version is not damaged, but this program can't decode it.
 	binary.BigEndian.PutUint32(file[len(letters):], FormVersion+1)
 	binary.BigEndian.PutUint64(file[sumAt:], checksum(file))
 	if _, err := Decode(file); !errors.Is(err, ErrVersion) {
-		t.Errorf("of the next form: %v", err)
+		t.Errorf("file of the next format version: got %v, want ErrVersion", err)
 	}
 }
 
 func TestFingerprintTellsSettingsApart(t *testing.T) {
 	a := scheduler.Settings{Fronts: 1, Plans: []scheduler.Plan{{Limit: 12}}}
 	b, c := a, a
-	b.Lease, b.MaxOpen = 5, 5 // what is learned does not depend on them
+	b.Lease, b.MaxOpen = 5, 5 // learned state does not depend on them
 	c.Plans = []scheduler.Plan{{Limit: 13}}
 	if Fingerprint(a) != Fingerprint(b) || Fingerprint(a) == Fingerprint(c) {
-		t.Error("fingerprints don't follow the settings")
+		t.Error("fingerprint must depend on Plans and not on Lease and MaxOpen")
 	}
 }
 
@@ -117,13 +117,13 @@
 	}
 	f.Add(file)
 	f.Fuzz(func(t *testing.T, file []byte) {
-		if len(file) > headSize { // let the fuzzer past the checksum
+		if len(file) > headSize { // correct length and checksum, so that the fuzzer reaches the body
 			binary.BigEndian.PutUint64(file[len(letters)+4:], uint64(len(file)-headSize))
 			binary.BigEndian.PutUint64(file[sumAt:], checksum(file))
 		}
 		if s, err := Decode(file); err == nil {
 			if _, err := Encode(s); err != nil {
-				t.Errorf("what was read can't be written: %v", err)
+				t.Errorf("decoded snapshot can't be encoded: %v", err)
 			}
 		}
 	})
--- a/internal/state/store/save.go
+++ b/internal/state/store/save.go
@@ -11,13 +11,13 @@
 	"otterturn/internal/state/snapshot"
 )
 
-// Result tells how a save ended: whether the snapshot may be read back from now on, and whether no earlier one may.
+// Result is the result of a save: There means that the snapshot may be loaded from now on, Sure that no earlier one can be.
 type Result struct {
 	There, Sure bool
 	Bytes       int
 }
 
-// Save writes a snapshot. Where it fails, the earlier ones are as they were, unless the result says otherwise.
+// Save writes a snapshot. If it fails, Load still returns the last one, unless the result has There set.
 func (s *Store) Save(snap snapshot.Snapshot) (r Result, err error) {
 	text, err := snapshot.Encode(snap)
 	if err != nil {
@@ -45,29 +45,30 @@
 	if err := f.Sync(); err != nil {
 		return r, fmt.Errorf("sync: %w", err)
 	}
-	// Only now does the one before the last go: as short as can be is there one good file under two names.
+	// The previous snapshot is replaced as late as possible, to minimize the time during which both names denote the same
+	// snapshot.
 	if err := s.keepLast(); err != nil {
-		return r, fmt.Errorf("keep the last snapshot: %w", err)
+		return r, fmt.Errorf("keep last snapshot as previous one: %w", err)
 	}
 	if err := s.fault("replace"); err != nil {
 		return r, fmt.Errorf("sync and replace: %w", err)
 	}
 	if err := f.CloseAtomicallyReplace(); err != nil {
-		// It may fail behind the rename as well, so the new one has to be reckoned with.
+		// This may also have failed after the rename, so the new snapshot may be loaded.
 		return Result{There: true}, fmt.Errorf("sync and replace: %w", err)
 	}
 	if err := s.syncFolder(); err != nil {
-		return Result{There: true}, fmt.Errorf("sync the folder: %w", err)
+		return Result{There: true}, fmt.Errorf("sync snapshot folder: %w", err)
 	}
 	return Result{There: true, Sure: true, Bytes: len(text)}, nil
 }
 
-// present sees to it that the folder is there and still the one that was locked: where it vanished and came back,
-// its lock is another file, which another process may hold.
+// present checks that the folder exists and is still the one that was locked. If the folder was replaced, its lock is another
+// file, which another process may hold, so present locks it again.
 func (s *Store) present() error {
 	held, err := s.lock.Stat()
 	if err != nil {
-		return fmt.Errorf("the lock: %w", err)
+		return fmt.Errorf("stat held lock: %w", err)
 	}
 	there, err := os.Stat(s.path(lockName))
 	if err == nil && os.SameFile(held, there) {
@@ -80,7 +81,7 @@
 	return old.Close()
 }
 
-// keepLast gives the last snapshot its second name. The first one goes on to name it until the new one takes it.
+// keepLast makes the last snapshot the previous one by a second link. The first name stays until the new snapshot replaces it.
 func (s *Store) keepLast() error {
 	if err := s.fault("keep"); err != nil {
 		return err
@@ -90,7 +91,7 @@
 	}
 	err := os.Link(s.path(currentName), s.path(linkName))
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil // the first one
+		return nil // there is no last snapshot yet
 	}
 	if err != nil {
 		return err
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -1,5 +1,5 @@
-// Package store keeps snapshots in a folder: the last one, and the one before it. A snapshot is written whole beside
-// the last and moved over it, and the folder is synced, so a crash at any moment leaves one of the two whole.
+// Package store keeps the last two snapshots in a folder. A new snapshot is written to a temporary file, which then replaces the
+// last one by a rename, and the folder is synced. So at least one of the two files is intact after a crash at any time.
 package store
 
 import (
@@ -15,51 +15,51 @@
 	"otterturn/internal/state/snapshot"
 )
 
-// Names in the folder.
+// File names in the folder.
 const (
 	currentName  = "learned"
 	previousName = "learned.previous"
 	lockName     = "lock"
-	asideName    = "learned.aside." // and when
+	asideName    = "learned.aside." // followed by the time
 	linkName     = "learned.linked"
 )
 
-// ErrTaken tells that another process uses the folder.
+// ErrTaken is returned by Open if another process uses the folder.
 var ErrTaken = errors.New("another process uses the folder")
 
-// Store is a folder that this process alone uses.
+// Store is a folder that is locked by this process.
 type Store struct {
 	folder string
 	lock   *os.File
-	fault  func(step string) error // of tests: an error here is one of the step
+	fault  func(step string) error // tests set it to make a step of Save fail
 }
 
-// Open takes a folder, which is made where there is none.
+// Open locks a folder, which it creates if necessary, and removes temporary files of an earlier process.
 func Open(folder string) (*Store, error) {
 	s := &Store{folder: folder, fault: func(string) error { return nil }}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return nil, fmt.Errorf("make the folder: %w", err)
+		return nil, fmt.Errorf("create snapshot folder: %w", err)
 	}
 	if err := s.take(); err != nil {
 		return nil, err
 	}
-	// What a process that was killed had begun to write is none of the two.
+	// A process that was killed during a save leaves incomplete files and the link of keepLast.
 	begun, err := filepath.Glob(filepath.Join(folder, "."+currentName+"*"))
 	for _, name := range append(begun, s.path(linkName)) {
 		if err := os.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			s.Close()
-			return nil, fmt.Errorf("clear what was not written to its end: %w", err)
+			return nil, fmt.Errorf("remove incomplete file of an earlier save: %w", err)
 		}
 	}
 	return s, err
 }
 
-// take locks the folder, which ends with the process. It makes none: where a disk was taken away, what is written
-// in the place where it had been would be gone with its return.
+// take locks the folder; the lock ends with the process. It does not create the folder: if a disk was unmounted, files written
+// at its mount point would be hidden when it is mounted again.
 func (s *Store) take() error {
 	lock, err := os.OpenFile(s.path(lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return fmt.Errorf("open the lock: %w", err)
+		return fmt.Errorf("open lock file: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
@@ -72,19 +72,19 @@
 	return nil
 }
 
-// Close gives the folder back.
+// Close unlocks the folder.
 func (s *Store) Close() error { return s.lock.Close() }
 
 func (s *Store) path(name string) string { return filepath.Join(s.folder, name) }
 
-// Found is a snapshot as it was read.
+// Found is a snapshot that Load has read.
 type Found struct {
 	snapshot.Snapshot
-	Older bool // a later one was written, and can't be read or may not be used
+	Older bool // a later snapshot was written but can't be read or must not be used
 }
 
-// Load reads the last snapshot that is whole and that judge lets pass. Others are set aside under a name of their
-// own, never deleted, each with a note of why. There may be none.
+// Load returns the last snapshot that is intact and for which judge returns nil; found is nil if there is none. A file that
+// can't be used is renamed, never deleted, and notes has an entry with the reason.
 func (s *Store) Load(judge func(snapshot.Snapshot) error) (found *Found, notes []string) {
 	for _, name := range []string{currentName, previousName} {
 		snap, err := s.read(name)
@@ -102,7 +102,7 @@
 	return nil, notes
 }
 
-// Read returns what a name of the folder holds, for operators: nothing is changed.
+// Read returns the last or the previous snapshot of a folder, for operators. It changes nothing and needs no lock.
 func Read(folder string, previous bool) (snapshot.Snapshot, error) {
 	s := &Store{folder: folder}
 	if previous {
@@ -117,7 +117,7 @@
 		return snapshot.Snapshot{}, err
 	}
 	if info.Size() > snapshot.MostBytes {
-		return snapshot.Snapshot{}, fmt.Errorf("%w: %d bytes, at most %d are kept", snapshot.ErrDamaged, info.Size(), snapshot.MostBytes)
+		return snapshot.Snapshot{}, fmt.Errorf("%w: file has %d bytes, limit is %d", snapshot.ErrDamaged, info.Size(), snapshot.MostBytes)
 	}
 	text, err := os.ReadFile(s.path(name))
 	if err != nil {
@@ -126,7 +126,7 @@
 	return snapshot.Decode(text)
 }
 
-// setAside moves a file out of the way.
+// setAside renames a file that can't be used, and returns a note about it.
 func (s *Store) setAside(name string, why error) (note string) {
 	to := asideName + time.Now().UTC().Format("20060102T150405.000000000")
 	if name == previousName {
@@ -138,7 +138,7 @@
 	return fmt.Sprintf("%s is not used: %v; it is kept as %s", s.path(name), why, to)
 }
 
-// Aside lists the files that were set aside.
+// Aside returns the names of the files that were set aside.
 func Aside(folder string) ([]string, error) {
 	entries, err := os.ReadDir(folder)
 	var out []string
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -13,7 +13,7 @@
 	"otterturn/internal/state/snapshot"
 )
 
-// steps are those of a save, in their order.
+// steps are the points at which Save can fail. Only the last one, sync, comes after the rename of the new file.
 var steps = []string{"keep", "keep on", "create", "write", "write on", "replace", "sync"}
 
 func snap(count uint64) snapshot.Snapshot {
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestMain lets the test's binary be a process that is killed at a step of its save.
+// TestMain runs the test binary as a process that exits at a step of Save if STORE_TEST_KILL names one.
 func TestMain(m *testing.M) {
 	if step := os.Getenv("STORE_TEST_KILL"); step != "" {
 		s, err := Open(os.Getenv("STORE_TEST_FOLDER"))
@@ -48,7 +48,7 @@
 		}
 		s.fault = func(at string) error {
 			if at == step {
-				os.Exit(9) // nothing that is deferred runs
+				os.Exit(9) // without running deferred functions
 			}
 			return nil
 		}
@@ -71,20 +71,20 @@
 			t.Fatalf("%s: %v", step, err)
 		}
 		want := uint64(2)
-		if i > 5 { // behind the rename
+		if i > 5 { // after the rename
 			want = 3
 		}
 		s = open(t, folder)
 		got, notes := s.Load(acceptAny)
 		if got == nil || got.Count != want || got.Older || len(notes) > 0 {
-			t.Errorf("killed at %q: read %+v, %v", step, got, notes)
+			t.Errorf("killed at %q: loaded %+v, notes %v", step, got, notes)
 		}
 		if begun, _ := filepath.Glob(filepath.Join(folder, ".*")); len(begun) > 0 {
-			t.Errorf("killed at %q: %v is left", step, begun)
+			t.Errorf("killed at %q: temporary files %v are left", step, begun)
 		}
 		save(t, s, 4)
 		if got, _ := s.Load(acceptAny); got.Count != 4 {
-			t.Errorf("killed at %q: the next save left %d", step, got.Count)
+			t.Errorf("killed at %q: loaded snapshot %d after saving 4", step, got.Count)
 		}
 	}
 }
@@ -103,18 +103,19 @@
 		}
 		r, err := s.Save(snap(3))
 		if !errors.Is(err, broken) || r.Sure || r.There != (i > 5) {
-			t.Errorf("%s: %+v, %v", step, r, err)
+			t.Errorf("error at %q: result %+v, error %v", step, r, err)
 		}
 		got, notes := s.Load(acceptAny)
 		if want := map[bool]uint64{false: 2, true: 3}[i > 5]; got == nil || got.Count != want || len(notes) > 0 {
-			t.Errorf("%s: read %+v, %v", step, got, notes)
+			t.Errorf("error at %q: loaded %+v, notes %v", step, got, notes)
 		}
 		s.fault = func(string) error { return nil }
 		save(t, s, 4)
 	}
 }
 
-// The last file is torn, the one before is whole: that is read, as an older one, and the torn one is kept.
+// If the last file is truncated and the previous one intact, Load returns the previous one as older and keeps the truncated one
+// under another name.
 func TestDamagedFileIsSetAside(t *testing.T) {
 	folder := t.TempDir()
 	s := open(t, folder)
@@ -130,25 +131,25 @@
 	}
 	got, notes := s.Load(acceptAny)
 	if got == nil || got.Count != 1 || !got.Older || len(notes) != 1 || !strings.Contains(notes[0], "damaged") {
-		t.Fatalf("read %+v, %v", got, notes)
+		t.Fatalf("loaded %+v, notes %v", got, notes)
 	}
 	aside, err := Aside(folder)
 	if err != nil || len(aside) != 1 {
-		t.Fatalf("set aside: %v, %v", aside, err)
+		t.Fatalf("files set aside: %v, %v; want one", aside, err)
 	}
 	if kept, err := os.ReadFile(filepath.Join(folder, aside[0])); err != nil || len(kept) != len(whole)-1 {
-		t.Errorf("%d bytes kept, %v", len(kept), err)
+		t.Errorf("file set aside has %d bytes, %v", len(kept), err)
 	}
 	if got, notes := s.Load(acceptAny); got == nil || !got.Older || len(notes) > 0 {
-		t.Errorf("the next start: %+v, %v", got, notes)
+		t.Errorf("second Load: %+v, notes %v", got, notes)
 	}
 	save(t, s, 5)
 	if got, _ := s.Load(acceptAny); got.Count != 5 || got.Older {
-		t.Errorf("after the next save: %+v", got)
+		t.Errorf("after the next save: loaded %+v", got)
 	}
 }
 
-// What judge turns down is set aside as well, both files where it turns down both.
+// Files that judge rejects are set aside too, both of them if it rejects both.
 func TestFileThatIsNotToBeUsed(t *testing.T) {
 	s := open(t, t.TempDir())
 	save(t, s, 1)
@@ -156,13 +157,13 @@
 	other := errors.New("another front's")
 	if got, notes := s.Load(func(snapshot.Snapshot) error { return other }); got != nil || len(notes) != 2 ||
 		!strings.Contains(notes[0], other.Error()) {
-		t.Errorf("read %+v, %v", got, notes)
+		t.Errorf("loaded %+v, notes %v", got, notes)
 	}
 	if aside, _ := Aside(s.folder); len(aside) != 2 {
-		t.Errorf("set aside: %v", aside)
+		t.Errorf("files set aside: %v, want two", aside)
 	}
 	if got, notes := s.Load(acceptAny); got != nil || len(notes) > 0 {
-		t.Errorf("read %+v, %v from a folder that is empty now", got, notes)
+		t.Errorf("loaded %+v, notes %v from a folder without snapshots", got, notes)
 	}
 }
 
@@ -170,13 +171,14 @@
 	folder := t.TempDir()
 	first := open(t, folder)
 	if _, err := Open(folder); !errors.Is(err, ErrTaken) {
-		t.Errorf("a second one: %v", err)
+		t.Errorf("second Open: got %v, want ErrTaken", err)
 	}
 	first.Close()
 	open(t, folder)
 }
 
-// The disk was taken away, and is there again: saves fail meanwhile, and nothing is written in its place.
+// While the folder is missing, as when its disk is unmounted, saves fail and nothing is written in its place. When it is back,
+// saves succeed again, and a folder that replaced it is locked.
 func TestFolderThatVanishesAndComesBack(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "kept")
 	s := open(t, folder)
@@ -185,16 +187,16 @@
 		t.Fatal(err)
 	}
 	if r, err := s.Save(snap(2)); err == nil || r.There {
-		t.Errorf("saved without a folder: %+v", r)
+		t.Errorf("save without a folder succeeded: %+v", r)
 	}
 	if _, err := os.Stat(folder); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("made in the place of the one that is away: %v", err)
+		t.Errorf("save created the missing folder: %v", err)
 	}
 	if err := os.Rename(folder+".away", folder); err != nil {
 		t.Fatal(err)
 	}
 	save(t, s, 3)
-	if err := os.RemoveAll(folder); err != nil { // for good, and another one in its place
+	if err := os.RemoveAll(folder); err != nil { // replaced by a new folder
 		t.Fatal(err)
 	}
 	if err := os.Mkdir(folder, 0o700); err != nil {
@@ -202,7 +204,7 @@
 	}
 	save(t, s, 4)
 	if _, err := Open(folder); !errors.Is(err, ErrTaken) {
-		t.Errorf("the new folder is not locked: %v", err)
+		t.Errorf("new folder is not locked: Open returned %v", err)
 	}
 }
 
@@ -213,10 +215,10 @@
 	save(t, s, 2)
 	for previous, want := range map[bool]uint64{false: 2, true: 1} {
 		if got, err := Read(folder, previous); err != nil || !reflect.DeepEqual(got.Count, want) {
-			t.Errorf("previous %v: %d, %v", previous, got.Count, err)
+			t.Errorf("Read with previous=%v: snapshot %d, %v", previous, got.Count, err)
 		}
 	}
 	if _, err := Read(t.TempDir(), false); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("an empty folder: %v", err)
+		t.Errorf("Read of an empty folder: got %v, want fs.ErrNotExist", err)
 	}
 }
