--- a/internal/state/saver/saver.go
+++ b/internal/state/saver/saver.go
@@ -60,20 +60,20 @@
 
 // Restore imports into the core the parts of the last usable snapshot that are still valid. It must be called before the core
 // runs. It returns all nodes of the snapshot, from which the caller can restore the state that operators set.
-func (k *Saver) Restore() []snapshot.Node {
-	now := decay.Current{At: k.core.Now(), Front: k.set.Front, Settings: k.fingerprint, Fresh: k.core.NewNodeStats(), Nodes: k.set.Nodes()}
-	found, notes := k.store.Load(func(s snapshot.Snapshot) error { return decay.Check(s, now) })
+func (s *Saver) Restore() []snapshot.Node {
+	now := decay.Current{At: s.core.Now(), Front: s.set.Front, Settings: s.fingerprint, Fresh: s.core.NewNodeStats(), Nodes: s.set.Nodes()}
+	found, notes := s.store.Load(func(snap snapshot.Snapshot) error { return decay.Check(snap, now) })
 	for _, n := range notes {
-		k.set.Log.Warn("snapshot rejected", "why", n)
+		s.set.Log.Warn("snapshot rejected", "why", n)
 	}
 	if found == nil {
 		return nil
 	}
-	k.count = found.Count + 1
+	s.count = found.Count + 1
 	l := decay.Decay(found.Snapshot, now, found.Older)
-	k.core.ImportLearned(listings(now.Nodes), l)
+	s.core.ImportLearned(listings(now.Nodes), l)
 	age := time.Duration(now.At-found.Saved) * time.Microsecond
-	k.set.Log.Info("learned state restored", "snapshot", found.Count, "nodes", len(l.Nodes), "projects", len(l.Volumes),
+	s.set.Log.Info("learned state restored", "snapshot", found.Count, "nodes", len(l.Nodes), "projects", len(l.Volumes),
 		"age", age.Round(time.Millisecond).String(), "previous", found.Older)
 	return found.Nodes
 }
@@ -88,11 +88,11 @@
 
 // Run saves until ctx ends. It makes the first save at once, because nothing may be drawn from restored token buckets before
 // that.
-func (k *Saver) Run(ctx context.Context) {
+func (s *Saver) Run(ctx context.Context) {
 	var asked chan error
 	for {
-		soonest, next := time.NewTimer(k.set.MinInterval), time.NewTimer(k.set.Interval)
-		err := k.save(ctx)
+		soonest, next := time.NewTimer(s.set.MinInterval), time.NewTimer(s.set.Interval)
+		err := s.save(ctx)
 		if asked != nil {
 			asked <- err
 			asked = nil
@@ -104,8 +104,8 @@
 		}
 		select {
 		case <-next.C:
-		case <-k.core.SaveRequested():
-		case asked = <-k.saveRequests:
+		case <-s.core.SaveRequested():
+		case asked = <-s.saveRequests:
 		case <-ctx.Done():
 			return
 		}
@@ -113,10 +113,10 @@
 }
 
 // Save makes Run save as soon as MinInterval allows, and returns the result.
-func (k *Saver) Save(ctx context.Context) error {
+func (s *Saver) Save(ctx context.Context) error {
 	done := make(chan error, 1)
 	select {
-	case k.saveRequests <- done:
+	case s.saveRequests <- done:
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
@@ -130,10 +130,10 @@
 
 // Close makes the last save. It must be called after the core has ended: nothing is drawn any more, so the snapshot includes no
 // leases.
-func (k *Saver) Close() error {
-	ctx, end := context.WithTimeout(context.Background(), k.set.Shutdown)
+func (s *Saver) Close() error {
+	ctx, end := context.WithTimeout(context.Background(), s.set.Shutdown)
 	defer end()
-	snap, err := k.collect(ctx)
+	snap, err := s.collect(ctx)
 	if err != nil {
 		return err
 	}
@@ -141,49 +141,49 @@
 	for i := range snap.Accounts {
 		snap.Accounts[i].Bucket.Lease = 0
 	}
-	_, err = k.store.Save(snap)
+	_, err = s.store.Save(snap)
 	return err
 }
 
-func (k *Saver) save(ctx context.Context) error {
+func (s *Saver) save(ctx context.Context) error {
 	began := time.Now()
-	snap, err := k.collect(ctx)
+	snap, err := s.collect(ctx)
 	if err != nil {
 		return err // the core or ctx has ended
 	}
-	r, err := k.store.Save(snap)
-	k.core.StateSaved(scheduler.StateSaved{Readable: r.There, Latest: r.Sure})
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	before := k.status.Error
+	r, err := s.store.Save(snap)
+	s.core.StateSaved(scheduler.StateSaved{Readable: r.There, Latest: r.Sure})
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	before := s.status.Error
 	if err != nil {
-		k.status.Failures++
-		k.status.Error = err.Error()
+		s.status.Failures++
+		s.status.Error = err.Error()
 		if before == "" {
-			k.set.Log.Error("saving learned state failed", "error", err, "next_try_in", k.set.Interval.String())
+			s.set.Log.Error("saving learned state failed", "error", err, "next_try_in", s.set.Interval.String())
 		}
 		return err
 	}
-	k.status.Saves++
-	k.status.Last, k.status.Took, k.status.Bytes, k.status.Error = time.Now(), time.Since(began), r.Bytes, ""
+	s.status.Saves++
+	s.status.Last, s.status.Took, s.status.Bytes, s.status.Error = time.Now(), time.Since(began), r.Bytes, ""
 	if before != "" {
-		k.set.Log.Info("saving learned state recovered")
+		s.set.Log.Info("saving learned state recovered")
 	}
 	return nil
 }
 
 // collect exports the core's learned state in parts.
-func (k *Saver) collect(ctx context.Context) (snapshot.Snapshot, error) {
-	k.mu.Lock()
-	snap := snapshot.Snapshot{Front: k.set.Front, Settings: k.fingerprint, Count: k.count}
-	k.count++
-	k.mu.Unlock()
+func (s *Saver) collect(ctx context.Context) (snapshot.Snapshot, error) {
+	s.mu.Lock()
+	snap := snapshot.Snapshot{Front: s.set.Front, Settings: s.fingerprint, Count: s.count}
+	s.count++
+	s.mu.Unlock()
 	addrs := map[string]string{}
-	for _, n := range k.set.Nodes() {
+	for _, n := range s.set.Nodes() {
 		addrs[n.Node] = n.Addr
 	}
 	for from := 0; ; {
-		l, next, err := k.core.ExportLearned(ctx, from, exportBatch)
+		l, next, err := s.core.ExportLearned(ctx, from, exportBatch)
 		if err != nil {
 			return snapshot.Snapshot{}, fmt.Errorf("export learned state: %w", err)
 		}
@@ -200,8 +200,8 @@
 }
 
 // Status returns the results of the saves so far.
-func (k *Saver) Status() Status {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.status
+func (s *Saver) Status() Status {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.status
 }
--- a/internal/state/store/save.go
+++ b/internal/state/store/save.go
@@ -35,7 +35,7 @@
 	}
 	defer f.Cleanup()
 	for i, part := range [][]byte{text[:len(text)/2], text[len(text)/2:]} {
-		if err := s.fault([]string{"write", "write on"}[i]); err != nil {
+		if err := s.fault([]string{"write", "write second half"}[i]); err != nil {
 			return r, fmt.Errorf("write: %w", err)
 		}
 		if _, err := f.Write(part); err != nil {
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.fault("keep on"); err != nil {
+	if err := s.fault("rename link"); err != nil {
 		return err
 	}
 	return os.Rename(s.path(linkName), s.path(previousName))
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -14,7 +14,7 @@
 )
 
 // steps are the points at which Save can fail. Only the last one, sync, comes after the rename of the new file.
-var steps = []string{"keep", "keep on", "create", "write", "write on", "replace", "sync"}
+var steps = []string{"keep", "rename link", "create", "write", "write second half", "replace", "sync"}
 
 func snap(count uint64) snapshot.Snapshot {
 	return snapshot.Snapshot{Front: "a", Saved: 1, Count: count, Nodes: make([]snapshot.Node, 50)}
