--- a/internal/handover/channel.go
+++ b/internal/handover/channel.go
@@ -16,15 +16,15 @@
 // The kinds of message, with the process that sends them. A state is sent in parts; KindStateEnd may carry the socket for
 // messages of other fronts.
 const (
-	KindAsk        Kind = iota + 1 // successor: requests the state; the text is the version
-	KindStatePart                  // predecessor: a part of the state
-	KindStateEnd                   // predecessor: the state is complete
-	KindReady                      // successor: it is ready to serve
-	KindGo                         // predecessor: the successor may serve
-	KindConnection                 // predecessor: a client's connection
-	KindRequestID                  // either: a request with this id was accepted
-	KindBan                        // either: a node was banned; the text is the node and who banned it, separated by a newline
-	KindUnban                      // either: the ban of a node has ended; text as for KindBan
+	KindStateRequest Kind = iota + 1 // successor: requests the state; the text is the version
+	KindStatePart                    // predecessor: a part of the state
+	KindStateEnd                     // predecessor: the state is complete
+	KindReady                        // successor: it is ready to serve
+	KindRelease                      // predecessor: the successor may serve
+	KindConnection                   // predecessor: a client's connection
+	KindRequestID                    // either: a request with this id was accepted
+	KindBan                          // either: a node was banned; the text is the node and who banned it, separated by a newline
+	KindUnban                        // either: the ban of a node has ended; text as for KindBan
 )
 
 // maxPartBytes is the maximum size of a message's text. The kernel transfers a packet of this size in one piece.
@@ -68,11 +68,11 @@
 func (c *Channel) Close() error { return c.conn.Close() }
 
 // Send sends a message, with a copy of a socket unless that is nil.
-func (c *Channel) Send(k Kind, text []byte, socket syscall.Conn) error {
+func (c *Channel) Send(kind Kind, text []byte, socket syscall.Conn) error {
 	if err := c.conn.SetWriteDeadline(time.Now().Add(sendTimeout)); err != nil {
 		return err
 	}
-	packet := append([]byte{byte(k)}, text...)
+	packet := append([]byte{byte(kind)}, text...)
 	if socket == nil {
 		_, err := c.conn.Write(packet)
 		return err
@@ -81,13 +81,13 @@
 	if err != nil {
 		return err
 	}
-	var sent error
+	var sendErr error
 	if err := raw.Control(func(fd uintptr) {
-		_, _, sent = c.conn.WriteMsgUnix(packet, syscall.UnixRights(int(fd)), nil)
+		_, _, sendErr = c.conn.WriteMsgUnix(packet, syscall.UnixRights(int(fd)), nil)
 	}); err != nil {
 		return err
 	}
-	return sent
+	return sendErr
 }
 
 // SendState sends an encoded state in parts, with a copy of a socket unless that is nil.
@@ -103,24 +103,24 @@
 }
 
 // Receive waits for a message and returns it with the socket that it carries, nil for none.
-func (c *Channel) Receive() (k Kind, text []byte, socket *os.File, err error) {
+func (c *Channel) Receive() (kind Kind, text []byte, socket *os.File, err error) {
 	packet, rights := make([]byte, maxPartBytes+1), make([]byte, syscall.CmsgSpace(4))
-	n, oob, _, _, err := c.conn.ReadMsgUnix(packet, rights)
+	n, rightsLen, _, _, err := c.conn.ReadMsgUnix(packet, rights)
 	if err != nil {
 		return 0, nil, nil, err
 	}
 	if n == 0 {
 		return 0, nil, nil, io.EOF
 	}
-	if oob > 0 {
-		if socket, err = received(rights[:oob]); err != nil {
+	if rightsLen > 0 {
+		if socket, err = parseSocket(rights[:rightsLen]); err != nil {
 			return 0, nil, nil, err
 		}
 	}
 	return Kind(packet[0]), packet[1:n], socket, nil
 }
 
-func received(rights []byte) (*os.File, error) {
+func parseSocket(rights []byte) (*os.File, error) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil || len(messages) != 1 {
 		return nil, errors.Join(errors.New("handover: malformed socket control message"), err)
@@ -143,28 +143,28 @@
 
 // RequestState asks the predecessor for its state, and returns it with the socket that it carries, nil for none.
 func (c *Channel) RequestState() (state []byte, socket *os.File, err error) {
-	if err := c.Send(KindAsk, []byte{Version}, nil); err != nil {
+	if err := c.Send(KindStateRequest, []byte{Version}, nil); err != nil {
 		return nil, nil, err
 	}
 	for {
-		k, text, with, err := c.Receive()
+		kind, text, attached, err := c.Receive()
 		switch {
 		case err != nil:
 			return nil, nil, err
-		case k == KindStatePart && len(state)+len(text) <= maxStateBytes:
+		case kind == KindStatePart && len(state)+len(text) <= maxStateBytes:
 			state = append(state, text...)
-		case k == KindStateEnd:
-			return state, with, nil
+		case kind == KindStateEnd:
+			return state, attached, nil
 		default:
-			return nil, nil, fmt.Errorf("unexpected message of kind %d while receiving the state, or state over %d bytes", k, maxStateBytes)
+			return nil, nil, fmt.Errorf("unexpected message of kind %d while receiving the state, or state over %d bytes", kind, maxStateBytes)
 		}
 	}
 }
 
 // AwaitRequest waits until the successor asks for the state.
 func (c *Channel) AwaitRequest() error {
-	k, text, _, err := c.Receive()
-	if err == nil && (k != KindAsk || len(text) != 1 || text[0] != Version) {
+	kind, text, _, err := c.Receive()
+	if err == nil && (kind != KindStateRequest || len(text) != 1 || text[0] != Version) {
 		err = ErrVersion
 	}
 	return err
@@ -175,21 +175,21 @@
 	if err := c.Send(KindReady, nil, nil); err != nil {
 		return err
 	}
-	return c.await(KindGo)
+	return c.expect(KindRelease)
 }
 
 // ReleaseSuccessor waits until the successor is ready to serve, and permits it.
 func (c *Channel) ReleaseSuccessor() error {
-	if err := c.await(KindReady); err != nil {
+	if err := c.expect(KindReady); err != nil {
 		return err
 	}
-	return c.Send(KindGo, nil, nil)
+	return c.Send(KindRelease, nil, nil)
 }
 
-func (c *Channel) await(want Kind) error {
-	k, _, _, err := c.Receive()
-	if err == nil && k != want {
-		err = fmt.Errorf("received message of kind %d, want kind %d", k, want)
+func (c *Channel) expect(want Kind) error {
+	kind, _, _, err := c.Receive()
+	if err == nil && kind != want {
+		err = fmt.Errorf("received message of kind %d, want kind %d", kind, want)
 	}
 	return err
 }
--- a/internal/handover/channel_test.go
+++ b/internal/handover/channel_test.go
@@ -8,7 +8,7 @@
 )
 
 // Requests wait for messages to the other process. Sending must time out if that process is stalled and reads nothing.
-func TestSendWaitsForNobodyLong(t *testing.T) {
+func TestSendTimesOut(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "handover")
 	l, err := Listen(path)
 	if err != nil {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestStateKeepsItsBytes checks that the encoded state has the bytes that the build of 2026-12-02 wrote, because an upgrade
+// TestStateEncodingIsStable checks that the encoded state has the bytes that the build of 2026-12-02 wrote, because an upgrade
 // hands over between two versions of the program.
-func TestStateKeepsItsBytes(t *testing.T) {
+func TestStateEncodingIsStable(t *testing.T) {
 	const name = "testdata/version-1.handover"
 	text, err := Encode(goldenState())
 	if err != nil {
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestKindsKeepTheirNumbers checks the numbers of the message kinds, which are the first byte of each message.
-func TestKindsKeepTheirNumbers(t *testing.T) {
-	for want, kind := range []Kind{KindAsk, KindStatePart, KindStateEnd, KindReady, KindGo, KindConnection, KindRequestID, KindBan, KindUnban} {
+// TestKindNumbersAreStable checks the numbers of the message kinds, which are the first byte of each message.
+func TestKindNumbersAreStable(t *testing.T) {
+	for want, kind := range []Kind{KindStateRequest, KindStatePart, KindStateEnd, KindReady, KindRelease, KindConnection, KindRequestID, KindBan, KindUnban} {
 		if int(kind) != want+1 {
 			t.Errorf("kind has number %d, want %d", kind, want+1)
 		}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -31,85 +31,85 @@
 	Bans  map[string]string // who banned a node, by node
 }
 
-type form struct {
-	Version  int               `cbor:"1,keyasint"`
-	Snapshot []byte            `cbor:"2,keyasint"` // in the format of snapshot files, with a version and checksum of its own
-	Began    int64             `cbor:"3,keyasint"`
-	IDs      []string          `cbor:"4,keyasint"`
-	Plans    []string          `cbor:"5,keyasint"`
-	List     []hostForm        `cbor:"6,keyasint"`
-	Bans     map[string]string `cbor:"7,keyasint"`
+type encodedState struct {
+	Version   int               `cbor:"1,keyasint"`
+	Snapshot  []byte            `cbor:"2,keyasint"` // in the format of snapshot files, with a version and checksum of its own
+	StartedAt int64             `cbor:"3,keyasint"`
+	IDs       []string          `cbor:"4,keyasint"`
+	Plans     []string          `cbor:"5,keyasint"`
+	List      []encodedHost     `cbor:"6,keyasint"`
+	Bans      map[string]string `cbor:"7,keyasint"`
 }
 
-type hostForm struct {
-	Name  string `cbor:"1,keyasint"`
-	Dial  string `cbor:"2,keyasint"`
-	Zone  int    `cbor:"3,keyasint"`
-	Shard int    `cbor:"4,keyasint"`
-	State int    `cbor:"5,keyasint"`
-	Since int64  `cbor:"6,keyasint"`
+type encodedHost struct {
+	Name      string `cbor:"1,keyasint"`
+	Dial      string `cbor:"2,keyasint"`
+	Zone      int    `cbor:"3,keyasint"`
+	Shard     int    `cbor:"4,keyasint"`
+	State     int    `cbor:"5,keyasint"`
+	StartedAt int64  `cbor:"6,keyasint"`
 }
 
 // Encode returns the encoded state.
 func Encode(s State) ([]byte, error) {
 	snap := snapshot.Snapshot{Saved: s.Given.At, Accounts: s.Given.Volumes, Leads: s.Given.Flows}
-	for _, k := range s.Given.Nodes {
-		snap.Nodes = append(snap.Nodes, snapshot.Node{LearnedNode: k})
+	for _, node := range s.Given.Nodes {
+		snap.Nodes = append(snap.Nodes, snapshot.Node{LearnedNode: node})
 	}
-	kept, err := snapshot.Encode(snap)
+	file, err := snapshot.Encode(snap)
 	if err != nil {
 		return nil, err
 	}
-	f := form{Version: Version, Snapshot: kept, Began: int64(s.Given.StartedAt), IDs: s.Given.IDs, Plans: s.Plans, Bans: s.Bans}
+	encoded := encodedState{Version: Version, Snapshot: file, StartedAt: int64(s.Given.StartedAt), IDs: s.Given.IDs, Plans: s.Plans, Bans: s.Bans}
 	for _, h := range s.List.Hosts {
-		f.List = append(f.List, hostForm{h.Node, h.Dial, h.Zone, h.Shard, int(h.State), int64(h.StartedAt)})
+		encoded.List = append(encoded.List, encodedHost{h.Node, h.Dial, h.Zone, h.Shard, int(h.State), int64(h.StartedAt)})
 	}
-	return cbor.Marshal(f)
+	return cbor.Marshal(encoded)
 }
 
 // Decode decodes a state and maps the plans of its volumes and flows, by name, to their indexes in plans. Volumes and flows
 // whose plan is not among them are dropped and start from scratch.
 func Decode(text []byte, plans []string) (State, error) {
-	var f form
-	if err := cbor.Unmarshal(text, &f); err != nil {
+	var encoded encodedState
+	if err := cbor.Unmarshal(text, &encoded); err != nil {
 		return State{}, fmt.Errorf("decode handover state: %w", err)
 	}
-	if f.Version != Version {
+	if encoded.Version != Version {
 		return State{}, ErrVersion
 	}
-	snap, err := snapshot.Decode(f.Snapshot)
+	snap, err := snapshot.Decode(encoded.Snapshot)
 	if err != nil {
 		return State{}, fmt.Errorf("decode snapshot of handover state: %w", err)
 	}
-	numbers := map[int]int{}
-	for i, name := range f.Plans {
-		for at, own := range plans {
-			if own == name && name != "" {
-				numbers[i] = at
+	planIndexes := map[int]int{}
+	for i, name := range encoded.Plans {
+		for index, known := range plans {
+			if known == name && name != "" {
+				planIndexes[i] = index
 			}
 		}
 	}
-	s := State{Plans: f.Plans, Bans: f.Bans, List: protocol.List{Whole: true}}
-	s.Given = routing.HandoverState{StartedAt: scheduler.Micros(f.Began), IDs: f.IDs, Learned: scheduler.Learned{At: snap.Saved}}
+	s := State{Plans: encoded.Plans, Bans: encoded.Bans, List: protocol.List{Whole: true}}
+	s.Given = routing.HandoverState{StartedAt: scheduler.Micros(encoded.StartedAt), IDs: encoded.IDs, Learned: scheduler.Learned{At: snap.Saved}}
 	for _, n := range snap.Nodes {
 		s.Given.Nodes = append(s.Given.Nodes, n.LearnedNode)
 	}
 	for _, a := range snap.Accounts {
-		if at, has := numbers[a.Plan]; has {
-			a.Plan = at
+		if index, ok := planIndexes[a.Plan]; ok {
+			a.Plan = index
 			s.Given.Volumes = append(s.Given.Volumes, a)
 		}
 	}
 	for _, l := range snap.Leads {
-		if at, has := numbers[l.Plan]; has {
-			l.Plan = at
+		if index, ok := planIndexes[l.Plan]; ok {
+			l.Plan = index
 			s.Given.Flows = append(s.Given.Flows, l)
 		}
 	}
-	for _, h := range f.List {
+	for _, h := range encoded.List {
 		s.List.Hosts = append(s.List.Hosts, protocol.Host{Dial: h.Dial, Endpoint: scheduler.Endpoint{
 			Node: h.Name, Zone: h.Zone,
-			Shard: h.Shard, State: scheduler.NodeState(h.State), StartedAt: scheduler.Micros(h.Since),
+			Shard: h.Shard, State: scheduler.NodeState(h.State), StartedAt: scheduler.Micros(h.StartedAt),
 		}})
 	}
 	return s, nil
--- a/internal/net/accept/accept.go
+++ b/internal/net/accept/accept.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// permanentAfter is how long an error of the listening socket itself is retried before Accept returns it.
-const permanentAfter = 5 * time.Second
+// socketErrorTimeout is how long an error of the listening socket itself is retried before Accept returns it.
+const socketErrorTimeout = 5 * time.Second
 
-// emptyAfter is the duration from which an accept counts as one that found the kernel's queue empty and waited for a new
+// minBlockedAccept is the duration from which an accept counts as one that found the kernel's queue empty and waited for a new
 // connection. An accept that finds a connection in the queue takes less, even on a busy machine.
-const emptyAfter = 100 * time.Millisecond
+const minBlockedAccept = 100 * time.Millisecond
 
 // Listener retries failed accepts. Only one goroutine may call Accept.
 type Listener struct {
@@ -39,44 +39,44 @@
 }
 
 // Accept returns the next connection. Its error is net.ErrClosed, os.ErrDeadlineExceeded if a deadline is set, or an error of
-// the listening socket itself that has lasted for permanentAfter.
+// the listening socket itself that has lasted for socketErrorTimeout.
 func (l *Listener) Accept() (net.Conn, error) {
-	var brokenSince time.Time
+	var socketErrorSince time.Time
 	for {
-		began := time.Now()
+		startedAt := time.Now()
 		conn, err := l.Listener.Accept()
 		switch {
 		case err == nil:
-			l.noteAccepted(began)
+			l.updateDelay(startedAt)
 			return conn, nil
 		case errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded):
 			return nil, err
 		case l.closed.Load():
 			return nil, net.ErrClosed
 		}
-		if !isSocketBroken(err) {
-			brokenSince = time.Time{}
-		} else if brokenSince.IsZero() {
-			brokenSince = began
-		} else if time.Since(brokenSince) > permanentAfter {
+		if !isSocketError(err) {
+			socketErrorSince = time.Time{}
+		} else if socketErrorSince.IsZero() {
+			socketErrorSince = startedAt
+		} else if time.Since(socketErrorSince) > socketErrorTimeout {
 			return nil, err
 		}
 		if l.failingSince.IsZero() {
-			l.failingSince = began
+			l.failingSince = startedAt
 		}
 		l.onError(err)
 		time.Sleep(l.pause)
 	}
 }
 
-// noteAccepted computes how long the accepted connection may have waited in the kernel's queue.
-func (l *Listener) noteAccepted(began time.Time) {
+// updateDelay computes how long the accepted connection may have waited in the kernel's queue.
+func (l *Listener) updateDelay(startedAt time.Time) {
 	now := time.Now()
 	l.delay = 0
 	if l.failingSince.IsZero() {
 		return
 	}
-	if now.Sub(began) > emptyAfter { // the queue was empty, so the connection did not wait
+	if now.Sub(startedAt) > minBlockedAccept { // the queue was empty, so the connection did not wait
 		l.failingSince = time.Time{}
 		return
 	}
@@ -94,7 +94,7 @@
 	return l.Listener.Close()
 }
 
-// isSocketBroken reports whether an error concerns the listening socket rather than a connection or resources.
-func isSocketBroken(err error) bool {
+// isSocketError reports whether an error concerns the listening socket rather than a connection or resources.
+func isSocketError(err error) bool {
 	return errors.Is(err, syscall.EBADF) || errors.Is(err, syscall.ENOTSOCK) || errors.Is(err, syscall.EINVAL)
 }
--- a/internal/net/control/control.go
+++ b/internal/net/control/control.go
@@ -28,21 +28,21 @@
 type Server struct {
 	front       Front
 	http        *http.Server
-	calls       *calls
+	idle        *idleConns
 	acceptRetry time.Duration
 }
 
 // New returns a server that controls a front.
-func New(f Front, l limits.Limits) *Server {
-	s := &Server{front: f, acceptRetry: l.AcceptRetry, calls: &calls{most: l.Control.Conns, open: map[net.Conn]int{}}}
+func New(front Front, bounds limits.Limits) *Server {
+	s := &Server{front: front, acceptRetry: bounds.AcceptRetry, idle: &idleConns{maxOpen: bounds.Control.Conns, open: map[net.Conn]int{}}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthcheck", s.health)
 	mux.HandleFunc("GET /stats", s.stats)
 	mux.HandleFunc("POST /chunk-servers/{id}/maint", s.ban)
-	mux.HandleFunc("POST /chunk-servers/{id}/ready", s.lift)
+	mux.HandleFunc("POST /chunk-servers/{id}/ready", s.unban)
 	s.http = &http.Server{
-		Handler: http.MaxBytesHandler(mux, l.Control.BodyBytes), ReadTimeout: l.Control.CallTimeout, WriteTimeout: l.Control.CallTimeout,
-		MaxHeaderBytes: l.Requests.HeaderBytes, ErrorLog: log.New(io.Discard, "", 0), ConnState: s.calls.track,
+		Handler: http.MaxBytesHandler(mux, bounds.Control.BodyBytes), ReadTimeout: bounds.Control.CallTimeout, WriteTimeout: bounds.Control.CallTimeout,
+		MaxHeaderBytes: bounds.Requests.HeaderBytes, ErrorLog: log.New(io.Discard, "", 0), ConnState: s.idle.track,
 	}
 	s.http.SetKeepAlivesEnabled(false)
 	return s
@@ -78,7 +78,7 @@
 	s.answer(w, s.front.Ban(r.PathValue("id"), r.RemoteAddr))
 }
 
-func (s *Server) lift(w http.ResponseWriter, r *http.Request) {
+func (s *Server) unban(w http.ResponseWriter, r *http.Request) {
 	s.answer(w, s.front.Lift(r.PathValue("id"), r.RemoteAddr))
 }
 
@@ -88,23 +88,23 @@
 	}
 }
 
-// calls tracks the connections that have not sent a complete call yet. At the maximum, a new connection closes the oldest one:
+// idle tracks the connections that have not sent a complete call yet. At the maximum, a new connection closes the oldest one:
 // idle connections must neither keep out active callers nor use up the file descriptors.
-type calls struct {
-	mu   sync.Mutex
-	most int
-	came int
-	open map[net.Conn]int // sequence number by connection; without those that have sent a complete call
+type idleConns struct {
+	mu       sync.Mutex
+	maxOpen  int
+	accepted int
+	open     map[net.Conn]int // sequence number by connection; without those that have sent a complete call
 }
 
-func (c *calls) track(conn net.Conn, state http.ConnState) {
+func (c *idleConns) track(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state != http.StateNew {
 		delete(c.open, conn)
 		return
 	}
-	for len(c.open) >= c.most {
+	for len(c.open) >= c.maxOpen {
 		var oldest net.Conn
 		for other, n := range c.open {
 			if oldest == nil || n < c.open[oldest] {
@@ -114,6 +114,6 @@
 		delete(c.open, oldest)
 		oldest.Close()
 	}
-	c.came++
-	c.open[conn] = c.came
+	c.accepted++
+	c.open[conn] = c.accepted
 }
--- a/internal/net/routing/attempt.go
+++ b/internal/net/routing/attempt.go
@@ -59,31 +59,31 @@
 
 // startAttempt carries out an attempt in a goroutine, reports its outcome to the scheduler, and sends the value of a
 // successful one to answers. The returned function cancels the attempt.
-func startAttempt[T any](ctx context.Context, s *Submission, v scheduler.StartAttempt, number int, attempt AttemptFunc[T],
+func startAttempt[T any](ctx context.Context, s *Submission, start scheduler.StartAttempt, number int, attempt AttemptFunc[T],
 	answers chan<- T,
 ) context.CancelCauseFunc {
-	c := s.core
-	if c.debugEnabled() {
-		c.Log.Debug("attempt started", "request", s.request.ID, "attempt", number, "node", v.Node, "operation", operationOf(number).String())
+	core := s.core
+	if core.debugEnabled() {
+		core.Log.Debug("attempt started", "request", s.request.ID, "attempt", number, "node", start.Node, "operation", operationOf(number).String())
 	}
-	own, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
+	attemptCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	go func() {
 		// The contexts end only after the outcome is submitted: code that waits for their end may reuse the request's id.
 		defer cancel(nil)
-		limited, release := context.WithDeadline(own, s.deadline)
-		defer release()
-		beginBy := c.clock.timeOf(v.BeginBy, s.deadline)
-		mayBegin, release := context.WithDeadline(ctx, beginBy)
-		defer release()
-		defer context.AfterFunc(own, release)()
-		value, outcome := runAttempt(limited, Attempt{
-			Node: v.Node, MayBegin: mayBegin, guard: c.Guard, operation: operationOf(number), beginBy: beginBy,
+		deadlineCtx, cancelDeadline := context.WithDeadline(attemptCtx, s.deadline)
+		defer cancelDeadline()
+		beginBy := core.clock.timeOf(start.BeginBy, s.deadline)
+		mayBegin, cancelDeadline := context.WithDeadline(ctx, beginBy)
+		defer cancelDeadline()
+		defer context.AfterFunc(attemptCtx, cancelDeadline)()
+		value, outcome := runAttempt(deadlineCtx, Attempt{
+			Node: start.Node, MayBegin: mayBegin, guard: core.Guard, operation: operationOf(number), beginBy: beginBy,
 		}, attempt)
 		outcome.ID = s.request.ID
 		outcome.Attempt = number
-		c.submit(message{event: outcome})
-		if c.debugEnabled() {
-			c.Log.Debug("attempt ended", "request", s.request.ID, "attempt", number, "node", v.Node,
+		core.submit(message{event: outcome})
+		if core.debugEnabled() {
+			core.Log.Debug("attempt ended", "request", s.request.ID, "attempt", number, "node", start.Node,
 				"result", outcome.Result.String(), "us", outcome.Latency)
 		}
 		if outcome.Result == scheduler.OK {
--- a/internal/net/routing/core.go
+++ b/internal/net/routing/core.go
@@ -49,18 +49,18 @@
 }
 
 // timeOf converts a time of this clock to a time.Time. It returns last if that is earlier or if t is 0.
-func (c Clock) timeOf(t scheduler.Micros, last time.Time) time.Time {
-	if own := c.start.Add(time.Duration(t-scheduler.Micros(c.start.UnixMicro())) * time.Microsecond); t > 0 && own.Before(last) {
-		return own
+func (c Clock) timeOf(t scheduler.Micros, latest time.Time) time.Time {
+	if converted := c.start.Add(time.Duration(t-scheduler.Micros(c.start.UnixMicro())) * time.Microsecond); t > 0 && converted.Before(latest) {
+		return converted
 	}
-	return last
+	return latest
 }
 
-// message carries an event to the loop of Run. call is set for Request and ClientLeft events. A request with admitBy set is
+// message carries an event to the loop of Run. state is set for Request and ClientLeft events. A request with admitBy set is
 // held back until the scheduler is ready for it, or until that time.
 type message struct {
 	event   scheduler.Event
-	call    *call
+	state   *requestState
 	admitBy scheduler.Micros
 	query   func(s *scheduler.Scheduler) // if set, the loop runs it instead of handling an event
 }
@@ -72,10 +72,10 @@
 	checkHealth        func(node string) scheduler.HealthChecked
 	inbox              chan message
 	stopped            chan struct{}
-	calls              map[string]*call // by request id; only the loop uses calls, usedIDs and waitingForCapacity
-	usedIDs            idHistory        // ids of finished requests
-	waitingForCapacity []message        // requests that wait until the scheduler is ready for them, the oldest first
-	saveRequested      chan struct{}    // buffered; holds an element while the scheduler wants the learned state saved
+	requests           map[string]*requestState // by request id; only the loop uses requests, usedIDs and waitingForCapacity
+	usedIDs            idHistory                // ids of finished requests
+	waitingForCapacity []message                // requests that wait until the scheduler is ready for them, the oldest first
+	saveRequested      chan struct{}            // buffered; holds an element while the scheduler wants the learned state saved
 
 	SendToPeer func(to int, a scheduler.Action) // sends a message to another front; set before Run, discards messages by default
 
@@ -89,17 +89,17 @@
 	announceID atomic.Pointer[func(id string)] // is called with the id of each submitted request
 }
 
-// New returns a core. The function probe runs a health check of a node and must return within a bounded time.
-func New(set scheduler.Settings, seed int64, l limits.Limits, probe func(node string) scheduler.HealthChecked) (*Core, error) {
-	decider, err := scheduler.New(set, seed)
+// New returns a core. checkHealth runs a health check of a node and must return within a bounded time.
+func New(settings scheduler.Settings, seed int64, bounds limits.Limits, checkHealth func(node string) scheduler.HealthChecked) (*Core, error) {
+	sched, err := scheduler.New(settings, seed)
 	if err != nil {
 		return nil, fmt.Errorf("scheduler: %w", err)
 	}
 	return &Core{
-		clock: NewClock(), scheduler: decider, checkHealth: probe, inbox: make(chan message, l.Requests.Inbox),
-		stopped: make(chan struct{}), calls: map[string]*call{}, usedIDs: newIDHistory(scheduler.Micros(l.Requests.IDRetention/time.Microsecond), l.Requests.PastIDs),
+		clock: NewClock(), scheduler: sched, checkHealth: checkHealth, inbox: make(chan message, bounds.Requests.Inbox),
+		stopped: make(chan struct{}), requests: map[string]*requestState{}, usedIDs: newIDHistory(scheduler.Micros(bounds.Requests.IDRetention/time.Microsecond), bounds.Requests.PastIDs),
 		saveRequested: make(chan struct{}, 1), SendToPeer: func(int, scheduler.Action) {}, Log: slog.New(slog.DiscardHandler),
-		Guard: lifecycle.New(l.Stop, slog.New(slog.DiscardHandler)),
+		Guard: lifecycle.New(bounds.Stop, slog.New(slog.DiscardHandler)),
 	}, nil
 }
 
@@ -131,12 +131,12 @@
 // carries out the resulting actions in order.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.stopped)
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	var events []scheduler.Event
-	take := func(m message) {
+	handle := func(m message) {
 		if m.query != nil { // the scheduler must know all events that came before the query
-			c.step(c.clock.Now(), events, alarm)
+			c.step(c.clock.Now(), events, timer)
 			events = events[:0]
 			m.query(c.scheduler)
 		} else if c.track(m) {
@@ -148,32 +148,32 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-alarm.C:
+		case <-timer.C:
 			events = append(events, scheduler.TimerFired{})
 		case m := <-c.inbox:
-			take(m)
+			handle(m)
 		}
-		for waiting := len(c.inbox); waiting > 0; waiting-- {
-			take(<-c.inbox)
+		for pending := len(c.inbox); pending > 0; pending-- {
+			handle(<-c.inbox)
 		}
 		now := c.clock.Now()
-		c.step(now, events, alarm)
-		c.admitWaiting(now, alarm)
+		c.step(now, events, timer)
+		c.admitWaiting(now, timer)
 	}
 }
 
-func (c *Core) step(now scheduler.Micros, events []scheduler.Event, alarm *time.Timer) {
+func (c *Core) step(now scheduler.Micros, events []scheduler.Event, timer *time.Timer) {
 	if len(events) == 0 {
 		return
 	}
 	for _, a := range c.scheduler.Step(now, events) {
-		c.perform(a, now, alarm)
+		c.perform(a, now, timer)
 	}
 }
 
 // admitWaiting admits the waiting requests that the scheduler is ready for or whose time is up. Each admitted request is
 // passed to the scheduler before the next one is checked.
-func (c *Core) admitWaiting(now scheduler.Micros, alarm *time.Timer) {
+func (c *Core) admitWaiting(now scheduler.Micros, timer *time.Timer) {
 	c.waitingForCapacity = slices.DeleteFunc(c.waitingForCapacity, func(m message) bool {
 		r := m.event.(scheduler.Request)
 		if now < m.admitBy && !c.scheduler.Ready(now, r) {
@@ -181,16 +181,16 @@
 		}
 		m.admitBy = 0
 		if c.track(m) {
-			c.step(now, []scheduler.Event{r}, alarm)
+			c.step(now, []scheduler.Event{r}, timer)
 		}
 		return true
 	})
 	if len(c.waitingForCapacity) > 0 {
-		alarm.Reset(readyInterval)
+		timer.Reset(readyInterval)
 	}
 }
 
-func (c *Core) perform(a scheduler.Action, now scheduler.Micros, alarm *time.Timer) {
+func (c *Core) perform(a scheduler.Action, now scheduler.Micros, timer *time.Timer) {
 	switch a := a.(type) {
 	case scheduler.StartAttempt:
 		c.deliver(a.ID, a, false)
@@ -215,22 +215,22 @@
 		default:
 		}
 	case scheduler.SetTimer:
-		alarm.Reset(time.Duration(a.At-now) * time.Microsecond)
+		timer.Reset(time.Duration(a.At-now) * time.Microsecond)
 	}
 }
 
 // deliver passes an action to its request. A final action ends the request.
-func (c *Core) deliver(id string, verdict scheduler.Action, final bool) {
-	call := c.calls[id]
-	if call == nil || call.over {
+func (c *Core) deliver(id string, action scheduler.Action, final bool) {
+	state := c.requests[id]
+	if state == nil || state.ended {
 		return
 	}
-	if send, ok := verdict.(scheduler.StartAttempt); ok {
-		call.outstanding++
-		c.observeStart(call, send)
+	if start, ok := action.(scheduler.StartAttempt); ok {
+		state.outstanding++
+		c.observeStart(state, start)
 	}
-	call.verdicts <- verdict
+	state.actions <- action
 	if final {
-		c.end(call)
+		c.endRequest(state)
 	}
 }
--- a/internal/net/routing/core_test.go
+++ b/internal/net/routing/core_test.go
@@ -25,39 +25,39 @@
 	return core
 }
 
-func TestAttemptsUntilTheAnswer(t *testing.T) {
+func TestRetriesUntilSuccess(t *testing.T) {
 	core, results := newCore(t), []scheduler.Result{scheduler.Errored, scheduler.TimedOut, scheduler.OK}
-	tries := 0
+	attempts := 0
 	got, err := routing.Do(t.Context(), core, request("x"),
 		func(ctx context.Context, a routing.Attempt) (string, scheduler.AttemptEnded) {
-			tries++
+			attempts++
 			if _, ok := ctx.Deadline(); !ok || a.Node != "a" {
-				t.Errorf("attempt %d goes to node %q, or has no deadline", tries, a.Node)
+				t.Errorf("attempt %d goes to node %q, or has no deadline", attempts, a.Node)
 			}
-			return fmt.Sprint("answer ", tries), scheduler.AttemptEnded{Result: results[tries-1]}
+			return fmt.Sprint("answer ", attempts), scheduler.AttemptEnded{Result: results[attempts-1]}
 		})
-	if err != nil || got != "answer 3" || tries != 3 {
-		t.Errorf("answer %q, error %v after %d attempts, want \"answer 3\" after 3", got, err, tries)
+	if err != nil || got != "answer 3" || attempts != 3 {
+		t.Errorf("answer %q, error %v after %d attempts, want \"answer 3\" after 3", got, err, attempts)
 	}
 }
 
-func TestFinalAnswers(t *testing.T) {
+func TestFinalAnswerErrors(t *testing.T) {
 	core := newCore(t)
-	once := request("once")
-	once.Class = 2 // not idempotent: must not run twice
-	_, err := routing.Do(t.Context(), core, once, func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
+	nonIdempotent := request("once")
+	nonIdempotent.Class = 2 // not idempotent: must not run twice
+	_, err := routing.Do(t.Context(), core, nonIdempotent, func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
 		return 0, scheduler.AttemptEnded{Result: scheduler.Errored}
 	})
 	if !errors.Is(err, routing.ErrFailed) {
 		t.Errorf("non-idempotent request after an attempt that may have run: got %v, want ErrFailed", err)
 	}
-	elsewhere := request("elsewhere")
-	elsewhere.Shard = 1 // no node has this shard
-	_, err = routing.Do(t.Context(), core, elsewhere, func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
+	withoutNode := request("elsewhere")
+	withoutNode.Shard = 1 // no node has this shard
+	_, err = routing.Do(t.Context(), core, withoutNode, func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
 		t.Error("request without a node was sent")
 		return 0, scheduler.AttemptEnded{}
 	})
-	if refused := new(routing.RejectedError); !errors.As(err, &refused) {
+	if rejected := new(routing.RejectedError); !errors.As(err, &rejected) {
 		t.Errorf("request without a node: got %v, want a RejectedError", err)
 	}
 	if got := core.Tally(); got.Sum(routing.Failed) != 1 || got.Sum(routing.Rejected) != 1 || got.Sum(routing.Served) != 0 {
@@ -67,63 +67,63 @@
 
 // A client leaves during the second attempt: the attempt continues to its outcome and its goroutine ends. The goroutine
 // used to block forever on sending the answer.
-func TestAttemptOfAClientThatLeftEnds(t *testing.T) {
+func TestAttemptOutlivesItsClient(t *testing.T) {
 	core := newCore(t)
 	for i := range 20 {
 		ctx, leave := context.WithCancel(t.Context())
-		out, goOn, tries := make(chan context.Context, 1), make(chan struct{}), 0
+		started, proceed, attempts := make(chan context.Context, 1), make(chan struct{}), 0
 		done := make(chan error, 1)
 		go func() {
 			_, err := routing.Do(ctx, core, request(fmt.Sprint("left-", i)),
-				func(own context.Context, _ routing.Attempt) (int, scheduler.AttemptEnded) {
-					if tries++; tries == 1 {
+				func(attemptCtx context.Context, _ routing.Attempt) (int, scheduler.AttemptEnded) {
+					if attempts++; attempts == 1 {
 						return 0, scheduler.AttemptEnded{Result: scheduler.Errored}
 					}
-					out <- own
-					<-goOn
+					started <- attemptCtx
+					<-proceed
 					return 0, scheduler.AttemptEnded{Result: scheduler.OK}
 				})
 			done <- err
 		}()
-		own := standin.Await(t, "the second attempt", out)
+		attemptCtx := standin.Await(t, "the second attempt", started)
 		leave()
 		if err := standin.Await(t, "the end of the request", done); !errors.Is(err, context.Canceled) {
 			t.Fatal(err)
 		}
-		if own.Err() != nil {
+		if attemptCtx.Err() != nil {
 			t.Fatal("the attempt ended when its client left")
 		}
-		close(goOn)
-		standin.Await(t, "the end of the attempt", own.Done())
+		close(proceed)
+		standin.Await(t, "the end of the attempt", attemptCtx.Done())
 	}
 }
 
 // An id is in use until the last attempt of its request has ended: otherwise the outcome of the first request would end a
 // second one. The end of a rejected duplicate's client must not end the first request. The id stays used afterwards, or a
 // request that may run only once would run again.
-func TestIdInUse(t *testing.T) {
+func TestDuplicateIDIsRejected(t *testing.T) {
 	core := newCore(t)
-	out, goOn := make(chan context.Context, 1), make(chan struct{})
-	wait := func(own context.Context, _ routing.Attempt) (int, scheduler.AttemptEnded) {
-		out <- own
-		<-goOn
+	started, proceed := make(chan context.Context, 1), make(chan struct{})
+	serve := func(attemptCtx context.Context, _ routing.Attempt) (int, scheduler.AttemptEnded) {
+		started <- attemptCtx
+		<-proceed
 		return 1, scheduler.AttemptEnded{Result: scheduler.OK}
 	}
-	refuse := func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
+	failIfSent := func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
 		t.Error("a second request with the id was sent")
 		return 0, scheduler.AttemptEnded{}
 	}
 	first, leave := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() {
-		_, err := routing.Do(first, core, request("same"), wait)
+		_, err := routing.Do(first, core, request("same"), serve)
 		done <- err
 	}()
-	own := standin.Await(t, "the attempt", out)
-	gone, end := context.WithCancel(t.Context())
-	end()
+	attemptCtx := standin.Await(t, "the attempt", started)
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
 	for range 100 {
-		routing.Do(gone, core, request("same"), refuse)
+		routing.Do(cancelled, core, request("same"), failIfSent)
 	}
 	select {
 	case err := <-done:
@@ -132,50 +132,50 @@
 	}
 	leave()
 	standin.Await(t, "the end of the first request", done)
-	if _, err := routing.Do(t.Context(), core, request("same"), refuse); !errors.Is(err, routing.ErrDuplicate) {
+	if _, err := routing.Do(t.Context(), core, request("same"), failIfSent); !errors.Is(err, routing.ErrDuplicate) {
 		t.Errorf("duplicate during the first request's attempt: got %v, want ErrDuplicate", err)
 	}
-	close(goOn)
-	standin.Await(t, "the end of the attempt", own.Done())
+	close(proceed)
+	standin.Await(t, "the end of the attempt", attemptCtx.Done())
 	// Faulty clients send copies of answered requests. Such a copy was sent to its node up to four more times.
-	if _, err := routing.Do(t.Context(), core, request("same"), refuse); !errors.Is(err, routing.ErrDuplicate) {
+	if _, err := routing.Do(t.Context(), core, request("same"), failIfSent); !errors.Is(err, routing.ErrDuplicate) {
 		t.Errorf("duplicate after the first request's end: got %v, want ErrDuplicate", err)
 	}
 }
 
 // A retry must begin within the deduplication window of the nodes, which starts with the first attempt. A retry that was
 // decided on in time was still written after the window if its connection came up late.
-func TestRepeatBeginsWithinItsWindow(t *testing.T) {
-	set := standin.Settings()
-	set.Classes[1].DedupWindow = 1_000_000
-	core := standin.Core(t, set, nil)
+func TestRetryBeginsWithinDedupWindow(t *testing.T) {
+	settings := standin.Settings()
+	settings.Classes[1].DedupWindow = 1_000_000
+	core := standin.Core(t, settings, nil)
 	core.UpdateEndpoints(scheduler.EndpointsChanged{Full: true, Endpoints: []scheduler.Endpoint{{Node: "a"}}})
-	keyed, began, tries := request("keyed"), time.Now(), 0
+	keyed, startedAt, attempts := request("keyed"), time.Now(), 0
 	keyed.Class = 1
 	_, err := routing.Do(t.Context(), core, keyed, func(ctx context.Context, a routing.Attempt) (int, scheduler.AttemptEnded) {
-		tries++
-		last, _ := ctx.Deadline()
-		begin, _ := a.MayBegin.Deadline()
+		attempts++
+		deadline, _ := ctx.Deadline()
+		beginBy, _ := a.MayBegin.Deadline()
 		switch {
-		case tries == 1 && !begin.Equal(last):
-			t.Errorf("the first attempt may begin until %v, want its deadline %v", begin, last)
-		case tries == 2 && (begin.After(time.Now().Add(time.Second)) || begin.Before(began)):
-			t.Errorf("the second attempt may begin until %v after the first, want within the window of 1 s", begin.Sub(began))
+		case attempts == 1 && !beginBy.Equal(deadline):
+			t.Errorf("the first attempt may begin until %v, want its deadline %v", beginBy, deadline)
+		case attempts == 2 && (beginBy.After(time.Now().Add(time.Second)) || beginBy.Before(startedAt)):
+			t.Errorf("the second attempt may begin until %v after the first, want within the window of 1 s", beginBy.Sub(startedAt))
 		}
-		if tries < 2 {
+		if attempts < 2 {
 			return 0, scheduler.AttemptEnded{Result: scheduler.Errored}
 		}
 		<-a.MayBegin.Done() // the connection comes up too late
 		return 0, scheduler.AttemptEnded{Result: scheduler.NotStarted}
 	})
-	if !errors.Is(err, routing.ErrFailed) || tries != 2 {
-		t.Errorf("got %v after %d attempts, want ErrFailed after 2", err, tries)
+	if !errors.Is(err, routing.ErrFailed) || attempts != 2 {
+		t.Errorf("got %v after %d attempts, want ErrFailed after 2", err, attempts)
 	}
 }
 
 // Clients may leave at any time, also between the scheduler's decision and the start of the attempt. The scheduler must be
 // told of the end of each attempt, or it would count it as outstanding forever and send the node no more requests.
-func TestClientsThatLeaveAtAnyMoment(t *testing.T) {
+func TestClientsLeavingAtAnyTime(t *testing.T) {
 	core := newCore(t)
 	serve := func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
 		return 0, scheduler.AttemptEnded{Result: scheduler.OK}
@@ -195,39 +195,39 @@
 
 // An attempt may take long to find out whether its node is alive. The final answer must come at the request's deadline all the
 // same, without the outcome of the attempt.
-func TestFinalAnswerWaitsForNoAttempt(t *testing.T) {
-	core, goOn := newCore(t), make(chan struct{})
-	defer close(goOn)
+func TestOverdueRequestIsAnsweredWithoutItsAttempt(t *testing.T) {
+	core, proceed := newCore(t), make(chan struct{})
+	defer close(proceed)
 	r := request("x")
 	r.TimeLeft = 50_000
-	began := time.Now()
+	startedAt := time.Now()
 	_, err := routing.Do(t.Context(), core, r, func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
-		<-goOn
+		<-proceed
 		return 0, scheduler.AttemptEnded{Result: scheduler.Reset}
 	})
-	if !errors.Is(err, routing.ErrFailed) || time.Since(began) > standin.Patience/2 || core.Tally().EndedOverdue != 1 {
-		t.Errorf("got %v after %v, tally %+v; want ErrFailed at the deadline", err, time.Since(began), core.Tally())
+	if !errors.Is(err, routing.ErrFailed) || time.Since(startedAt) > standin.Patience/2 || core.Tally().EndedOverdue != 1 {
+		t.Errorf("got %v after %v, tally %+v; want ErrFailed at the deadline", err, time.Since(startedAt), core.Tally())
 	}
 }
 
 // Requests that are open when the answers of a shutdown are due must get their final answer then, whatever their attempts do.
 // Later requests are rejected at once and never sent.
-func TestShutdownAnswersWhatIsOpen(t *testing.T) {
-	core, begun, goOn := newCore(t), make(chan struct{}), make(chan struct{})
+func TestShutdownAnswersOpenRequests(t *testing.T) {
+	core, started, proceed := newCore(t), make(chan struct{}), make(chan struct{})
 	stop := limits.Stop(time.Second)
 	stop.Answer = 100 * time.Millisecond
 	core.Guard = lifecycle.New(stop, slog.New(slog.DiscardHandler))
-	defer close(goOn)
+	defer close(proceed)
 	ended := make(chan error, 1)
 	go func() {
 		_, err := routing.Do(t.Context(), core, request("open"), func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
-			close(begun)
-			<-goOn
+			close(started)
+			<-proceed
 			return 0, scheduler.AttemptEnded{Result: scheduler.TimedOut}
 		})
 		ended <- err
 	}()
-	standin.Await(t, "the attempt", begun)
+	standin.Await(t, "the attempt", started)
 	core.Guard.BeginShutdown(time.Now())
 	if err := standin.Await(t, "the final answer", ended); !errors.Is(err, routing.ErrFailed) {
 		t.Errorf("open request: got %v, want ErrFailed", err)
@@ -236,7 +236,7 @@
 		t.Error("request was sent during the shutdown")
 		return 0, scheduler.AttemptEnded{}
 	})
-	if refused := new(routing.RejectedError); !errors.As(err, &refused) {
+	if rejected := new(routing.RejectedError); !errors.As(err, &rejected) {
 		t.Errorf("request during the shutdown: got %v, want a RejectedError", err)
 	}
 	if got := core.Tally(); got.EndedByShutdown != 1 || got.Open != 0 {
--- a/internal/net/routing/handover.go
+++ b/internal/net/routing/handover.go
@@ -17,13 +17,13 @@
 
 // Yield gives up the capacity that this process may promise, and returns the state for another process of the same front. See
 // scheduler.Scheduler.Yield.
-func (c *Core) Yield(ctx context.Context) (g HandoverState, err error) {
+func (c *Core) Yield(ctx context.Context) (state HandoverState, err error) {
 	err = c.query(ctx, func(s *scheduler.Scheduler) {
-		g.Learned, g.StartedAt = s.Yield(c.Now())
-		g.IDs = slices.Concat(slices.Collect(maps.Keys(c.calls)), slices.Collect(maps.Keys(c.usedIDs.recent)),
+		state.Learned, state.StartedAt = s.Yield(c.Now())
+		state.IDs = slices.Concat(slices.Collect(maps.Keys(c.requests)), slices.Collect(maps.Keys(c.usedIDs.recent)),
 			slices.Collect(maps.Keys(c.usedIDs.older)))
 	})
-	return g, err
+	return state, err
 }
 
 // YieldAll leaves all capacity to another process, whose state is not known, until Resume. It must be called before Run.
@@ -35,10 +35,10 @@
 }
 
 // TakeOver adopts the state that another process handed over. It must be called before Run.
-func (c *Core) TakeOver(nodes scheduler.EndpointsChanged, g HandoverState) {
+func (c *Core) TakeOver(nodes scheduler.EndpointsChanged, state HandoverState) {
 	c.scheduler.Step(c.Now(), []scheduler.Event{nodes})
-	c.scheduler.TakeOver(c.Now(), g.Learned, g.StartedAt)
-	for _, id := range g.IDs {
+	c.scheduler.TakeOver(c.Now(), state.Learned, state.StartedAt)
+	for _, id := range state.IDs {
 		c.usedIDs.add(c.Now(), id)
 	}
 }
@@ -49,10 +49,10 @@
 }
 
 // AnnounceIDs sets a function that is called with the id of each request that is submitted from now on; nil for none.
-func (c *Core) AnnounceIDs(tell func(id string)) {
-	if tell == nil {
+func (c *Core) AnnounceIDs(announce func(id string)) {
+	if announce == nil {
 		c.announceID.Store(nil)
 		return
 	}
-	c.announceID.Store(&tell)
+	c.announceID.Store(&announce)
 }
--- a/internal/net/routing/taken.go
+++ b/internal/net/routing/idhistory.go
@@ -12,8 +12,8 @@
 	rotatedAt     scheduler.Micros // when recent became older
 }
 
-func newIDHistory(keep scheduler.Micros, most int) idHistory {
-	return idHistory{retention: keep, maxRecent: most, recent: map[string]struct{}{}}
+func newIDHistory(retention scheduler.Micros, maxRecent int) idHistory {
+	return idHistory{retention: retention, maxRecent: maxRecent, recent: map[string]struct{}{}}
 }
 
 func (t *idHistory) add(now scheduler.Micros, id string) {
@@ -23,8 +23,8 @@
 	t.recent[id] = struct{}{}
 }
 
-func (t *idHistory) has(id string) bool {
-	_, now := t.recent[id]
-	_, older := t.older[id]
-	return now || older
+func (t *idHistory) contains(id string) bool {
+	_, inRecent := t.recent[id]
+	_, inOlder := t.older[id]
+	return inRecent || inOlder
 }
--- a/internal/net/routing/learned.go
+++ b/internal/net/routing/learned.go
@@ -33,10 +33,10 @@
 }
 
 // Reconfigure applies other settings, or none of them if they are invalid. See scheduler.Scheduler.Reconfigure.
-func (c *Core) Reconfigure(set scheduler.Settings) error {
-	var wrong error
-	err := c.query(context.Background(), func(s *scheduler.Scheduler) { wrong = s.Reconfigure(set) })
-	return cmp.Or(err, wrong)
+func (c *Core) Reconfigure(settings scheduler.Settings) error {
+	var invalid error
+	err := c.query(context.Background(), func(s *scheduler.Scheduler) { invalid = s.Reconfigure(settings) })
+	return cmp.Or(err, invalid)
 }
 
 // RetainIDs changes how long ids of finished requests are remembered. A shorter time applies only to ids that are added later.
@@ -73,12 +73,12 @@
 	default:
 	}
 	done := make(chan struct{})
-	ask := message{query: func(s *scheduler.Scheduler) {
+	msg := message{query: func(s *scheduler.Scheduler) {
 		f(s)
 		close(done)
 	}}
 	select {
-	case c.inbox <- ask:
+	case c.inbox <- msg:
 	case <-c.stopped:
 		return ErrStopped
 	case <-ctx.Done():
--- a/internal/net/routing/observer.go
+++ b/internal/net/routing/observer.go
@@ -12,21 +12,21 @@
 }
 
 // observeStart tells the observer, if there is one, of the start of an attempt.
-func (c *Core) observeStart(call *call, send scheduler.StartAttempt) {
+func (c *Core) observeStart(state *requestState, start scheduler.StartAttempt) {
 	if c.Observer == nil {
 		return
 	}
-	node := send.Node
-	if !c.Observer.AttemptStarted(node, call.id, len(call.nodes)) {
+	node := start.Node
+	if !c.Observer.AttemptStarted(node, state.id, len(state.nodes)) {
 		node = ""
 	}
-	call.nodes = append(call.nodes, node)
+	state.nodes = append(state.nodes, node)
 }
 
 // observeEnd tells the observer of the end of an attempt.
-func (c *Core) observeEnd(call *call, e scheduler.AttemptEnded) {
-	if e.Attempt < 0 || e.Attempt >= len(call.nodes) || call.nodes[e.Attempt] == "" {
+func (c *Core) observeEnd(state *requestState, e scheduler.AttemptEnded) {
+	if e.Attempt < 0 || e.Attempt >= len(state.nodes) || state.nodes[e.Attempt] == "" {
 		return
 	}
-	c.Observer.AttemptEnded(call.nodes[e.Attempt], e)
+	c.Observer.AttemptEnded(state.nodes[e.Attempt], e)
 }
--- a/internal/net/routing/observer_test.go
+++ b/internal/net/routing/observer_test.go
@@ -10,29 +10,29 @@
 	"otterturn/scheduler"
 )
 
-// observed is an Observer that records its calls and accepts no attempt at node "b".
-type observed struct{ lines chan string }
+// recordingObserver is an Observer that records its calls and accepts no attempt at node "b".
+type recordingObserver struct{ lines chan string }
 
-func (o *observed) AttemptStarted(node, id string, attempt int) bool {
+func (o *recordingObserver) AttemptStarted(node, id string, attempt int) bool {
 	o.lines <- fmt.Sprint("start ", node, " ", id, " ", attempt)
 	return node != "b"
 }
 
-func (o *observed) AttemptEnded(node string, e scheduler.AttemptEnded) {
+func (o *recordingObserver) AttemptEnded(node string, e scheduler.AttemptEnded) {
 	o.lines <- fmt.Sprint("end ", node, " ", e.ID, " ", e.Attempt, " ", e.Result, " ", e.Alive)
 }
 
 // The observer is told of the start and the end of each attempt, with node and number; an attempt that it did not accept has
 // no end.
-func TestObserverHearsOfEachAttempt(t *testing.T) {
-	set := standin.Settings()
-	core, err := routing.New(set, 1, standin.Limits(), func(node string) scheduler.HealthChecked {
+func TestObserverIsToldOfEachAttempt(t *testing.T) {
+	settings := standin.Settings()
+	core, err := routing.New(settings, 1, standin.Limits(), func(node string) scheduler.HealthChecked {
 		return scheduler.HealthChecked{Node: node, OK: true, Queue: -1}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &observed{lines: make(chan string, 64)}
+	o := &recordingObserver{lines: make(chan string, 64)}
 	core.Observer = o
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
@@ -48,9 +48,9 @@
 		t.Fatal(err)
 	}
 	outcomes = []scheduler.AttemptEnded{{Result: scheduler.OK}}
-	untaken := request("y")
-	untaken.Shard = 1
-	if _, err := routing.Do(t.Context(), core, untaken, serve); err != nil {
+	unobserved := request("y")
+	unobserved.Shard = 1
+	if _, err := routing.Do(t.Context(), core, unobserved, serve); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"start a x 0", "end a x 0 broken true", "start a x 1", "end a x 1 answered false", "start b y 0"} {
--- a/internal/net/routing/ask_test.go
+++ b/internal/net/routing/query_test.go
@@ -10,25 +10,25 @@
 
 // A query must see every event that was submitted before it. When an endpoint update and a query waited in the inbox
 // together, the query ran first: no node was known yet, so a request with a long body was rejected.
-func TestQuestionsWaitForWhatCameAheadOfThem(t *testing.T) {
-	set := scheduler.Settings{
+func TestQueryRunsAfterEarlierEvents(t *testing.T) {
+	settings := scheduler.Settings{
 		Fronts: 1, Tick: 2000, MeanUnits: 2, MaxUnits: 8, Classes: []scheduler.Class{{LatencyObjective: 300_000}},
 		Plans: []scheduler.Plan{{Weight: 1}},
 	}
-	c, err := New(set, 1, limits.Limits{Requests: limits.RequestLimits{Inbox: 8, PastIDs: 1}}, nil)
+	core, err := New(settings, 1, limits.Limits{Requests: limits.RequestLimits{Inbox: 8, PastIDs: 1}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.UpdateEndpoints(scheduler.EndpointsChanged{Full: true, Endpoints: []scheduler.Endpoint{{Node: "a"}}})
+	core.UpdateEndpoints(scheduler.EndpointsChanged{Full: true, Endpoints: []scheduler.Endpoint{{Node: "a"}}})
 	placed := make(chan string)
 	go func() {
-		node, _, _ := c.NodeFor(t.Context(), scheduler.Request{ID: "x", Volume: "v", Units: 1, Fronts: 1, TimeLeft: 1_000_000})
+		node, _, _ := core.NodeFor(t.Context(), scheduler.Request{ID: "x", Volume: "v", Units: 1, Fronts: 1, TimeLeft: 1_000_000})
 		placed <- node
 	}()
-	for len(c.inbox) < 2 {
+	for len(core.inbox) < 2 {
 		runtime.Gosched()
 	}
-	go c.Run(t.Context())
+	go core.Run(t.Context())
 	if node := <-placed; node != "a" {
 		t.Errorf("request placed at node %q, want \"a\"", node)
 	}
--- a/internal/net/routing/request.go
+++ b/internal/net/routing/request.go
@@ -13,21 +13,21 @@
 type Submission struct {
 	core     *Core
 	request  scheduler.Request
-	call     *call
+	state    *requestState
 	deadline time.Time
 }
 
 // submitRequest passes a request to the core's loop. It is admitted at once if admitBy is 0, otherwise when the scheduler is
 // ready for it, at admitBy at the latest.
 func (c *Core) submitRequest(r scheduler.Request, admitBy scheduler.Micros) (*Submission, error) {
-	s := &Submission{core: c, request: r, call: newCall(r.ID)}
+	s := &Submission{core: c, request: r, state: newRequestState(r.ID)}
 	if err := s.startDeadline(); err != nil {
 		return nil, err
 	}
 	if announce := c.announceID.Load(); announce != nil {
 		(*announce)(r.ID)
 	}
-	if !c.submit(message{event: s.request, call: s.call, admitBy: admitBy}) {
+	if !c.submit(message{event: s.request, state: s.state, admitBy: admitBy}) {
 		return nil, ErrStopped
 	}
 	return s, nil
@@ -41,15 +41,15 @@
 	if err := s.core.Guard.Allow(lifecycle.Take, s.deadline); err != nil {
 		s.core.counters.countEnding(s.request.Class, Rejected)
 		s.core.Log.Debug("request rejected", "request", s.request.ID, "why", err)
-		return s.core.rejectedNow()
+		return s.core.newRejection()
 	}
 	s.request.TimeLeft = scheduler.Micros(s.deadline.Sub(now) / time.Microsecond)
 	return nil
 }
 
-// rejectedNow returns the answer to a request for which no time is left. During a shutdown its client should retry only after
+// newRejection returns the answer to a request for which no time is left. During a shutdown its client should retry only after
 // the process has been killed.
-func (c *Core) rejectedNow() *RejectedError {
+func (c *Core) newRejection() *RejectedError {
 	if c.Guard.Phase() == lifecycle.Serving {
 		return &RejectedError{}
 	}
@@ -59,20 +59,20 @@
 // SubmitWhenReady submits a request when the scheduler could send it at once, or after the given time at the latest. Until
 // then the request is not accepted: it needs no answer and its time left does not run. If ctx ends first, SubmitWhenReady
 // returns its cause.
-func (c *Core) SubmitWhenReady(ctx context.Context, r scheduler.Request, longest time.Duration) (*Submission, error) {
-	s, err := c.submitRequest(r, c.clock.Now()+scheduler.Micros(longest/time.Microsecond))
+func (c *Core) SubmitWhenReady(ctx context.Context, r scheduler.Request, maxWait time.Duration) (*Submission, error) {
+	s, err := c.submitRequest(r, c.clock.Now()+scheduler.Micros(maxWait/time.Microsecond))
 	if err != nil {
 		return nil, err
 	}
 	select {
-	case <-s.call.admitted:
+	case <-s.state.admitted:
 		if err := s.startDeadline(); err != nil {
-			c.abandon(s.call, 0)
+			c.abandon(s.state, 0)
 			return nil, err
 		}
 		return s, nil
 	case <-ctx.Done():
-		c.abandon(s.call, 0)
+		c.abandon(s.state, 0)
 		return nil, context.Cause(ctx)
 	case <-c.stopped:
 		return nil, ErrStopped
@@ -93,48 +93,48 @@
 // the client has left. An outstanding attempt continues to its outcome then, since closing a connection does not stop a node's
 // work; an attempt of which nothing has been written yet does not begin.
 func Carry[T any](ctx context.Context, s *Submission, attempt AttemptFunc[T]) (T, error) {
-	var none T
+	var zero T
 	c := s.core
-	ctx, end := context.WithCancel(ctx)
-	defer end() // no attempt begins after the final answer
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel() // no attempt begins after the final answer
 	c.counters.addOpen(1)
 	defer c.counters.addOpen(-1)
 	answers := make(chan T, 1) // at most one attempt succeeds, so sending never blocks
 	overdue := time.NewTimer(time.Until(s.deadline) + overdueGrace)
 	defer overdue.Stop()
 	cancelAttempt, attempts := context.CancelCauseFunc(func(error) {}), 0
-	verdicts := s.call.verdicts
+	actions := s.state.actions
 	for {
 		select {
-		case verdict, owed := <-verdicts:
-			switch v := verdict.(type) {
+		case action, open := <-actions:
+			switch v := action.(type) {
 			case scheduler.StartAttempt:
 				cancelAttempt = startAttempt(ctx, s, v, attempts, attempt, answers)
 				attempts++
 			case scheduler.CancelAttempt:
 				cancelAttempt(errAttemptCancelled)
 			case scheduler.Reject:
-				return none, s.rejected(v, attempts)
+				return zero, s.recordRejected(v, attempts)
 			case scheduler.Fail:
-				return none, s.failed(v, attempts)
+				return zero, s.recordFailed(v, attempts)
 			}
-			if !owed && attempts == 0 {
-				return none, ErrDuplicate
+			if !open && attempts == 0 {
+				return zero, ErrDuplicate
 			}
-			if !owed {
-				verdicts = nil // an attempt succeeded; its value follows
+			if !open {
+				actions = nil // an attempt succeeded; its value follows
 			}
 		case value := <-answers:
 			c.counters.countEnding(s.request.Class, Served)
 			return value, nil
 		case <-ctx.Done():
-			return none, s.clientLeft(ctx, attempts)
+			return zero, s.recordClientLeft(ctx, attempts)
 		case <-c.Guard.Ending():
-			return giveUp(s, answers, end, endedByShutdown, attempts)
+			return giveUp(s, answers, cancel, endedByShutdown, attempts)
 		case <-overdue.C:
-			return giveUp(s, answers, end, endedOverdue, attempts)
+			return giveUp(s, answers, cancel, endedOverdue, attempts)
 		case <-c.stopped:
-			return none, ErrStopped
+			return zero, ErrStopped
 		}
 	}
 }
@@ -150,34 +150,34 @@
 )
 
 // giveUp returns the final answer without waiting for outstanding attempts: a value that has just arrived, or an error.
-func giveUp[T any](s *Submission, answers <-chan T, end func(), why string, attempts int) (T, error) {
+func giveUp[T any](s *Submission, answers <-chan T, cancel func(), reason string, attempts int) (T, error) {
 	select {
 	case value := <-answers:
 		s.core.counters.countEnding(s.request.Class, Served)
 		return value, nil
 	default:
 	}
-	end() // an attempt that has not begun must not begin any more
-	s.core.abandon(s.call, attempts)
-	s.core.counters.countGivenUp(why)
-	s.core.Log.Info("request given up", "request", s.request.ID, "why", why, "attempts", attempts)
+	cancel() // an attempt that has not begun must not begin any more
+	s.core.abandon(s.state, attempts)
+	s.core.counters.countGivenUp(reason)
+	s.core.Log.Info("request given up", "request", s.request.ID, "why", reason, "attempts", attempts)
 	if attempts == 0 {
 		s.core.counters.countEnding(s.request.Class, Rejected)
-		return *new(T), s.core.rejectedNow()
+		return *new(T), s.core.newRejection()
 	}
 	s.core.counters.countEnding(s.request.Class, Failed) // the request may have been carried out
 	return *new(T), ErrFailed
 }
 
-// clientLeft counts a request whose client has left, ends it, and returns the cause of ctx.
-func (s *Submission) clientLeft(ctx context.Context, attempts int) error {
+// recordClientLeft counts a request whose client has left, ends it, and returns the cause of ctx.
+func (s *Submission) recordClientLeft(ctx context.Context, attempts int) error {
 	s.core.counters.countClientLeft()
-	s.core.abandon(s.call, attempts)
+	s.core.abandon(s.state, attempts)
 	return context.Cause(ctx)
 }
 
-// rejected counts and logs a request that the scheduler rejected, and returns the error for its client.
-func (s *Submission) rejected(v scheduler.Reject, attempts int) error {
+// recordRejected counts and logs a request that the scheduler rejected, and returns the error for its client.
+func (s *Submission) recordRejected(v scheduler.Reject, attempts int) error {
 	s.core.counters.countEnding(s.request.Class, Rejected)
 	if s.core.debugEnabled() {
 		s.core.Log.Debug("request rejected", "request", s.request.ID, "why", v.Reason, "retry_after_us", v.RetryAfter, "attempts", attempts)
@@ -185,8 +185,8 @@
 	return &RejectedError{RetryAfter: time.Duration(v.RetryAfter) * time.Microsecond}
 }
 
-// failed counts and logs a request that the scheduler failed, and returns the error for its client.
-func (s *Submission) failed(v scheduler.Fail, attempts int) error {
+// recordFailed counts and logs a request that the scheduler failed, and returns the error for its client.
+func (s *Submission) recordFailed(v scheduler.Fail, attempts int) error {
 	s.core.counters.countEnding(s.request.Class, Failed)
 	if s.core.debugEnabled() {
 		s.core.Log.Debug("request failed", "request", s.request.ID, "why", v.Reason, "attempts", attempts)
@@ -199,17 +199,17 @@
 func (c *Core) debugEnabled() bool { return c.Log.Enabled(context.Background(), slog.LevelDebug) }
 
 // abandon ends a request whose client has left. A pending StartAttempt is reported to the scheduler as not started.
-func (c *Core) abandon(call *call, attempts int) {
-	if !c.submit(message{event: scheduler.ClientLeft{ID: call.id}, call: call}) {
+func (c *Core) abandon(state *requestState, attempts int) {
+	if !c.submit(message{event: scheduler.ClientLeft{ID: state.id}, state: state}) {
 		return
 	}
 	for {
 		select {
-		case v, owed := <-call.verdicts:
-			if _, starts := v.(scheduler.StartAttempt); starts {
-				c.submit(message{event: scheduler.AttemptEnded{ID: call.id, Attempt: attempts, Result: scheduler.NotStarted}})
+		case action, open := <-state.actions:
+			if _, starts := action.(scheduler.StartAttempt); starts {
+				c.submit(message{event: scheduler.AttemptEnded{ID: state.id, Attempt: attempts, Result: scheduler.NotStarted}})
 			}
-			if !owed {
+			if !open {
 				return
 			}
 		case <-c.stopped:
--- a/internal/net/routing/tally.go
+++ b/internal/net/routing/tally.go
@@ -55,10 +55,10 @@
 	c.tally.ByClass[max(class, 0)][e]++
 }
 
-func (c *counters) countGivenUp(why string) {
+func (c *counters) countGivenUp(reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if why == endedByShutdown {
+	if reason == endedByShutdown {
 		c.tally.EndedByShutdown++
 	} else {
 		c.tally.EndedOverdue++
--- a/internal/net/steady/steady.go
+++ b/internal/net/steady/steady.go
@@ -13,12 +13,12 @@
 
 // Bounds of the retries of one call.
 const (
-	pause     = 5 * time.Millisecond
-	mostTries = 60 // consecutive attempts: 0.3 s in total
+	retryInterval = 5 * time.Millisecond
+	maxAttempts   = 60 // consecutive attempts: 0.3 s in total
 )
 
-// momentary lists the errors of recv(2), send(2) and tcp(7) that do not affect the connection.
-var momentary = []error{
+// transientErrors lists the errors of recv(2), send(2) and tcp(7) that do not affect the connection.
+var transientErrors = []error{
 	syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENETUNREACH, syscall.ENETDOWN,
 	syscall.ETIMEDOUT,
 }
@@ -26,38 +26,38 @@
 // Conn is a connection that retries reads and writes after transient errors.
 type Conn struct{ net.Conn }
 
-func isMomentary(err error) bool {
-	return err != nil && slices.ContainsFunc(momentary, func(m error) bool { return errors.Is(err, m) })
+func isTransient(err error) bool {
+	return err != nil && slices.ContainsFunc(transientErrors, func(m error) bool { return errors.Is(err, m) })
 }
 
 // Read reads from the connection and retries after transient errors.
 func (c Conn) Read(p []byte) (n int, err error) {
-	for range mostTries {
-		if n, err = c.Conn.Read(p); n > 0 || !isMomentary(err) {
+	for range maxAttempts {
+		if n, err = c.Conn.Read(p); n > 0 || !isTransient(err) {
 			return n, err
 		}
-		time.Sleep(pause)
+		time.Sleep(retryInterval)
 	}
 	return n, err
 }
 
 // Write writes all of p, and retries after transient errors. On an error n is the number of bytes written.
 func (c Conn) Write(p []byte) (n int, err error) {
-	for range mostTries {
-		var some int
-		some, err = c.Conn.Write(p[n:])
-		if n += some; !isMomentary(err) {
+	for range maxAttempts {
+		var written int
+		written, err = c.Conn.Write(p[n:])
+		if n += written; !isTransient(err) {
 			return n, err
 		}
-		time.Sleep(pause)
+		time.Sleep(retryInterval)
 	}
 	return n, err
 }
 
 // CloseWrite closes the writing side if the connection supports that, and returns errors.ErrUnsupported otherwise.
 func (c Conn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return conn.CloseWrite()
 	}
 	return errors.ErrUnsupported
 }
--- a/internal/state/decay/decay.go
+++ b/internal/state/decay/decay.go
@@ -16,24 +16,24 @@
 
 // Half-lives and lifetimes of learned values.
 const (
-	// horizon is the age from which nothing of a snapshot's nodes, volumes and flows is used.
-	horizon = 10 * time.Minute
-	// speedHalf is the half-life of latencies, targets and budgets: the load on a node changes within minutes.
-	speedHalf = time.Minute
-	// errorHalf is the half-life of the error rate: errors usually stop within seconds, or not at all.
-	errorHalf = 10 * time.Second
-	// unitLife is the lifetime of the time per unit, which depends on the machine. The estimate rises only slowly, so a
+	// maxAge is the age from which nothing of a snapshot's nodes, volumes and flows is used.
+	maxAge = 10 * time.Minute
+	// loadHalfLife is the half-life of latencies, targets and budgets: the load on a node changes within minutes.
+	loadHalfLife = time.Minute
+	// errorHalfLife is the half-life of the error rate: errors usually stop within seconds, or not at all.
+	errorHalfLife = 10 * time.Second
+	// unitTimeLifetime is the lifetime of the time per unit, which depends on the machine. The estimate rises only slowly, so a
 	// value that has decayed towards 0 would be wrong for longer than no value. It is dropped whole instead.
-	unitLife = 5 * time.Minute
-	// pointLife is the time between two points of the curve. For each such interval of the snapshot's age, the oldest
+	unitTimeLifetime = 5 * time.Minute
+	// curvePointInterval is the time between two points of the curve. For each such interval of the snapshot's age, the oldest
 	// point is dropped.
-	pointLife = 2 * time.Second
-	// leadHalf and leadLife are the half-life and lifetime of a flow's lead over the virtual time of its shard. The
-	// scheduler forgets the lead of a flow that has been idle for leadLife.
-	leadHalf = 8 * time.Second
-	leadLife = 32 * time.Second
-	// reserveAhead is the maximum time between now and a reservation tag: a reservation stores up to one second.
-	reserveAhead = time.Second
+	curvePointInterval = 2 * time.Second
+	// leadHalfLife and leadLifetime are the half-life and lifetime of a flow's lead over the virtual time of its shard. The
+	// scheduler forgets the lead of a flow that has been idle for leadLifetime.
+	leadHalfLife = 8 * time.Second
+	leadLifetime = 32 * time.Second
+	// maxReservationLead is the maximum time between now and a reservation tag: a reservation stores up to one second.
+	maxReservationLead = time.Second
 )
 
 // Reasons why Check rejects a snapshot.
@@ -72,15 +72,15 @@
 func Decay(s snapshot.Snapshot, now Current, older bool) scheduler.Learned {
 	out := scheduler.Learned{At: now.At}
 	age := duration(now.At - s.Saved)
-	if age >= horizon {
+	if age >= maxAge {
 		return out
 	}
-	learned := map[string]snapshot.Node{}
+	nodesByName := map[string]snapshot.Node{}
 	for _, n := range s.Nodes {
-		learned[n.Node] = n
+		nodesByName[n.Node] = n
 	}
 	for _, n := range now.Nodes {
-		if old, ok := learned[n.Node]; ok {
+		if old, ok := nodesByName[n.Node]; ok {
 			out.Nodes = append(out.Nodes, scheduler.LearnedNode{Endpoint: n.Endpoint, NodeStats: decayNode(old, n, now, age)})
 		}
 	}
@@ -89,12 +89,12 @@
 			a.Bucket.Level, a.Bucket.Lease, a.Bucket.BoundUntil = 0, 0, 0
 			a.Bucket.At = now.At
 		}
-		a.ReservationTag = min(a.ReservationTag, float64(now.At+scheduler.Micros(reserveAhead/time.Microsecond)))
+		a.ReservationTag = min(a.ReservationTag, float64(now.At+scheduler.Micros(maxReservationLead/time.Microsecond)))
 		out.Volumes = append(out.Volumes, a)
 	}
 	for _, l := range s.Leads {
-		if since := duration(now.At - l.LastSend); since >= 0 && since < leadLife {
-			l.Units = decay(l.Units, 0, age, leadHalf)
+		if since := duration(now.At - l.LastSend); since >= 0 && since < leadLifetime {
+			l.Units = decay(l.Units, 0, age, leadHalfLife)
 			out.Flows = append(out.Flows, l)
 		}
 	}
@@ -111,21 +111,21 @@
 		fresh.SuspectedRestart = now.At
 		return fresh
 	}
-	h := old.NodeStats
-	h.Budget = min(fresh.Budget, decay(h.Budget, fresh.Budget, age, speedHalf))
-	h.Target = decay(h.Target, fresh.Target, age, speedHalf)
-	h.SmoothedLatency, h.PreviousLatency = decay(h.SmoothedLatency, 0, age, speedHalf), decay(h.PreviousLatency, 0, age, speedHalf)
-	h.ErrorRate = decay(h.ErrorRate, 0, age, errorHalf)
-	if age >= unitLife {
-		h.UnitTime = 0
+	stats := old.NodeStats
+	stats.Budget = min(fresh.Budget, decay(stats.Budget, fresh.Budget, age, loadHalfLife))
+	stats.Target = decay(stats.Target, fresh.Target, age, loadHalfLife)
+	stats.SmoothedLatency, stats.PreviousLatency = decay(stats.SmoothedLatency, 0, age, loadHalfLife), decay(stats.PreviousLatency, 0, age, loadHalfLife)
+	stats.ErrorRate = decay(stats.ErrorRate, 0, age, errorHalfLife)
+	if age >= unitTimeLifetime {
+		stats.UnitTime = 0
 	}
-	gone := min(int(age/pointLife), len(h.Curve))
-	h.Curve = h.Curve[gone:]
-	h.LatencyUpdated, h.LastAnswer, h.SuspectedRestart = min(h.LatencyUpdated, now.At), min(h.LastAnswer, now.At), min(h.SuspectedRestart, now.At)
-	return h
+	dropped := min(int(age/curvePointInterval), len(stats.Curve))
+	stats.Curve = stats.Curve[dropped:]
+	stats.LatencyUpdated, stats.LastAnswer, stats.SuspectedRestart = min(stats.LatencyUpdated, now.At), min(stats.LastAnswer, now.At), min(stats.SuspectedRestart, now.At)
+	return stats
 }
 
 // decay moves a value towards a fresh one; the difference halves in each half-life.
-func decay(v, fresh float64, age, life time.Duration) float64 {
-	return fresh + (v-fresh)*math.Exp2(-age.Seconds()/life.Seconds())
+func decay(v, fresh float64, age, halfLife time.Duration) float64 {
+	return fresh + (v-fresh)*math.Exp2(-age.Seconds()/halfLife.Seconds())
 }
--- a/internal/state/saver/cost_test.go
+++ b/internal/state/saver/cost_test.go
@@ -13,34 +13,34 @@
 	"otterturn/scheduler/tokenbucket"
 )
 
-// large returns a scheduler with learned state of the given number of nodes and ten volumes per node, all with a limit.
-func large(tb testing.TB, nodes int) (*scheduler.Scheduler, scheduler.Micros) {
-	set := standin.Settings()
-	set.Plans = []scheduler.Plan{{Weight: 1, Limit: 12, Burst: 36}}
-	set.Lease, set.RecordLifetime = 500_000, 30_000_000
-	s, err := scheduler.New(set, 1)
+// loadedScheduler returns a scheduler with learned state of the given number of nodes and ten volumes per node, all with a limit.
+func loadedScheduler(tb testing.TB, nodes int) (*scheduler.Scheduler, scheduler.Micros) {
+	settings := standin.Settings()
+	settings.Plans = []scheduler.Plan{{Weight: 1, Limit: 12, Burst: 36}}
+	settings.Lease, settings.RecordLifetime = 500_000, 30_000_000
+	s, err := scheduler.New(settings, 1)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	now := scheduler.Micros(1_800_000_000_000_000)
-	list, l := scheduler.EndpointsChanged{Full: true}, scheduler.Learned{At: now}
+	list, learned := scheduler.EndpointsChanged{Full: true}, scheduler.Learned{At: now}
 	for i := range nodes {
-		k := scheduler.LearnedNode{Endpoint: scheduler.Endpoint{Node: fmt.Sprint("node-", i), Shard: i}}
-		list.Endpoints = append(list.Endpoints, k.Endpoint)
-		k.NodeStats = scheduler.NodeStats{Budget: 5, Target: 150e3, SmoothedLatency: 31e3, PreviousLatency: 33e3, UnitTime: 12e3, LastAnswer: now}
+		node := scheduler.LearnedNode{Endpoint: scheduler.Endpoint{Node: fmt.Sprint("node-", i), Shard: i}}
+		list.Endpoints = append(list.Endpoints, node.Endpoint)
+		node.NodeStats = scheduler.NodeStats{Budget: 5, Target: 150e3, SmoothedLatency: 31e3, PreviousLatency: 33e3, UnitTime: 12e3, LastAnswer: now}
 		for p := range 16 {
-			k.Curve = append(k.Curve, curve.Point{Throughput: float64(100 + p), Latency: 30e3, Low: 20e3})
+			node.Curve = append(node.Curve, curve.Point{Throughput: float64(100 + p), Latency: 30e3, Low: 20e3})
 		}
-		l.Nodes = append(l.Nodes, k)
+		learned.Nodes = append(learned.Nodes, node)
 	}
 	for i := range 10 * nodes {
-		l.Volumes = append(l.Volumes, scheduler.VolumeUsage{
+		learned.Volumes = append(learned.Volumes, scheduler.VolumeUsage{
 			Volume: fmt.Sprint("project-", i), Fronts: 1,
 			Bucket: tokenbucket.Bucket[scheduler.Micros]{Level: 3, At: now, BoundUntil: now + 6_000_000},
 		})
 	}
 	s.Step(now, []scheduler.Event{list})
-	s.ImportLearned(now, l)
+	s.ImportLearned(now, learned)
 	return s, now
 }
 
@@ -49,30 +49,30 @@
 func BenchmarkSave(b *testing.B) {
 	for _, nodes := range []int{10, 1000, 10_000} {
 		b.Run(fmt.Sprint(nodes, " nodes"), func(b *testing.B) {
-			s, now := large(b, nodes)
+			s, now := loadedScheduler(b, nodes)
 			var pauses []time.Duration
 			var encode time.Duration
 			bytes := 0
 			for b.Loop() {
 				snap := snapshot.Snapshot{Front: "a", Saved: now}
 				for from := 0; ; {
-					began := time.Now()
-					l, next := s.ExportLearned(now, from, exportBatch)
-					pauses = append(pauses, time.Since(began))
-					for _, k := range l.Nodes {
-						snap.Nodes = append(snap.Nodes, snapshot.Node{LearnedNode: k})
+					startedAt := time.Now()
+					learned, next := s.ExportLearned(now, from, exportBatch)
+					pauses = append(pauses, time.Since(startedAt))
+					for _, node := range learned.Nodes {
+						snap.Nodes = append(snap.Nodes, snapshot.Node{LearnedNode: node})
 					}
-					snap.Accounts = append(snap.Accounts, l.Volumes...)
+					snap.Accounts = append(snap.Accounts, learned.Volumes...)
 					if from = next; from == 0 {
 						break
 					}
 				}
-				began := time.Now()
+				startedAt := time.Now()
 				file, err := snapshot.Encode(snap)
 				if err != nil {
 					b.Fatal(err)
 				}
-				encode, bytes = encode+time.Since(began), len(file)
+				encode, bytes = encode+time.Since(startedAt), len(file)
 			}
 			slices.Sort(pauses)
 			b.ReportMetric(float64(pauses[len(pauses)/2].Nanoseconds())/1e3, "µs/pause")
@@ -84,13 +84,13 @@
 }
 
 // The time for which a save blocks the scheduler must not grow with the amount of learned state.
-func TestPauseDoesNotGrow(t *testing.T) {
+func TestExportBatchIsBounded(t *testing.T) {
 	for _, nodes := range []int{10, 1000} {
-		s, now := large(t, nodes)
+		s, now := loadedScheduler(t, nodes)
 		entries, parts := 0, 0
 		for from := 0; ; parts++ {
-			l, next := s.ExportLearned(now, from, exportBatch)
-			n := len(l.Nodes) + len(l.Volumes) + len(l.Flows)
+			learned, next := s.ExportLearned(now, from, exportBatch)
+			n := len(learned.Nodes) + len(learned.Volumes) + len(learned.Flows)
 			if entries += n; n > exportBatch {
 				t.Errorf("%d entries in a part, want at most %d", n, exportBatch)
 			}
--- a/internal/state/saver/saver.go
+++ b/internal/state/saver/saver.go
@@ -42,7 +42,7 @@
 
 // Saver saves the learned state of one core in one folder.
 type Saver struct {
-	set          Settings
+	settings     Settings
 	core         *routing.Core
 	store        *store.Store
 	fingerprint  uint64
@@ -54,31 +54,31 @@
 }
 
 // New returns a Saver. Call Restore, then Run.
-func New(set Settings, core *routing.Core, s *store.Store) *Saver {
-	return &Saver{set: set, core: core, store: s, fingerprint: snapshot.Fingerprint(set.Rules), saveRequests: make(chan chan error)}
+func New(settings Settings, core *routing.Core, s *store.Store) *Saver {
+	return &Saver{settings: settings, core: core, store: s, fingerprint: snapshot.Fingerprint(settings.Rules), saveRequests: make(chan chan error)}
 }
 
 // Restore imports into the core the parts of the last usable snapshot that are still valid. It must be called before the core
 // runs. It returns all nodes of the snapshot, from which the caller can restore the state that operators set.
 func (s *Saver) Restore() []snapshot.Node {
-	now := decay.Current{At: s.core.Now(), Front: s.set.Front, Settings: s.fingerprint, Fresh: s.core.NewNodeStats(), Nodes: s.set.Nodes()}
+	now := decay.Current{At: s.core.Now(), Front: s.settings.Front, Settings: s.fingerprint, Fresh: s.core.NewNodeStats(), Nodes: s.settings.Nodes()}
 	found, notes := s.store.Load(func(snap snapshot.Snapshot) error { return decay.Check(snap, now) })
 	for _, n := range notes {
-		s.set.Log.Warn("snapshot rejected", "why", n)
+		s.settings.Log.Warn("snapshot rejected", "why", n)
 	}
 	if found == nil {
 		return nil
 	}
 	s.count = found.Count + 1
 	l := decay.Decay(found.Snapshot, now, found.Older)
-	s.core.ImportLearned(listings(now.Nodes), l)
+	s.core.ImportLearned(endpointList(now.Nodes), l)
 	age := time.Duration(now.At-found.Saved) * time.Microsecond
-	s.set.Log.Info("learned state restored", "snapshot", found.Count, "nodes", len(l.Nodes), "projects", len(l.Volumes),
+	s.settings.Log.Info("learned state restored", "snapshot", found.Count, "nodes", len(l.Nodes), "projects", len(l.Volumes),
 		"age", age.Round(time.Millisecond).String(), "previous", found.Older)
 	return found.Nodes
 }
 
-func listings(nodes []snapshot.Node) scheduler.EndpointsChanged {
+func endpointList(nodes []snapshot.Node) scheduler.EndpointsChanged {
 	out := scheduler.EndpointsChanged{Full: true}
 	for _, n := range nodes {
 		out.Endpoints = append(out.Endpoints, n.Endpoint)
@@ -89,23 +89,23 @@
 // Run saves until ctx ends. It makes the first save at once, because nothing may be drawn from restored token buckets before
 // that.
 func (s *Saver) Run(ctx context.Context) {
-	var asked chan error
+	var reply chan error
 	for {
-		soonest, next := time.NewTimer(s.set.MinInterval), time.NewTimer(s.set.Interval)
+		minTimer, intervalTimer := time.NewTimer(s.settings.MinInterval), time.NewTimer(s.settings.Interval)
 		err := s.save(ctx)
-		if asked != nil {
-			asked <- err
-			asked = nil
+		if reply != nil {
+			reply <- err
+			reply = nil
 		}
 		select {
-		case <-soonest.C:
+		case <-minTimer.C:
 		case <-ctx.Done():
 			return
 		}
 		select {
-		case <-next.C:
+		case <-intervalTimer.C:
 		case <-s.core.SaveRequested():
-		case asked = <-s.saveRequests:
+		case reply = <-s.saveRequests:
 		case <-ctx.Done():
 			return
 		}
@@ -131,7 +131,7 @@
 // Close makes the last save. It must be called after the core has ended: nothing is drawn any more, so the snapshot includes no
 // leases.
 func (s *Saver) Close() error {
-	ctx, end := context.WithTimeout(context.Background(), s.set.Shutdown)
+	ctx, end := context.WithTimeout(context.Background(), s.settings.Shutdown)
 	defer end()
 	snap, err := s.collect(ctx)
 	if err != nil {
@@ -146,28 +146,28 @@
 }
 
 func (s *Saver) save(ctx context.Context) error {
-	began := time.Now()
+	startedAt := time.Now()
 	snap, err := s.collect(ctx)
 	if err != nil {
 		return err // the core or ctx has ended
 	}
-	r, err := s.store.Save(snap)
-	s.core.StateSaved(scheduler.StateSaved{Readable: r.There, Latest: r.Sure})
+	result, err := s.store.Save(snap)
+	s.core.StateSaved(scheduler.StateSaved{Readable: result.Readable, Latest: result.Latest})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.status.Error
+	previousError := s.status.Error
 	if err != nil {
 		s.status.Failures++
 		s.status.Error = err.Error()
-		if before == "" {
-			s.set.Log.Error("saving learned state failed", "error", err, "next_try_in", s.set.Interval.String())
+		if previousError == "" {
+			s.settings.Log.Error("saving learned state failed", "error", err, "next_try_in", s.settings.Interval.String())
 		}
 		return err
 	}
 	s.status.Saves++
-	s.status.Last, s.status.Took, s.status.Bytes, s.status.Error = time.Now(), time.Since(began), r.Bytes, ""
-	if before != "" {
-		s.set.Log.Info("saving learned state recovered")
+	s.status.Last, s.status.Took, s.status.Bytes, s.status.Error = time.Now(), time.Since(startedAt), result.Bytes, ""
+	if previousError != "" {
+		s.settings.Log.Info("saving learned state recovered")
 	}
 	return nil
 }
@@ -175,11 +175,11 @@
 // collect exports the core's learned state in parts.
 func (s *Saver) collect(ctx context.Context) (snapshot.Snapshot, error) {
 	s.mu.Lock()
-	snap := snapshot.Snapshot{Front: s.set.Front, Settings: s.fingerprint, Count: s.count}
+	snap := snapshot.Snapshot{Front: s.settings.Front, Settings: s.fingerprint, Count: s.count}
 	s.count++
 	s.mu.Unlock()
 	addrs := map[string]string{}
-	for _, n := range s.set.Nodes() {
+	for _, n := range s.settings.Nodes() {
 		addrs[n.Node] = n.Addr
 	}
 	for from := 0; ; {
--- a/internal/state/snapshot/file.go
+++ b/internal/state/snapshot/file.go
@@ -12,18 +12,18 @@
 // body's length (8 bytes) and the XXH64 checksum of everything else (8 bytes), all big-endian. The body is the snapshot in CBOR
 // (RFC 8949, deterministic encoding).
 const (
-	letters  = "OTTLEARN"
-	headSize = len(letters) + 4 + 8 + 8
-	sumAt    = headSize - 8
+	magic          = "OTTLEARN"
+	headerSize     = len(magic) + 4 + 8 + 8
+	checksumOffset = headerSize - 8
 )
 
-// FormVersion is the version of the file format that Encode writes.
-const FormVersion = 1
+// FormatVersion is the version of the file format that Encode writes.
+const FormatVersion = 1
 
 // Bounds of a file's size and of the entries in one list.
 const (
-	MostBytes   = 256 << 20
-	mostEntries = 4 << 20
+	MaxBytes   = 256 << 20
+	maxEntries = 4 << 20
 )
 
 // ErrDamaged is returned for a file that is not exactly as a front wrote it.
@@ -34,48 +34,48 @@
 
 // Encode returns the contents of a snapshot file.
 func Encode(s Snapshot) ([]byte, error) {
-	body, err := encoder.Marshal(s.form())
+	body, err := encoder.Marshal(s.encoded())
 	if err != nil {
 		return nil, fmt.Errorf("encode snapshot: %w", err)
 	}
-	if headSize+len(body) > MostBytes {
-		return nil, fmt.Errorf("snapshot body has %d bytes, a file may have at most %d", len(body), MostBytes)
+	if headerSize+len(body) > MaxBytes {
+		return nil, fmt.Errorf("snapshot body has %d bytes, a file may have at most %d", len(body), MaxBytes)
 	}
-	out := append(make([]byte, 0, headSize+len(body)), letters...)
-	out = binary.BigEndian.AppendUint32(out, FormVersion)
+	out := append(make([]byte, 0, headerSize+len(body)), magic...)
+	out = binary.BigEndian.AppendUint32(out, FormatVersion)
 	out = binary.BigEndian.AppendUint64(out, uint64(len(body)))
 	out = append(out, make([]byte, 8)...)
 	out = append(out, body...)
-	binary.BigEndian.PutUint64(out[sumAt:], checksum(out))
+	binary.BigEndian.PutUint64(out[checksumOffset:], checksum(out))
 	return out, nil
 }
 
 // checksum returns the checksum of a file, without the checksum field itself.
 func checksum(file []byte) uint64 {
-	d := xxhash.New()
-	d.Write(file[:sumAt])
-	d.Write(file[headSize:])
-	return d.Sum64()
+	digest := xxhash.New()
+	digest.Write(file[:checksumOffset])
+	digest.Write(file[headerSize:])
+	return digest.Sum64()
 }
 
 // Decode checks and decodes a file. The error is ErrVersion for an intact file of another format version, and ErrDamaged
 // for any other file that can't be decoded.
 func Decode(file []byte) (Snapshot, error) {
 	switch {
-	case len(file) < headSize:
-		return Snapshot{}, fmt.Errorf("%w: file has %d bytes, its header alone needs %d", ErrDamaged, len(file), headSize)
-	case string(file[:len(letters)]) != letters:
-		return Snapshot{}, fmt.Errorf("%w: file does not begin with %q", ErrDamaged, letters)
-	case binary.BigEndian.Uint64(file[len(letters)+4:]) != uint64(len(file)-headSize):
+	case len(file) < headerSize:
+		return Snapshot{}, fmt.Errorf("%w: file has %d bytes, its header alone needs %d", ErrDamaged, len(file), headerSize)
+	case string(file[:len(magic)]) != magic:
+		return Snapshot{}, fmt.Errorf("%w: file does not begin with %q", ErrDamaged, magic)
+	case binary.BigEndian.Uint64(file[len(magic)+4:]) != uint64(len(file)-headerSize):
 		return Snapshot{}, fmt.Errorf("%w: file length differs from the length in its header", ErrDamaged)
-	case binary.BigEndian.Uint64(file[sumAt:]) != checksum(file):
+	case binary.BigEndian.Uint64(file[checksumOffset:]) != checksum(file):
 		return Snapshot{}, fmt.Errorf("%w: checksum does not match", ErrDamaged)
 	}
-	if v := binary.BigEndian.Uint32(file[len(letters):]); v != FormVersion {
-		return Snapshot{}, fmt.Errorf("%w: %d, this program reads %d", ErrVersion, v, FormVersion)
+	if v := binary.BigEndian.Uint32(file[len(magic):]); v != FormatVersion {
+		return Snapshot{}, fmt.Errorf("%w: %d, this program reads %d", ErrVersion, v, FormatVersion)
 	}
-	var f fileForm
-	if err := decoder.Unmarshal(file[headSize:], &f); err != nil {
+	var f encodedSnapshot
+	if err := decoder.Unmarshal(file[headerSize:], &f); err != nil {
 		return Snapshot{}, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	return f.snapshot(), nil
--- a/internal/state/snapshot/golden_test.go
+++ b/internal/state/snapshot/golden_test.go
@@ -23,14 +23,14 @@
 	}
 }
 
-// TestFingerprintIsThatOfEarlierBuilds checks the fingerprint against the one in stored files. If it changed, a new version would
+// TestFingerprintIsStable checks the fingerprint against the one in stored files. If it changed, a new version would
 // drop the learned state of an earlier one as learned under other settings.
-func TestFingerprintIsThatOfEarlierBuilds(t *testing.T) {
-	set := goldenSettings()
-	if got := Fingerprint(set); got != goldenFingerprint {
+func TestFingerprintIsStable(t *testing.T) {
+	settings := goldenSettings()
+	if got := Fingerprint(settings); got != goldenFingerprint {
 		t.Errorf("fingerprint %#x, want %#x", got, uint64(goldenFingerprint))
 	}
-	value := reflect.ValueOf(set)
+	value := reflect.ValueOf(settings)
 	for i := range value.NumField() {
 		if value.Field(i).IsZero() {
 			t.Errorf("scheduler.Settings.%s is not set", value.Type().Field(i).Name)
--- a/internal/state/snapshot/snapshot_test.go
+++ b/internal/state/snapshot/snapshot_test.go
@@ -19,7 +19,7 @@
 // sample has every field set, so that a test notices a field that is not stored.
 func sample() Snapshot {
 	return Snapshot{
-		Front: "files-1", Settings: 7, Saved: 1_800_000_000_000_000, Count: 3, Closed: true, List: 41,
+		Front: "files-1", Settings: 7, Saved: 1_800_000_000_000_000, Count: 3, Closed: true, ListVersion: 41,
 		Nodes: []Node{{Addr: "127.0.0.1:3022", LearnedNode: scheduler.LearnedNode{
 			Endpoint: scheduler.Endpoint{Node: "node-a", Zone: 1, Shard: 2, State: scheduler.Draining, StartedAt: 5},
 			NodeStats: scheduler.NodeStats{
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestFileHoldsAllOfASnapshot(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	file, err := Encode(sample())
 	if err != nil {
 		t.Fatal(err)
@@ -44,14 +44,14 @@
 	if err != nil || !reflect.DeepEqual(got, sample()) {
 		t.Errorf("decoded %+v, %v; want the encoded snapshot", got, err)
 	}
-	again, err := Encode(got)
-	if err != nil || !bytes.Equal(again, file) {
+	reencoded, err := Encode(got)
+	if err != nil || !bytes.Equal(reencoded, file) {
 		t.Errorf("encoding the same snapshot again gave different bytes, %v", err)
 	}
 }
 
 // A file that is truncated at any byte, is too long or has any bit flipped must be rejected.
-func TestDamageAnywhereShows(t *testing.T) {
+func TestDecodeDetectsDamage(t *testing.T) {
 	file, err := Encode(sample())
 	if err != nil {
 		t.Fatal(err)
@@ -65,16 +65,16 @@
 		t.Errorf("one byte too many: got %v, want ErrDamaged", err)
 	}
 	for i := range len(file) * 8 {
-		bad := bytes.Clone(file)
-		bad[i/8] ^= 1 << (i % 8)
-		if _, err := Decode(bad); !errors.Is(err, ErrDamaged) {
+		damaged := bytes.Clone(file)
+		damaged[i/8] ^= 1 << (i % 8)
+		if _, err := Decode(damaged); !errors.Is(err, ErrDamaged) {
 			t.Errorf("bit %d flipped: got %v, want ErrDamaged", i, err)
 		}
 	}
 }
 
 // A file of the first version of the program must be decoded as long as the format version is supported.
-func TestFileOfTheFirstVersion(t *testing.T) {
+func TestDecodesFileOfFirstVersion(t *testing.T) {
 	const name = "testdata/version-1.learned"
 	if *update {
 		file, err := Encode(sample())
@@ -93,14 +93,14 @@
 		t.Errorf("decoded %+v, %v; want the sample", got, err)
 	}
 	// An intact file of a later format version is not damaged, but this program can't decode it.
-	binary.BigEndian.PutUint32(file[len(letters):], FormVersion+1)
-	binary.BigEndian.PutUint64(file[sumAt:], checksum(file))
+	binary.BigEndian.PutUint32(file[len(magic):], FormatVersion+1)
+	binary.BigEndian.PutUint64(file[checksumOffset:], checksum(file))
 	if _, err := Decode(file); !errors.Is(err, ErrVersion) {
 		t.Errorf("file of the next format version: got %v, want ErrVersion", err)
 	}
 }
 
-func TestFingerprintTellsSettingsApart(t *testing.T) {
+func TestFingerprintDependsOnSettings(t *testing.T) {
 	a := scheduler.Settings{Fronts: 1, Plans: []scheduler.Plan{{Limit: 12}}}
 	b, c := a, a
 	b.Lease, b.MaxOpen = 5, 5 // learned state does not depend on them
@@ -117,9 +117,9 @@
 	}
 	f.Add(file)
 	f.Fuzz(func(t *testing.T, file []byte) {
-		if len(file) > headSize { // correct length and checksum, so that the fuzzer reaches the body
-			binary.BigEndian.PutUint64(file[len(letters)+4:], uint64(len(file)-headSize))
-			binary.BigEndian.PutUint64(file[sumAt:], checksum(file))
+		if len(file) > headerSize { // correct length and checksum, so that the fuzzer reaches the body
+			binary.BigEndian.PutUint64(file[len(magic)+4:], uint64(len(file)-headerSize))
+			binary.BigEndian.PutUint64(file[checksumOffset:], checksum(file))
 		}
 		if s, err := Decode(file); err == nil {
 			if _, err := Encode(s); err != nil {
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -20,7 +20,7 @@
 	currentName  = "learned"
 	previousName = "learned.previous"
 	lockName     = "lock"
-	asideName    = "learned.aside." // followed by the time
+	asidePrefix  = "learned.aside." // followed by the time
 	linkName     = "learned.linked"
 )
 
@@ -29,23 +29,23 @@
 
 // Store is a folder that is locked by this process.
 type Store struct {
-	folder string
-	lock   *os.File
-	fault  func(step string) error // tests set it to make a step of Save fail
+	folder      string
+	lock        *os.File
+	injectFault func(step string) error // tests set it to make a step of Save fail
 }
 
 // Open locks a folder, which it creates if necessary, and removes temporary files of an earlier process.
 func Open(folder string) (*Store, error) {
-	s := &Store{folder: folder, fault: func(string) error { return nil }}
+	s := &Store{folder: folder, injectFault: func(string) error { return nil }}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, fmt.Errorf("create snapshot folder: %w", err)
 	}
-	if err := s.take(); err != nil {
+	if err := s.lockFolder(); err != nil {
 		return nil, err
 	}
-	// A process that was killed during a save leaves incomplete files and the link of keepLast.
-	begun, err := filepath.Glob(filepath.Join(folder, "."+currentName+"*"))
-	for _, name := range append(begun, s.path(linkName)) {
+	// A process that was killed during a save leaves incomplete files and the link of keepPrevious.
+	incomplete, err := filepath.Glob(filepath.Join(folder, "."+currentName+"*"))
+	for _, name := range append(incomplete, s.path(linkName)) {
 		if err := os.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			s.Close()
 			return nil, fmt.Errorf("remove incomplete file of an earlier save: %w", err)
@@ -54,9 +54,9 @@
 	return s, err
 }
 
-// take locks the folder; the lock ends with the process. It does not create the folder: if a disk was unmounted, files written
+// lockFolder locks the folder; the lock ends with the process. It does not create the folder: if a disk was unmounted, files written
 // at its mount point would be hidden when it is mounted again.
-func (s *Store) take() error {
+func (s *Store) lockFolder() error {
 	lock, err := os.OpenFile(s.path(lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return fmt.Errorf("open lock file: %w", err)
@@ -85,14 +85,14 @@
 
 // Load returns the last snapshot that is intact and for which judge returns nil; found is nil if there is none. A file that
 // can't be used is renamed, never deleted, and notes has an entry with the reason.
-func (s *Store) Load(judge func(snapshot.Snapshot) error) (found *Found, notes []string) {
+func (s *Store) Load(check func(snapshot.Snapshot) error) (found *Found, notes []string) {
 	for _, name := range []string{currentName, previousName} {
 		snap, err := s.read(name)
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
 		if err == nil {
-			err = judge(snap)
+			err = check(snap)
 		}
 		if err == nil {
 			return &Found{snap, name == previousName}, notes
@@ -116,8 +116,8 @@
 	if err != nil {
 		return snapshot.Snapshot{}, err
 	}
-	if info.Size() > snapshot.MostBytes {
-		return snapshot.Snapshot{}, fmt.Errorf("%w: file has %d bytes, limit is %d", snapshot.ErrDamaged, info.Size(), snapshot.MostBytes)
+	if info.Size() > snapshot.MaxBytes {
+		return snapshot.Snapshot{}, fmt.Errorf("%w: file has %d bytes, limit is %d", snapshot.ErrDamaged, info.Size(), snapshot.MaxBytes)
 	}
 	text, err := os.ReadFile(s.path(name))
 	if err != nil {
@@ -127,15 +127,15 @@
 }
 
 // setAside renames a file that can't be used, and returns a note about it.
-func (s *Store) setAside(name string, why error) (note string) {
-	to := asideName + time.Now().UTC().Format("20060102T150405.000000000")
+func (s *Store) setAside(name string, reason error) (note string) {
+	newName := asidePrefix + time.Now().UTC().Format("20060102T150405.000000000")
 	if name == previousName {
-		to += ".previous"
+		newName += ".previous"
 	}
-	if err := os.Rename(s.path(name), s.path(to)); err != nil {
-		return fmt.Sprintf("%s is not used: %v; it can't be set aside: %v", s.path(name), why, err)
+	if err := os.Rename(s.path(name), s.path(newName)); err != nil {
+		return fmt.Sprintf("%s is not used: %v; it can't be set aside: %v", s.path(name), reason, err)
 	}
-	return fmt.Sprintf("%s is not used: %v; it is kept as %s", s.path(name), why, to)
+	return fmt.Sprintf("%s is not used: %v; it is kept as %s", s.path(name), reason, newName)
 }
 
 // Aside returns the names of the files that were set aside.
@@ -143,7 +143,7 @@
 	entries, err := os.ReadDir(folder)
 	var out []string
 	for _, e := range entries {
-		if strings.HasPrefix(e.Name(), asideName) {
+		if strings.HasPrefix(e.Name(), asidePrefix) {
 			out = append(out, e.Name())
 		}
 	}
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -13,8 +13,8 @@
 	"otterturn/internal/state/snapshot"
 )
 
-// steps are the points at which Save can fail. Only the last one, sync, comes after the rename of the new file.
-var steps = []string{"keep", "rename link", "create", "write", "write second half", "replace", "sync"}
+// saveSteps are the points at which Save can fail. Only the last one, sync, comes after the rename of the new file.
+var saveSteps = []string{"keep", "rename link", "create", "write", "write second half", "replace", "sync"}
 
 func snap(count uint64) snapshot.Snapshot {
 	return snapshot.Snapshot{Front: "a", Saved: 1, Count: count, Nodes: make([]snapshot.Node, 50)}
@@ -34,7 +34,7 @@
 
 func save(t *testing.T, s *Store, count uint64) {
 	t.Helper()
-	if r, err := s.Save(snap(count)); err != nil || !r.There || !r.Sure || r.Bytes == 0 {
+	if r, err := s.Save(snap(count)); err != nil || !r.Readable || !r.Latest || r.Bytes == 0 {
 		t.Fatalf("save %d: %+v, %v", count, r, err)
 	}
 }
@@ -46,7 +46,7 @@
 		if err != nil {
 			panic(err)
 		}
-		s.fault = func(at string) error {
+		s.injectFault = func(at string) error {
 			if at == step {
 				os.Exit(9) // without running deferred functions
 			}
@@ -58,16 +58,16 @@
 	os.Exit(m.Run())
 }
 
-func TestKillAtEveryStepLeavesOneWhole(t *testing.T) {
-	for i, step := range steps {
+func TestKillAtAnyStepLeavesIntactSnapshot(t *testing.T) {
+	for i, step := range saveSteps {
 		folder := t.TempDir()
 		s := open(t, folder)
 		save(t, s, 1)
 		save(t, s, 2)
 		s.Close()
-		c := exec.Command(os.Args[0])
-		c.Env = append(os.Environ(), "STORE_TEST_KILL="+step, "STORE_TEST_FOLDER="+folder)
-		if err := c.Run(); c.ProcessState.ExitCode() != 9 {
+		cmd := exec.Command(os.Args[0])
+		cmd.Env = append(os.Environ(), "STORE_TEST_KILL="+step, "STORE_TEST_FOLDER="+folder)
+		if err := cmd.Run(); cmd.ProcessState.ExitCode() != 9 {
 			t.Fatalf("%s: %v", step, err)
 		}
 		want := uint64(2)
@@ -79,8 +79,8 @@
 		if got == nil || got.Count != want || got.Older || len(notes) > 0 {
 			t.Errorf("killed at %q: loaded %+v, notes %v", step, got, notes)
 		}
-		if begun, _ := filepath.Glob(filepath.Join(folder, ".*")); len(begun) > 0 {
-			t.Errorf("killed at %q: temporary files %v are left", step, begun)
+		if leftovers, _ := filepath.Glob(filepath.Join(folder, ".*")); len(leftovers) > 0 {
+			t.Errorf("killed at %q: temporary files %v are left", step, leftovers)
 		}
 		save(t, s, 4)
 		if got, _ := s.Load(acceptAny); got.Count != 4 {
@@ -89,27 +89,27 @@
 	}
 }
 
-func TestErrorAtEveryStepLosesNothing(t *testing.T) {
-	broken := errors.New("no space left")
-	for i, step := range steps {
+func TestErrorAtAnyStepKeepsSnapshot(t *testing.T) {
+	errDiskFull := errors.New("no space left")
+	for i, step := range saveSteps {
 		s := open(t, t.TempDir())
 		save(t, s, 1)
 		save(t, s, 2)
-		s.fault = func(at string) error {
+		s.injectFault = func(at string) error {
 			if at == step {
-				return broken
+				return errDiskFull
 			}
 			return nil
 		}
 		r, err := s.Save(snap(3))
-		if !errors.Is(err, broken) || r.Sure || r.There != (i > 5) {
+		if !errors.Is(err, errDiskFull) || r.Latest || r.Readable != (i > 5) {
 			t.Errorf("error at %q: result %+v, error %v", step, r, err)
 		}
 		got, notes := s.Load(acceptAny)
 		if want := map[bool]uint64{false: 2, true: 3}[i > 5]; got == nil || got.Count != want || len(notes) > 0 {
 			t.Errorf("error at %q: loaded %+v, notes %v", step, got, notes)
 		}
-		s.fault = func(string) error { return nil }
+		s.injectFault = func(string) error { return nil }
 		save(t, s, 4)
 	}
 }
@@ -150,13 +150,13 @@
 }
 
 // Files that judge rejects are set aside too, both of them if it rejects both.
-func TestFileThatIsNotToBeUsed(t *testing.T) {
+func TestRejectedFilesAreSetAside(t *testing.T) {
 	s := open(t, t.TempDir())
 	save(t, s, 1)
 	save(t, s, 2)
-	other := errors.New("another front's")
-	if got, notes := s.Load(func(snapshot.Snapshot) error { return other }); got != nil || len(notes) != 2 ||
-		!strings.Contains(notes[0], other.Error()) {
+	errRejected := errors.New("another front's")
+	if got, notes := s.Load(func(snapshot.Snapshot) error { return errRejected }); got != nil || len(notes) != 2 ||
+		!strings.Contains(notes[0], errRejected.Error()) {
 		t.Errorf("loaded %+v, notes %v", got, notes)
 	}
 	if aside, _ := Aside(s.folder); len(aside) != 2 {
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestSecondProcessIsTurnedAway(t *testing.T) {
+func TestSecondOpenFails(t *testing.T) {
 	folder := t.TempDir()
 	first := open(t, folder)
 	if _, err := Open(folder); !errors.Is(err, ErrTaken) {
@@ -179,14 +179,14 @@
 
 // While the folder is missing, as when its disk is unmounted, saves fail and nothing is written in its place. When it is back,
 // saves succeed again, and a folder that replaced it is locked.
-func TestFolderThatVanishesAndComesBack(t *testing.T) {
+func TestSaveWithMissingOrReplacedFolder(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "kept")
 	s := open(t, folder)
 	save(t, s, 1)
 	if err := os.Rename(folder, folder+".away"); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := s.Save(snap(2)); err == nil || r.There {
+	if r, err := s.Save(snap(2)); err == nil || r.Readable {
 		t.Errorf("save without a folder succeeded: %+v", r)
 	}
 	if _, err := os.Stat(folder); !errors.Is(err, fs.ErrNotExist) {
@@ -208,7 +208,7 @@
 	}
 }
 
-func TestReadChangesNothing(t *testing.T) {
+func TestReadLastAndPrevious(t *testing.T) {
 	folder := t.TempDir()
 	s := open(t, folder)
 	save(t, s, 1)
