--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -74,7 +74,10 @@
 
 // TestKindNumbersAreStable checks the numbers of the message kinds, which are the first byte of each message.
 func TestKindNumbersAreStable(t *testing.T) {
-	for want, kind := range []Kind{KindStateRequest, KindStatePart, KindStateEnd, KindReady, KindRelease, KindConnection, KindRequestID, KindBan, KindUnban} {
+	for want, kind := range []Kind{
+		KindStateRequest, KindStatePart, KindStateEnd, KindReady, KindRelease, KindConnection,
+		KindRequestID, KindBan, KindUnban,
+	} {
 		if int(kind) != want+1 {
 			t.Errorf("kind has number %d, want %d", kind, want+1)
 		}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -32,13 +32,13 @@
 }
 
 type encodedState struct {
-	Version   int               `cbor:"1,keyasint"`
-	Snapshot  []byte            `cbor:"2,keyasint"` // in the format of snapshot files, with a version and checksum of its own
-	StartedAt int64             `cbor:"3,keyasint"`
-	IDs       []string          `cbor:"4,keyasint"`
-	Plans     []string          `cbor:"5,keyasint"`
-	List      []encodedHost     `cbor:"6,keyasint"`
-	Bans      map[string]string `cbor:"7,keyasint"`
+	Version      int               `cbor:"1,keyasint"`
+	Snapshot     []byte            `cbor:"2,keyasint"` // in the format of snapshot files, with a version and checksum of its own
+	ProcessStart int64             `cbor:"3,keyasint"`
+	IDs          []string          `cbor:"4,keyasint"`
+	Plans        []string          `cbor:"5,keyasint"`
+	List         []encodedHost     `cbor:"6,keyasint"`
+	Bans         map[string]string `cbor:"7,keyasint"`
 }
 
 type encodedHost struct {
@@ -47,7 +47,7 @@
 	Zone      int    `cbor:"3,keyasint"`
 	Shard     int    `cbor:"4,keyasint"`
 	State     int    `cbor:"5,keyasint"`
-	StartedAt int64  `cbor:"6,keyasint"`
+	NodeStart int64  `cbor:"6,keyasint"`
 }
 
 // Encode returns the encoded state.
@@ -60,7 +60,10 @@
 	if err != nil {
 		return nil, err
 	}
-	encoded := encodedState{Version: Version, Snapshot: file, StartedAt: int64(s.Given.StartedAt), IDs: s.Given.IDs, Plans: s.Plans, Bans: s.Bans}
+	encoded := encodedState{
+		Version: Version, Snapshot: file, ProcessStart: int64(s.Given.StartedAt), IDs: s.Given.IDs,
+		Plans: s.Plans, Bans: s.Bans,
+	}
 	for _, h := range s.List.Hosts {
 		encoded.List = append(encoded.List, encodedHost{h.Node, h.Dial, h.Zone, h.Shard, int(h.State), int64(h.StartedAt)})
 	}
@@ -90,7 +93,10 @@
 		}
 	}
 	s := State{Plans: encoded.Plans, Bans: encoded.Bans, List: protocol.List{Whole: true}}
-	s.Given = routing.HandoverState{StartedAt: scheduler.Micros(encoded.StartedAt), IDs: encoded.IDs, Learned: scheduler.Learned{At: snap.Saved}}
+	s.Given = routing.HandoverState{
+		StartedAt: scheduler.Micros(encoded.ProcessStart), IDs: encoded.IDs,
+		Learned: scheduler.Learned{At: snap.Saved},
+	}
 	for _, n := range snap.Nodes {
 		s.Given.Nodes = append(s.Given.Nodes, n.LearnedNode)
 	}
@@ -109,7 +115,7 @@
 	for _, h := range encoded.List {
 		s.List.Hosts = append(s.List.Hosts, protocol.Host{Dial: h.Dial, Endpoint: scheduler.Endpoint{
 			Node: h.Name, Zone: h.Zone,
-			Shard: h.Shard, State: scheduler.NodeState(h.State), StartedAt: scheduler.Micros(h.StartedAt),
+			Shard: h.Shard, State: scheduler.NodeState(h.State), StartedAt: scheduler.Micros(h.NodeStart),
 		}})
 	}
 	return s, nil
--- a/internal/net/backoff/backoff_test.go
+++ b/internal/net/backoff/backoff_test.go
@@ -12,7 +12,10 @@
 func TestSimultaneousStartsAreServed(t *testing.T) {
 	const patience, timeLimit = 2 * time.Second, 6 * time.Second
 	for _, fronts := range []int{10, 80, 350, 1024} {
-		config := Config{Min: 50 * time.Millisecond, Max: 1300 * time.Millisecond, Spread: min(time.Duration(fronts)*60*time.Millisecond, 3*time.Second)}
+		config := Config{
+			Min: 50 * time.Millisecond, Max: 1300 * time.Millisecond,
+			Spread: min(time.Duration(fronts)*60*time.Millisecond, 3*time.Second),
+		}
 		if served, took := simulate(fronts, config, timeLimit/2/time.Duration(fronts), patience); served < fronts || took > timeLimit {
 			t.Errorf("%d fronts: %d served, the last after %v", fronts, served, took)
 		}
@@ -51,7 +54,8 @@
 		c := calls[i]
 		calls = slices.Delete(calls, i, i+1)
 		begin := max(c.at, freeAt)
-		if lastServed = max(lastServed, c.at); begin-c.at+serviceTime > patience { // the caller gives up, but the service works on the call all the same
+		// After the caller has given up, the service works on the call all the same.
+		if lastServed = max(lastServed, c.at); begin-c.at+serviceTime > patience {
 			freeAt = min(begin, c.at+patience) + serviceTime
 			calls = append(calls, call{c.at + patience + c.from.Next(), c.from})
 			continue
--- a/internal/net/control/control.go
+++ b/internal/net/control/control.go
@@ -28,21 +28,22 @@
 type Server struct {
 	front       Front
 	http        *http.Server
-	idle        *idleConns
+	idleConns   *idleConns
 	acceptRetry time.Duration
 }
 
 // New returns a server that controls a front.
-func New(front Front, bounds limits.Limits) *Server {
-	s := &Server{front: front, acceptRetry: bounds.AcceptRetry, idle: &idleConns{maxOpen: bounds.Control.Conns, open: map[net.Conn]int{}}}
+func New(f Front, bounds limits.Limits) *Server {
+	s := &Server{front: f, acceptRetry: bounds.AcceptRetry, idleConns: &idleConns{maxOpen: bounds.Control.Conns, open: map[net.Conn]int{}}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthcheck", s.health)
 	mux.HandleFunc("GET /stats", s.stats)
 	mux.HandleFunc("POST /chunk-servers/{id}/maint", s.ban)
 	mux.HandleFunc("POST /chunk-servers/{id}/ready", s.unban)
 	s.http = &http.Server{
-		Handler: http.MaxBytesHandler(mux, bounds.Control.BodyBytes), ReadTimeout: bounds.Control.CallTimeout, WriteTimeout: bounds.Control.CallTimeout,
-		MaxHeaderBytes: bounds.Requests.HeaderBytes, ErrorLog: log.New(io.Discard, "", 0), ConnState: s.idle.track,
+		Handler: http.MaxBytesHandler(mux, bounds.Control.BodyBytes), ReadTimeout: bounds.Control.CallTimeout,
+		WriteTimeout:   bounds.Control.CallTimeout,
+		MaxHeaderBytes: bounds.Requests.HeaderBytes, ErrorLog: log.New(io.Discard, "", 0), ConnState: s.idleConns.track,
 	}
 	s.http.SetKeepAlivesEnabled(false)
 	return s
@@ -88,7 +89,7 @@
 	}
 }
 
-// idle tracks the connections that have not sent a complete call yet. At the maximum, a new connection closes the oldest one:
+// idleConns tracks the connections that have not sent a complete call yet. At the maximum, a new connection closes the oldest one:
 // idle connections must neither keep out active callers nor use up the file descriptors.
 type idleConns struct {
 	mu       sync.Mutex
--- a/internal/net/routing/attempt.go
+++ b/internal/net/routing/attempt.go
@@ -62,9 +62,9 @@
 func startAttempt[T any](ctx context.Context, s *Submission, start scheduler.StartAttempt, number int, attempt AttemptFunc[T],
 	answers chan<- T,
 ) context.CancelCauseFunc {
-	core := s.core
-	if core.debugEnabled() {
-		core.Log.Debug("attempt started", "request", s.request.ID, "attempt", number, "node", start.Node, "operation", operationOf(number).String())
+	c := s.core
+	if c.debugEnabled() {
+		c.Log.Debug("attempt started", "request", s.request.ID, "attempt", number, "node", start.Node, "operation", operationOf(number).String())
 	}
 	attemptCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	go func() {
@@ -72,18 +72,18 @@
 		defer cancel(nil)
 		deadlineCtx, cancelDeadline := context.WithDeadline(attemptCtx, s.deadline)
 		defer cancelDeadline()
-		beginBy := core.clock.timeOf(start.BeginBy, s.deadline)
+		beginBy := c.clock.timeOf(start.BeginBy, s.deadline)
 		mayBegin, cancelDeadline := context.WithDeadline(ctx, beginBy)
 		defer cancelDeadline()
 		defer context.AfterFunc(attemptCtx, cancelDeadline)()
 		value, outcome := runAttempt(deadlineCtx, Attempt{
-			Node: start.Node, MayBegin: mayBegin, guard: core.Guard, operation: operationOf(number), beginBy: beginBy,
+			Node: start.Node, MayBegin: mayBegin, guard: c.Guard, operation: operationOf(number), beginBy: beginBy,
 		}, attempt)
 		outcome.ID = s.request.ID
 		outcome.Attempt = number
-		core.submit(message{event: outcome})
-		if core.debugEnabled() {
-			core.Log.Debug("attempt ended", "request", s.request.ID, "attempt", number, "node", start.Node,
+		c.submit(message{event: outcome})
+		if c.debugEnabled() {
+			c.Log.Debug("attempt ended", "request", s.request.ID, "attempt", number, "node", start.Node,
 				"result", outcome.Result.String(), "us", outcome.Latency)
 		}
 		if outcome.Result == scheduler.OK {
--- a/internal/net/routing/core.go
+++ b/internal/net/routing/core.go
@@ -56,13 +56,13 @@
 	return latest
 }
 
-// message carries an event to the loop of Run. state is set for Request and ClientLeft events. A request with admitBy set is
+// message carries an event to the loop of Run. inflight is set for Request and ClientLeft events. A request with admitBy set is
 // held back until the scheduler is ready for it, or until that time.
 type message struct {
-	event   scheduler.Event
-	state   *requestState
-	admitBy scheduler.Micros
-	query   func(s *scheduler.Scheduler) // if set, the loop runs it instead of handling an event
+	event    scheduler.Event
+	inflight *inflight
+	admitBy  scheduler.Micros
+	query    func(s *scheduler.Scheduler) // if set, the loop runs it instead of handling an event
 }
 
 // Core owns the scheduler and the state of all requests.
@@ -72,10 +72,10 @@
 	checkHealth        func(node string) scheduler.HealthChecked
 	inbox              chan message
 	stopped            chan struct{}
-	requests           map[string]*requestState // by request id; only the loop uses requests, usedIDs and waitingForCapacity
-	usedIDs            idHistory                // ids of finished requests
-	waitingForCapacity []message                // requests that wait until the scheduler is ready for them, the oldest first
-	saveRequested      chan struct{}            // buffered; holds an element while the scheduler wants the learned state saved
+	requests           map[string]*inflight // by request id; only the loop uses requests, usedIDs and waitingForCapacity
+	usedIDs            idHistory            // ids of finished requests
+	waitingForCapacity []message            // requests that wait until the scheduler is ready for them, the oldest first
+	saveRequested      chan struct{}        // buffered; holds an element while the scheduler wants the learned state saved
 
 	SendToPeer func(to int, a scheduler.Action) // sends a message to another front; set before Run, discards messages by default
 
@@ -89,15 +89,16 @@
 	announceID atomic.Pointer[func(id string)] // is called with the id of each submitted request
 }
 
-// New returns a core. checkHealth runs a health check of a node and must return within a bounded time.
-func New(settings scheduler.Settings, seed int64, bounds limits.Limits, checkHealth func(node string) scheduler.HealthChecked) (*Core, error) {
+// New returns a core. The function probe runs a health check of a node; it must return within a bounded time.
+func New(settings scheduler.Settings, seed int64, bounds limits.Limits, probe func(node string) scheduler.HealthChecked) (*Core, error) {
 	sched, err := scheduler.New(settings, seed)
 	if err != nil {
 		return nil, fmt.Errorf("scheduler: %w", err)
 	}
 	return &Core{
-		clock: NewClock(), scheduler: sched, checkHealth: checkHealth, inbox: make(chan message, bounds.Requests.Inbox),
-		stopped: make(chan struct{}), requests: map[string]*requestState{}, usedIDs: newIDHistory(scheduler.Micros(bounds.Requests.IDRetention/time.Microsecond), bounds.Requests.PastIDs),
+		clock: NewClock(), scheduler: sched, checkHealth: probe, inbox: make(chan message, bounds.Requests.Inbox),
+		stopped: make(chan struct{}), requests: map[string]*inflight{},
+		usedIDs:       newIDHistory(scheduler.Micros(bounds.Requests.IDRetention/time.Microsecond), bounds.Requests.PastIDs),
 		saveRequested: make(chan struct{}, 1), SendToPeer: func(int, scheduler.Action) {}, Log: slog.New(slog.DiscardHandler),
 		Guard: lifecycle.New(bounds.Stop, slog.New(slog.DiscardHandler)),
 	}, nil
@@ -221,16 +222,16 @@
 
 // deliver passes an action to its request. A final action ends the request.
 func (c *Core) deliver(id string, action scheduler.Action, final bool) {
-	state := c.requests[id]
-	if state == nil || state.ended {
+	inflight := c.requests[id]
+	if inflight == nil || inflight.ended {
 		return
 	}
 	if start, ok := action.(scheduler.StartAttempt); ok {
-		state.outstanding++
-		c.observeStart(state, start)
+		inflight.outstanding++
+		c.observeStart(inflight, start)
 	}
-	state.actions <- action
+	inflight.actions <- action
 	if final {
-		c.endRequest(state)
+		c.endRequest(inflight)
 	}
 }
--- a/internal/net/routing/idhistory.go
+++ b/internal/net/routing/idhistory.go
@@ -12,8 +12,8 @@
 	rotatedAt     scheduler.Micros // when recent became older
 }
 
-func newIDHistory(retention scheduler.Micros, maxRecent int) idHistory {
-	return idHistory{retention: retention, maxRecent: maxRecent, recent: map[string]struct{}{}}
+func newIDHistory(keepFor scheduler.Micros, maxIDs int) idHistory {
+	return idHistory{retention: keepFor, maxRecent: maxIDs, recent: map[string]struct{}{}}
 }
 
 func (t *idHistory) add(now scheduler.Micros, id string) {
@@ -25,6 +25,6 @@
 
 func (t *idHistory) contains(id string) bool {
 	_, inRecent := t.recent[id]
-	_, inOlder := t.older[id]
-	return inRecent || inOlder
+	_, older := t.older[id]
+	return inRecent || older
 }
--- a/internal/net/routing/observer.go
+++ b/internal/net/routing/observer.go
@@ -12,21 +12,21 @@
 }
 
 // observeStart tells the observer, if there is one, of the start of an attempt.
-func (c *Core) observeStart(state *requestState, start scheduler.StartAttempt) {
+func (c *Core) observeStart(inflight *inflight, start scheduler.StartAttempt) {
 	if c.Observer == nil {
 		return
 	}
 	node := start.Node
-	if !c.Observer.AttemptStarted(node, state.id, len(state.nodes)) {
+	if !c.Observer.AttemptStarted(node, inflight.id, len(inflight.nodes)) {
 		node = ""
 	}
-	state.nodes = append(state.nodes, node)
+	inflight.nodes = append(inflight.nodes, node)
 }
 
 // observeEnd tells the observer of the end of an attempt.
-func (c *Core) observeEnd(state *requestState, e scheduler.AttemptEnded) {
-	if e.Attempt < 0 || e.Attempt >= len(state.nodes) || state.nodes[e.Attempt] == "" {
+func (c *Core) observeEnd(inflight *inflight, e scheduler.AttemptEnded) {
+	if e.Attempt < 0 || e.Attempt >= len(inflight.nodes) || inflight.nodes[e.Attempt] == "" {
 		return
 	}
-	c.Observer.AttemptEnded(state.nodes[e.Attempt], e)
+	c.Observer.AttemptEnded(inflight.nodes[e.Attempt], e)
 }
--- a/internal/net/routing/request.go
+++ b/internal/net/routing/request.go
@@ -13,21 +13,21 @@
 type Submission struct {
 	core     *Core
 	request  scheduler.Request
-	state    *requestState
+	inflight *inflight
 	deadline time.Time
 }
 
 // submitRequest passes a request to the core's loop. It is admitted at once if admitBy is 0, otherwise when the scheduler is
 // ready for it, at admitBy at the latest.
 func (c *Core) submitRequest(r scheduler.Request, admitBy scheduler.Micros) (*Submission, error) {
-	s := &Submission{core: c, request: r, state: newRequestState(r.ID)}
+	s := &Submission{core: c, request: r, inflight: newInflight(r.ID)}
 	if err := s.startDeadline(); err != nil {
 		return nil, err
 	}
 	if announce := c.announceID.Load(); announce != nil {
 		(*announce)(r.ID)
 	}
-	if !c.submit(message{event: s.request, state: s.state, admitBy: admitBy}) {
+	if !c.submit(message{event: s.request, inflight: s.inflight, admitBy: admitBy}) {
 		return nil, ErrStopped
 	}
 	return s, nil
@@ -65,14 +65,14 @@
 		return nil, err
 	}
 	select {
-	case <-s.state.admitted:
+	case <-s.inflight.admitted:
 		if err := s.startDeadline(); err != nil {
-			c.abandon(s.state, 0)
+			c.abandon(s.inflight, 0)
 			return nil, err
 		}
 		return s, nil
 	case <-ctx.Done():
-		c.abandon(s.state, 0)
+		c.abandon(s.inflight, 0)
 		return nil, context.Cause(ctx)
 	case <-c.stopped:
 		return nil, ErrStopped
@@ -103,7 +103,7 @@
 	overdue := time.NewTimer(time.Until(s.deadline) + overdueGrace)
 	defer overdue.Stop()
 	cancelAttempt, attempts := context.CancelCauseFunc(func(error) {}), 0
-	actions := s.state.actions
+	actions := s.inflight.actions
 	for {
 		select {
 		case action, open := <-actions:
@@ -158,7 +158,7 @@
 	default:
 	}
 	cancel() // an attempt that has not begun must not begin any more
-	s.core.abandon(s.state, attempts)
+	s.core.abandon(s.inflight, attempts)
 	s.core.counters.countGivenUp(reason)
 	s.core.Log.Info("request given up", "request", s.request.ID, "why", reason, "attempts", attempts)
 	if attempts == 0 {
@@ -172,7 +172,7 @@
 // recordClientLeft counts a request whose client has left, ends it, and returns the cause of ctx.
 func (s *Submission) recordClientLeft(ctx context.Context, attempts int) error {
 	s.core.counters.countClientLeft()
-	s.core.abandon(s.state, attempts)
+	s.core.abandon(s.inflight, attempts)
 	return context.Cause(ctx)
 }
 
@@ -199,15 +199,15 @@
 func (c *Core) debugEnabled() bool { return c.Log.Enabled(context.Background(), slog.LevelDebug) }
 
 // abandon ends a request whose client has left. A pending StartAttempt is reported to the scheduler as not started.
-func (c *Core) abandon(state *requestState, attempts int) {
-	if !c.submit(message{event: scheduler.ClientLeft{ID: state.id}, state: state}) {
+func (c *Core) abandon(inflight *inflight, attempts int) {
+	if !c.submit(message{event: scheduler.ClientLeft{ID: inflight.id}, inflight: inflight}) {
 		return
 	}
 	for {
 		select {
-		case action, open := <-state.actions:
+		case action, open := <-inflight.actions:
 			if _, starts := action.(scheduler.StartAttempt); starts {
-				c.submit(message{event: scheduler.AttemptEnded{ID: state.id, Attempt: attempts, Result: scheduler.NotStarted}})
+				c.submit(message{event: scheduler.AttemptEnded{ID: inflight.id, Attempt: attempts, Result: scheduler.NotStarted}})
 			}
 			if !open {
 				return
--- a/internal/state/decay/decay.go
+++ b/internal/state/decay/decay.go
@@ -114,14 +114,16 @@
 	stats := old.NodeStats
 	stats.Budget = min(fresh.Budget, decay(stats.Budget, fresh.Budget, age, loadHalfLife))
 	stats.Target = decay(stats.Target, fresh.Target, age, loadHalfLife)
-	stats.SmoothedLatency, stats.PreviousLatency = decay(stats.SmoothedLatency, 0, age, loadHalfLife), decay(stats.PreviousLatency, 0, age, loadHalfLife)
+	stats.SmoothedLatency, stats.PreviousLatency = decay(stats.SmoothedLatency, 0, age, loadHalfLife),
+		decay(stats.PreviousLatency, 0, age, loadHalfLife)
 	stats.ErrorRate = decay(stats.ErrorRate, 0, age, errorHalfLife)
 	if age >= unitTimeLifetime {
 		stats.UnitTime = 0
 	}
 	dropped := min(int(age/curvePointInterval), len(stats.Curve))
 	stats.Curve = stats.Curve[dropped:]
-	stats.LatencyUpdated, stats.LastAnswer, stats.SuspectedRestart = min(stats.LatencyUpdated, now.At), min(stats.LastAnswer, now.At), min(stats.SuspectedRestart, now.At)
+	stats.LatencyUpdated, stats.LastAnswer, stats.SuspectedRestart = min(stats.LatencyUpdated, now.At),
+		min(stats.LastAnswer, now.At), min(stats.SuspectedRestart, now.At)
 	return stats
 }
 
--- a/internal/state/decay/decay_test.go
+++ b/internal/state/decay/decay_test.go
@@ -66,8 +66,8 @@
 			t.Fatalf("age %v: %d nodes, want 1", age, len(l.Nodes))
 		}
 		stats := l.Nodes[0].NodeStats
-		distance := math.Abs(stats.Target-fresh.Target) + math.Abs(stats.Budget-fresh.Budget) + stats.SmoothedLatency + stats.PreviousLatency + stats.UnitTime + stats.ErrorRate +
-			float64(len(stats.Curve))
+		distance := math.Abs(stats.Target-fresh.Target) + math.Abs(stats.Budget-fresh.Budget) + stats.SmoothedLatency +
+			stats.PreviousLatency + stats.UnitTime + stats.ErrorRate + float64(len(stats.Curve))
 		if distance >= previous || distance < 0 || stats.Target < fresh.Target {
 			t.Errorf("age %v: %+v is not closer to a fresh node than at the previous age", age, stats)
 		}
@@ -88,8 +88,8 @@
 func TestRestartedOrMovedNodeIsFresh(t *testing.T) {
 	old := listedNode("a", "x:1", 5)
 	moved, restarted := listedNode("a", "x:2", 5), listedNode("a", "x:1", 6)
-	if got := Decay(learnedSnapshot(time.Second, old), current(moved), false).Nodes[0].NodeStats; got.SuspectedRestart != testTime || got.SmoothedLatency != 0 ||
-		got.Budget != fresh.Budget || got.ErrorRate != 0 {
+	if got := Decay(learnedSnapshot(time.Second, old), current(moved), false).Nodes[0].NodeStats; got.SuspectedRestart != testTime ||
+		got.SmoothedLatency != 0 || got.Budget != fresh.Budget || got.ErrorRate != 0 {
 		t.Errorf("other address: %+v, want a fresh node that may be cold", got)
 	}
 	if got := Decay(learnedSnapshot(time.Second, old), current(restarted), false).Nodes[0]; got.StartedAt != 6 || got.SmoothedLatency != 0 ||
@@ -107,12 +107,13 @@
 		n := listedNode("a", "x:1", 5)
 		s := learnedSnapshot(time.Duration(rapid.Int64Range(0, int64(2*maxAge)).Draw(t, "age")), n)
 		value := rapid.Float64Range(0, 1e7)
-		timestamp := rapid.Int64Range(0, 2*int64(testTime))
+		time := rapid.Int64Range(0, 2*int64(testTime))
 		stats := &s.Nodes[0].NodeStats
 		stats.Budget, stats.Target, stats.SmoothedLatency = value.Draw(t, "budget"), value.Draw(t, "target"), value.Draw(t, "usual")
-		stats.LastAnswer, stats.LatencyUpdated = scheduler.Micros(timestamp.Draw(t, "answered")), scheduler.Micros(timestamp.Draw(t, "judged"))
+		stats.LastAnswer, stats.LatencyUpdated = scheduler.Micros(time.Draw(t, "answered")), scheduler.Micros(time.Draw(t, "judged"))
 		for _, node := range Decay(s, current(n), rapid.Bool().Draw(t, "older")).Nodes {
-			if node.Budget > fresh.Budget || node.LastAnswer > testTime || node.LatencyUpdated > testTime || node.SuspectedRestart > testTime || node.SmoothedLatency < 0 {
+			if node.Budget > fresh.Budget || node.LastAnswer > testTime || node.LatencyUpdated > testTime ||
+				node.SuspectedRestart > testTime || node.SmoothedLatency < 0 {
 				t.Fatalf("%+v", node)
 			}
 		}
@@ -140,7 +141,10 @@
 
 func TestFlowLeadsDecayAndExpire(t *testing.T) {
 	s := learnedSnapshot(8 * time.Second)
-	s.Leads = []scheduler.FlowLead{{Volume: "v", Units: 10, LastSend: s.Saved}, {Volume: "w", Units: 10, LastSend: s.Saved - micros(leadLifetime)}}
+	s.Leads = []scheduler.FlowLead{
+		{Volume: "v", Units: 10, LastSend: s.Saved},
+		{Volume: "w", Units: 10, LastSend: s.Saved - micros(leadLifetime)},
+	}
 	got := Decay(s, current(), false).Flows
 	if len(got) != 1 || got[0].Volume != "v" || got[0].Units != 5 {
 		t.Errorf("flows %+v, want that of volume v with 5 units", got)
--- a/internal/state/saver/cost_test.go
+++ b/internal/state/saver/cost_test.go
@@ -27,7 +27,10 @@
 	for i := range nodes {
 		node := scheduler.LearnedNode{Endpoint: scheduler.Endpoint{Node: fmt.Sprint("node-", i), Shard: i}}
 		list.Endpoints = append(list.Endpoints, node.Endpoint)
-		node.NodeStats = scheduler.NodeStats{Budget: 5, Target: 150e3, SmoothedLatency: 31e3, PreviousLatency: 33e3, UnitTime: 12e3, LastAnswer: now}
+		node.NodeStats = scheduler.NodeStats{
+			Budget: 5, Target: 150e3, SmoothedLatency: 31e3, PreviousLatency: 33e3,
+			UnitTime: 12e3, LastAnswer: now,
+		}
 		for p := range 16 {
 			node.Curve = append(node.Curve, curve.Point{Throughput: float64(100 + p), Latency: 30e3, Low: 20e3})
 		}
--- a/internal/state/saver/limit_test.go
+++ b/internal/state/saver/limit_test.go
@@ -193,7 +193,8 @@
 			if (end-f.now)%6_000_000 < 2_000_000 { // a burst every 6 s, larger than what the bucket holds by then
 				f.submitRequest()
 			}
-			if withRecords && (f.now >= save || f.saveWanted && f.now >= save-1_800_000) { // every 2 s, or 0.2 s after the last save if one is wanted
+			// Saves every 2 s, or 0.2 s after the last save if the scheduler wants one.
+			if withRecords && (f.now >= save || f.saveWanted && f.now >= save-1_800_000) {
 				save, f.saveWanted = f.now+2_000_000, false
 				f.save()
 				f.replaceFiles()
--- a/internal/state/saver/saver.go
+++ b/internal/state/saver/saver.go
@@ -35,9 +35,9 @@
 type Status struct {
 	Saves, Failures int64
 	Last            time.Time     // time of the last successful save
-	Took            time.Duration // duration of the last successful save
-	Bytes           int           // size of the last successful save
-	Error           string        // of the last save, empty if it was successful
+	Took            time.Duration // duration of the last successful save; Bytes is its size
+	Bytes           int
+	Error           string // of the last save, empty if it was successful
 }
 
 // Saver saves the learned state of one core in one folder.
@@ -55,13 +55,19 @@
 
 // New returns a Saver. Call Restore, then Run.
 func New(settings Settings, core *routing.Core, s *store.Store) *Saver {
-	return &Saver{settings: settings, core: core, store: s, fingerprint: snapshot.Fingerprint(settings.Rules), saveRequests: make(chan chan error)}
+	return &Saver{
+		settings: settings, core: core, store: s, fingerprint: snapshot.Fingerprint(settings.Rules),
+		saveRequests: make(chan chan error),
+	}
 }
 
 // Restore imports into the core the parts of the last usable snapshot that are still valid. It must be called before the core
 // runs. It returns all nodes of the snapshot, from which the caller can restore the state that operators set.
 func (s *Saver) Restore() []snapshot.Node {
-	now := decay.Current{At: s.core.Now(), Front: s.settings.Front, Settings: s.fingerprint, Fresh: s.core.NewNodeStats(), Nodes: s.settings.Nodes()}
+	now := decay.Current{
+		At: s.core.Now(), Front: s.settings.Front, Settings: s.fingerprint, Fresh: s.core.NewNodeStats(),
+		Nodes: s.settings.Nodes(),
+	}
 	found, notes := s.store.Load(func(snap snapshot.Snapshot) error { return decay.Check(snap, now) })
 	for _, n := range notes {
 		s.settings.Log.Warn("snapshot rejected", "why", n)
@@ -152,7 +158,7 @@
 		return err // the core or ctx has ended
 	}
 	result, err := s.store.Save(snap)
-	s.core.StateSaved(scheduler.StateSaved{Readable: result.Readable, Latest: result.Latest})
+	s.core.StateSaved(scheduler.StateSaved{Readable: result.Loadable, Latest: result.Durable})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	previousError := s.status.Error
--- a/internal/state/snapshot/snapshot.go
+++ b/internal/state/snapshot/snapshot.go
@@ -51,27 +51,27 @@
 	Closed      bool            `cbor:"5,keyasint"`
 	ListVersion int64           `cbor:"6,keyasint"`
 	Nodes       []encodedNode   `cbor:"7,keyasint"`
-	Volumes     []encodedVolume `cbor:"8,keyasint"`
-	Flows       []encodedFlow   `cbor:"9,keyasint"`
+	Accounts    []encodedVolume `cbor:"8,keyasint"`
+	Leads       []encodedFlow   `cbor:"9,keyasint"`
 }
 
 type encodedNode struct {
-	Name             string         `cbor:"1,keyasint"`
-	Addr             string         `cbor:"2,keyasint"`
-	Zone             int            `cbor:"3,keyasint"`
-	Shard            int            `cbor:"4,keyasint"`
-	State            int            `cbor:"5,keyasint"`
-	StartedAt        int64          `cbor:"6,keyasint"`
-	Budget           float64        `cbor:"7,keyasint"`
-	Target           float64        `cbor:"8,keyasint"`
-	Curve            []encodedPoint `cbor:"9,keyasint"`
-	SmoothedLatency  float64        `cbor:"10,keyasint"`
-	PreviousLatency  float64        `cbor:"11,keyasint"`
-	UnitTime         float64        `cbor:"12,keyasint"`
-	ErrorRate        float64        `cbor:"13,keyasint"`
-	LatencyUpdated   int64          `cbor:"14,keyasint"`
-	LastAnswer       int64          `cbor:"15,keyasint"`
-	SuspectedRestart int64          `cbor:"16,keyasint"`
+	Name        string         `cbor:"1,keyasint"`
+	Addr        string         `cbor:"2,keyasint"`
+	Zone        int            `cbor:"3,keyasint"`
+	Shard       int            `cbor:"4,keyasint"`
+	State       int            `cbor:"5,keyasint"`
+	Start       int64          `cbor:"6,keyasint"`
+	Budget      float64        `cbor:"7,keyasint"`
+	Target      float64        `cbor:"8,keyasint"`
+	Curve       []encodedPoint `cbor:"9,keyasint"`
+	Smoothed    float64        `cbor:"10,keyasint"`
+	Previous    float64        `cbor:"11,keyasint"`
+	TimePerUnit float64        `cbor:"12,keyasint"`
+	Errors      float64        `cbor:"13,keyasint"`
+	LatencyAt   int64          `cbor:"14,keyasint"`
+	AnswerAt    int64          `cbor:"15,keyasint"`
+	SuspectedAt int64          `cbor:"16,keyasint"`
 }
 
 type encodedPoint struct {
@@ -82,31 +82,35 @@
 }
 
 type encodedVolume struct {
-	Volume         string  `cbor:"1,keyasint"`
-	Plan           int     `cbor:"2,keyasint"`
-	Fronts         float64 `cbor:"3,keyasint"`
-	ReservationTag float64 `cbor:"4,keyasint"`
-	Level          float64 `cbor:"5,keyasint"`
-	At             int64   `cbor:"6,keyasint"`
-	Lease          float64 `cbor:"7,keyasint"`
-	BoundUntil     int64   `cbor:"8,keyasint"`
+	Volume      string  `cbor:"1,keyasint"`
+	Plan        int     `cbor:"2,keyasint"`
+	FrontCount  float64 `cbor:"3,keyasint"`
+	Reservation float64 `cbor:"4,keyasint"`
+	Level       float64 `cbor:"5,keyasint"`
+	At          int64   `cbor:"6,keyasint"`
+	Lease       float64 `cbor:"7,keyasint"`
+	Bound       int64   `cbor:"8,keyasint"`
 }
 
 type encodedFlow struct {
-	Volume   string  `cbor:"1,keyasint"`
-	Plan     int     `cbor:"2,keyasint"`
-	Shard    int     `cbor:"3,keyasint"`
-	Units    float64 `cbor:"4,keyasint"`
-	LastSend int64   `cbor:"5,keyasint"`
+	Volume string  `cbor:"1,keyasint"`
+	Plan   int     `cbor:"2,keyasint"`
+	Shard  int     `cbor:"3,keyasint"`
+	Units  float64 `cbor:"4,keyasint"`
+	SentAt int64   `cbor:"5,keyasint"`
 }
 
 func (s Snapshot) encoded() encodedSnapshot {
-	out := encodedSnapshot{Front: s.Front, Settings: s.Settings, Saved: int64(s.Saved), Count: s.Count, Closed: s.Closed, ListVersion: s.ListVersion}
+	out := encodedSnapshot{
+		Front: s.Front, Settings: s.Settings, Saved: int64(s.Saved), Count: s.Count, Closed: s.Closed,
+		ListVersion: s.ListVersion,
+	}
 	for _, n := range s.Nodes {
 		node := encodedNode{
-			Name: n.Node, Addr: n.Addr, Zone: n.Zone, Shard: n.Shard, State: int(n.State), StartedAt: int64(n.StartedAt),
-			Budget: n.Budget, Target: n.Target, SmoothedLatency: n.SmoothedLatency, PreviousLatency: n.PreviousLatency, UnitTime: n.UnitTime, ErrorRate: n.ErrorRate,
-			LatencyUpdated: int64(n.LatencyUpdated), LastAnswer: int64(n.LastAnswer), SuspectedRestart: int64(n.SuspectedRestart),
+			Name: n.Node, Addr: n.Addr, Zone: n.Zone, Shard: n.Shard, State: int(n.State), Start: int64(n.StartedAt),
+			Budget: n.Budget, Target: n.Target, Smoothed: n.SmoothedLatency, Previous: n.PreviousLatency, TimePerUnit: n.UnitTime,
+			Errors:    n.ErrorRate,
+			LatencyAt: int64(n.LatencyUpdated), AnswerAt: int64(n.LastAnswer), SuspectedAt: int64(n.SuspectedRestart),
 		}
 		for _, p := range n.Curve {
 			node.Curve = append(node.Curve, encodedPoint{Throughput: p.Throughput, Latency: p.Latency, Low: p.Low})
@@ -114,25 +118,33 @@
 		out.Nodes = append(out.Nodes, node)
 	}
 	for _, a := range s.Accounts {
-		out.Volumes = append(out.Volumes, encodedVolume{
+		out.Accounts = append(out.Accounts, encodedVolume{
 			a.Volume, a.Plan, a.Fronts, a.ReservationTag, a.Bucket.Level,
 			int64(a.Bucket.At), a.Bucket.Lease, int64(a.Bucket.BoundUntil),
 		})
 	}
 	for _, l := range s.Leads {
-		out.Flows = append(out.Flows, encodedFlow{l.Volume, l.Plan, l.Shard, l.Units, int64(l.LastSend)})
+		out.Leads = append(out.Leads, encodedFlow{l.Volume, l.Plan, l.Shard, l.Units, int64(l.LastSend)})
 	}
 	return out
 }
 
 func (f encodedSnapshot) snapshot() Snapshot {
-	out := Snapshot{Front: f.Front, Settings: f.Settings, Saved: scheduler.Micros(f.Saved), Count: f.Count, Closed: f.Closed, ListVersion: f.ListVersion}
+	out := Snapshot{
+		Front: f.Front, Settings: f.Settings, Saved: scheduler.Micros(f.Saved), Count: f.Count, Closed: f.Closed,
+		ListVersion: f.ListVersion,
+	}
 	for _, n := range f.Nodes {
 		node := scheduler.LearnedNode{
-			Endpoint: scheduler.Endpoint{Node: n.Name, Zone: n.Zone, Shard: n.Shard, State: scheduler.NodeState(n.State), StartedAt: scheduler.Micros(n.StartedAt)},
+			Endpoint: scheduler.Endpoint{
+				Node: n.Name, Zone: n.Zone, Shard: n.Shard, State: scheduler.NodeState(n.State),
+				StartedAt: scheduler.Micros(n.Start),
+			},
 			NodeStats: scheduler.NodeStats{
-				Budget: n.Budget, Target: n.Target, SmoothedLatency: n.SmoothedLatency, PreviousLatency: n.PreviousLatency, UnitTime: n.UnitTime, ErrorRate: n.ErrorRate,
-				LatencyUpdated: scheduler.Micros(n.LatencyUpdated), LastAnswer: scheduler.Micros(n.LastAnswer), SuspectedRestart: scheduler.Micros(n.SuspectedRestart),
+				Budget: n.Budget, Target: n.Target, SmoothedLatency: n.Smoothed, PreviousLatency: n.Previous, UnitTime: n.TimePerUnit,
+				ErrorRate:      n.Errors,
+				LatencyUpdated: scheduler.Micros(n.LatencyAt), LastAnswer: scheduler.Micros(n.AnswerAt),
+				SuspectedRestart: scheduler.Micros(n.SuspectedAt),
 			},
 		}
 		for _, p := range n.Curve {
@@ -140,14 +152,20 @@
 		}
 		out.Nodes = append(out.Nodes, Node{node, n.Addr})
 	}
-	for _, a := range f.Volumes {
+	for _, a := range f.Accounts {
 		out.Accounts = append(out.Accounts, scheduler.VolumeUsage{
-			Volume: a.Volume, Plan: a.Plan, Fronts: a.Fronts, ReservationTag: a.ReservationTag,
-			Bucket: tokenbucket.Bucket[scheduler.Micros]{Level: a.Level, At: scheduler.Micros(a.At), Lease: a.Lease, BoundUntil: scheduler.Micros(a.BoundUntil)},
+			Volume: a.Volume, Plan: a.Plan, Fronts: a.FrontCount, ReservationTag: a.Reservation,
+			Bucket: tokenbucket.Bucket[scheduler.Micros]{
+				Level: a.Level, At: scheduler.Micros(a.At), Lease: a.Lease,
+				BoundUntil: scheduler.Micros(a.Bound),
+			},
 		})
 	}
-	for _, l := range f.Flows {
-		out.Leads = append(out.Leads, scheduler.FlowLead{Volume: l.Volume, Plan: l.Plan, Shard: l.Shard, Units: l.Units, LastSend: scheduler.Micros(l.LastSend)})
+	for _, l := range f.Leads {
+		out.Leads = append(out.Leads, scheduler.FlowLead{
+			Volume: l.Volume, Plan: l.Plan, Shard: l.Shard, Units: l.Units,
+			LastSend: scheduler.Micros(l.SentAt),
+		})
 	}
 	return out
 }
--- a/internal/state/store/save.go
+++ b/internal/state/store/save.go
@@ -11,13 +11,13 @@
 	"otterturn/internal/state/snapshot"
 )
 
-// Result is the result of a save: Readable means that the snapshot may be loaded from now on, Latest that no earlier one can be.
+// Result is the result of a save: Loadable means that the snapshot may be loaded from now on, Durable that no earlier one can be.
 type Result struct {
-	Readable, Latest bool
-	Bytes            int
+	Loadable, Durable bool
+	Bytes             int
 }
 
-// Save writes a snapshot. If it fails, Load still returns the last one, unless the result has Readable set.
+// Save writes a snapshot. If it fails, Load still returns the last one, unless the result has Loadable set.
 func (s *Store) Save(snap snapshot.Snapshot) (r Result, err error) {
 	encoded, err := snapshot.Encode(snap)
 	if err != nil {
@@ -55,12 +55,12 @@
 	}
 	if err := f.CloseAtomicallyReplace(); err != nil {
 		// This may also have failed after the rename, so the new snapshot may be loaded.
-		return Result{Readable: true}, fmt.Errorf("sync and replace: %w", err)
+		return Result{Loadable: true}, fmt.Errorf("sync and replace: %w", err)
 	}
 	if err := s.syncFolder(); err != nil {
-		return Result{Readable: true}, fmt.Errorf("sync snapshot folder: %w", err)
+		return Result{Loadable: true}, fmt.Errorf("sync snapshot folder: %w", err)
 	}
-	return Result{Readable: true, Latest: true, Bytes: len(encoded)}, nil
+	return Result{Loadable: true, Durable: true, Bytes: len(encoded)}, nil
 }
 
 // ensureLocked checks that the folder exists and is still the one that was locked. If the folder was replaced, its lock is another
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -34,7 +34,7 @@
 
 func save(t *testing.T, s *Store, count uint64) {
 	t.Helper()
-	if r, err := s.Save(snap(count)); err != nil || !r.Readable || !r.Latest || r.Bytes == 0 {
+	if r, err := s.Save(snap(count)); err != nil || !r.Loadable || !r.Durable || r.Bytes == 0 {
 		t.Fatalf("save %d: %+v, %v", count, r, err)
 	}
 }
@@ -102,7 +102,7 @@
 			return nil
 		}
 		r, err := s.Save(snap(3))
-		if !errors.Is(err, errDiskFull) || r.Latest || r.Readable != (i > 5) {
+		if !errors.Is(err, errDiskFull) || r.Durable || r.Loadable != (i > 5) {
 			t.Errorf("error at %q: result %+v, error %v", step, r, err)
 		}
 		got, notes := s.Load(acceptAny)
@@ -186,7 +186,7 @@
 	if err := os.Rename(folder, folder+".away"); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := s.Save(snap(2)); err == nil || r.Readable {
+	if r, err := s.Save(snap(2)); err == nil || r.Loadable {
 		t.Errorf("save without a folder succeeded: %+v", r)
 	}
 	if _, err := os.Stat(folder); !errors.Is(err, fs.ErrNotExist) {
