--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -94,8 +94,7 @@
 	}
 	s := State{Plans: encoded.Plans, Bans: encoded.Bans, List: protocol.List{Whole: true}}
 	s.Given = routing.HandoverState{
-		StartedAt: scheduler.Micros(encoded.ProcessStart), IDs: encoded.IDs,
-		Learned: scheduler.Learned{At: snap.Saved},
+		StartedAt: scheduler.Micros(encoded.ProcessStart), IDs: encoded.IDs, Learned: scheduler.Learned{At: snap.Saved},
 	}
 	for _, n := range snap.Nodes {
 		s.Given.Nodes = append(s.Given.Nodes, n.LearnedNode)
--- a/internal/net/backoff/backoff_test.go
+++ b/internal/net/backoff/backoff_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// simulate simulates fronts that call until they are served once. It returns how many were served, and when the last one was.
+// simulate runs fronts that call until they are served once. It returns how many were served, and when the last one was.
 func simulate(fronts int, config Config, serviceTime, patience time.Duration) (served int, lastServed time.Duration) {
 	type call struct {
 		at   time.Duration
--- a/internal/net/routing/core.go
+++ b/internal/net/routing/core.go
@@ -48,7 +48,7 @@
 	return scheduler.Micros(c.start.UnixMicro()) + scheduler.Micros(time.Since(c.start)/time.Microsecond)
 }
 
-// timeOf converts a time of this clock to a time.Time. It returns last if that is earlier or if t is 0.
+// timeOf converts a time of this clock to a time.Time. It returns latest if that is earlier or if t is 0.
 func (c Clock) timeOf(t scheduler.Micros, latest time.Time) time.Time {
 	if converted := c.start.Add(time.Duration(t-scheduler.Micros(c.start.UnixMicro())) * time.Microsecond); t > 0 && converted.Before(latest) {
 		return converted
--- a/internal/state/decay/decay.go
+++ b/internal/state/decay/decay.go
@@ -1,7 +1,7 @@
 // Package decay decides which parts of a front's saved learned state are still valid. It reads no clock and does no I/O.
 //
-// Each value decays towards the assumption of a fresh front, with a half-life of its own. Of a snapshot that is hours old,
-// only the list of nodes is used.
+// Each value decays towards the assumption of a fresh front, with a half-life of its own. Of a snapshot older than
+// 10 minutes, only the list of nodes is used.
 package decay
 
 import (
@@ -23,7 +23,8 @@
 	// errorHalfLife is the half-life of the error rate: errors usually stop within seconds, or not at all.
 	errorHalfLife = 10 * time.Second
 	// unitTimeLifetime is the lifetime of the time per unit, which depends on the machine. The estimate rises only slowly, so a
-	// value that has decayed towards 0 would be wrong for longer than no value. It is dropped whole instead.
+	// value that has decayed towards 0 would be wrong for longer than no value. So it is kept unchanged for this
+	// time and then dropped.
 	unitTimeLifetime = 5 * time.Minute
 	// curvePointInterval is the time between two points of the curve. For each such interval of the snapshot's age, the oldest
 	// point is dropped.
@@ -52,7 +53,7 @@
 	Nodes    []snapshot.Node
 }
 
-// Check returns an error if nothing of a snapshot must be used.
+// Check returns an error if a snapshot must not be used at all.
 func Check(s snapshot.Snapshot, now Current) error {
 	switch {
 	case s.Front != now.Front:
--- a/internal/state/saver/limit_test.go
+++ b/internal/state/saver/limit_test.go
@@ -180,8 +180,9 @@
 	t.Logf("%d crashes, %.0f units drawn, none over the limit", crashes, drawn)
 }
 
-// Each crash may cost a volume with bursts of requests at most one lease, compared with a front that never crashes.
-func TestCrashCostsAtMostOneLease(t *testing.T) {
+// A crash loses units of the lease that a volume has not drawn yet. With bursts of requests, each crash may cost the volume at most
+// 36 units, its burst, compared with a front that never crashes.
+func TestCostOfCrashesIsBounded(t *testing.T) {
 	run := func(crashInterval scheduler.Micros, withRecords bool) float64 {
 		f := newFront(t, 1)
 		if !withRecords {
@@ -217,7 +218,7 @@
 			t.Errorf("with crashes %v and %v units were drawn, more than the %v without a crash", with, without, uncrashed)
 		}
 		if crashes := 60_000_000 / float64(crashInterval); uncrashed-with > crashes*36 {
-			t.Errorf("%.0f crashes cost %v units, more than one lease per crash", crashes, uncrashed-with)
+			t.Errorf("%.0f crashes cost %v units, more than 36 per crash", crashes, uncrashed-with)
 		}
 	}
 }
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -83,7 +83,7 @@
 	Older bool // a later snapshot was written but can't be read or must not be used
 }
 
-// Load returns the last snapshot that is intact and for which judge returns nil; found is nil if there is none. A file that
+// Load returns the last snapshot that is intact and for which check returns nil; found is nil if there is none. A file that
 // can't be used is renamed, never deleted, and notes has an entry with the reason.
 func (s *Store) Load(check func(snapshot.Snapshot) error) (found *Found, notes []string) {
 	for _, name := range []string{currentName, previousName} {
--- a/internal/state/store/store_test.go
+++ b/internal/state/store/store_test.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// Files that judge rejects are set aside too, both of them if it rejects both.
+// Files that the check of Load rejects are set aside too, both of them if it rejects both.
 func TestRejectedFilesAreSetAside(t *testing.T) {
 	s := open(t, t.TempDir())
 	save(t, s, 1)
