--- a/internal/handover/channel.go
+++ b/internal/handover/channel.go
@@ -20,7 +20,7 @@
 	KindStatePart                    // predecessor: a part of the state
 	KindStateEnd                     // predecessor: the state is complete
 	KindReady                        // successor: it is ready to serve
-	KindRelease                      // predecessor: the successor may serve
+	KindRelease                      // predecessor: releases the successor, which may serve
 	KindConnection                   // predecessor: a client's connection
 	KindRequestID                    // either: a request with this id was accepted
 	KindBan                          // either: a node was banned; the text is the node and who banned it, separated by a newline
@@ -170,7 +170,7 @@
 	return err
 }
 
-// Confirm tells the predecessor that this process is ready to serve, and waits for its permission.
+// Confirm tells the predecessor that this process is ready to serve, and waits to be released.
 func (c *Channel) Confirm() error {
 	if err := c.Send(KindReady, nil, nil); err != nil {
 		return err
@@ -178,7 +178,7 @@
 	return c.expect(KindRelease)
 }
 
-// ReleaseSuccessor waits until the successor is ready to serve, and permits it.
+// ReleaseSuccessor waits until the successor is ready to serve, and releases it.
 func (c *Channel) ReleaseSuccessor() error {
 	if err := c.expect(KindReady); err != nil {
 		return err
