--- a/internal/net/steady/steady_test.go
+++ b/internal/net/steady/steady_test.go
@@ -10,14 +10,15 @@
 	"testing"
 )
 
-// script is a connection whose calls fail by a list, and then move what they are given.
-type script struct {
+// scriptedConn is a connection whose calls return the errors of a list in order and succeed after its end. An error at the end of
+// the list repeats.
+type scriptedConn struct {
 	net.Conn
 	errs []error
 	text []byte
 }
 
-func (s *script) next() error {
+func (s *scriptedConn) next() error {
 	if len(s.errs) == 0 {
 		return nil
 	}
@@ -28,15 +29,15 @@
 	return err
 }
 
-func (s *script) Read(p []byte) (int, error) {
+func (s *scriptedConn) Read(p []byte) (int, error) {
 	if err := s.next(); err != nil {
 		return 0, &net.OpError{Op: "read", Err: os.NewSyscallError("read", err)}
 	}
 	return copy(p, "data"), nil
 }
 
-func (s *script) Write(p []byte) (int, error) {
-	if err := s.next(); err != nil { // half of it left
+func (s *scriptedConn) Write(p []byte) (int, error) {
+	if err := s.next(); err != nil { // half of p was written
 		s.text = append(s.text, p[:len(p)/2]...)
 		return len(p) / 2, &net.OpError{Op: "write", Err: os.NewSyscallError("write", err)}
 	}
@@ -44,38 +45,38 @@
 	return len(p), nil
 }
 
-// Guards against answers that are lost as a system call on their client's connection fails for a moment.
-func TestCallsThatFailForAMomentAreTriedAgain(t *testing.T) {
-	for _, m := range momentary {
-		s := &script{errs: []error{m, m, nil}}
+// A transient failure of a system call on a client's connection must not lose the answer.
+func TestTransientErrorsAreRetried(t *testing.T) {
+	for _, transient := range transientErrors {
+		s := &scriptedConn{errs: []error{transient, transient, nil}}
 		p := make([]byte, 8)
 		if n, err := (Conn{s}).Read(p); err != nil || string(p[:n]) != "data" {
-			t.Errorf("read, %v: %q, %v", m, p[:n], err)
+			t.Errorf("Read after %v: %q, %v", transient, p[:n], err)
 		}
-		s.errs = []error{m, m, nil}
+		s.errs = []error{transient, transient, nil}
 		if n, err := (Conn{s}).Write([]byte("an answer")); err != nil || n != 9 || string(s.text) != "an answer" {
-			t.Errorf("write, %v: %d, %v, %q", m, n, err, s.text)
+			t.Errorf("Write after %v: %d, %v; %q was written", transient, n, err, s.text)
 		}
 	}
 }
 
-// What ends a connection, or its time, is told at once; a call that goes on failing ends too.
-func TestEndsAreToldAtOnce(t *testing.T) {
+// Errors that end a connection and expired deadlines are returned at once. Retries of a call that keeps failing end too.
+func TestOtherErrorsAreReturnedAtOnce(t *testing.T) {
 	for _, end := range []error{syscall.ECONNRESET, syscall.EPIPE, os.ErrDeadlineExceeded, io.EOF} {
-		s := &script{errs: []error{end}}
+		s := &scriptedConn{errs: []error{end}}
 		if _, err := (Conn{s}).Write([]byte("x")); !errors.Is(err, end) || len(s.text) > 0 {
-			t.Errorf("%v: %v, %q", end, err, s.text)
+			t.Errorf("Write that fails with %v: got %v; %q was written", end, err, s.text)
 		}
 	}
-	s := &script{errs: []error{syscall.ENOBUFS}}
+	s := &scriptedConn{errs: []error{syscall.ENOBUFS}}
 	if _, err := (Conn{s}).Read(make([]byte, 1)); !errors.Is(err, syscall.ENOBUFS) {
 		t.Error(err)
 	}
 }
 
 func TestInnermost(t *testing.T) {
-	s := &script{}
+	s := &scriptedConn{}
 	if Innermost(tls.Server(Conn{s}, nil)) != net.Conn(s) || Innermost(s) != net.Conn(s) {
-		t.Error("another connection")
+		t.Error("Innermost did not return the wrapped connection")
 	}
 }
--- a/internal/state/decay/decay.go
+++ b/internal/state/decay/decay.go
@@ -1,7 +1,7 @@
-// Package decay decides what of a front's earlier knowledge still counts. It reads no clock and does no I/O.
+// Package decay decides which parts of a front's saved learned state are still valid. It reads no clock and does no I/O.
 //
-// Each kind of knowledge fades at its own rate towards what a fresh front assumes, by half in each of its
-// half-lives. What is hours old leaves no trace but the list of nodes.
+// Each value decays towards the assumption of a fresh front, with a half-life of its own. Of a snapshot older than
+// 10 minutes, only the list of nodes is used.
 package decay
 
 import (
@@ -14,44 +14,46 @@
 	"otterturn/scheduler"
 )
 
-// Rates at which knowledge fades.
+// Half-lives and lifetimes of learned values.
 const (
-	// horizon is the age at which nothing is left of what was learned of nodes and projects.
-	horizon = 10 * time.Minute
-	// speedHalf is for latencies, targets and budgets: load on a node changes within minutes.
-	speedHalf = time.Minute
-	// errorHalf is for the share of errors: what fails is mended, or not, within seconds.
-	errorHalf = 10 * time.Second
-	// unitLife is for the time of a unit, which goes with the machine. It is followed by steps that go up slowly, so
-	// one that faded towards 0 would mislead for longer than none.
-	unitLife = 5 * time.Minute
-	// pointLife is a slow interval of the curve: a point older than the curve's length is none.
-	pointLife = 2 * time.Second
-	// leadHalf and leadLife are for a project's lead over the shard's virtual time. A scheduler forgets an idle one
-	// after leadLife.
-	leadHalf = 8 * time.Second
-	leadLife = 32 * time.Second
-	// reserveAhead is how far ahead of now a reservation tag may stand: its second of store.
-	reserveAhead = time.Second
+	// maxAge is the age from which nothing of a snapshot's nodes, volumes and flows is used.
+	maxAge = 10 * time.Minute
+	// loadHalfLife is the half-life of latencies, targets and budgets: the load on a node changes within minutes.
+	loadHalfLife = time.Minute
+	// errorHalfLife is the half-life of the error rate: errors usually stop within seconds, or not at all.
+	errorHalfLife = 10 * time.Second
+	// unitTimeLifetime is the lifetime of the time per unit, which depends on the machine. The estimate rises only slowly, so a
+	// value that has decayed towards 0 would be wrong for longer than no value. So it is kept unchanged for this
+	// time and then dropped.
+	unitTimeLifetime = 5 * time.Minute
+	// curvePointInterval is the time between two points of the curve. For each such interval of the snapshot's age, the oldest
+	// point is dropped.
+	curvePointInterval = 2 * time.Second
+	// leadHalfLife and leadLifetime are the half-life and lifetime of a flow's lead over the virtual time of its shard. The
+	// scheduler forgets the lead of a flow that has been idle for leadLifetime.
+	leadHalfLife = 8 * time.Second
+	leadLifetime = 32 * time.Second
+	// maxReservationLead is the maximum time between now and a reservation tag: a reservation stores up to one second.
+	maxReservationLead = time.Second
 )
 
-// Why a snapshot is set aside.
+// Reasons why Check rejects a snapshot.
 var (
 	ErrFuture   = errors.New("it was saved later than now: the clock was set back")
 	ErrFront    = errors.New("it is another front's")
 	ErrSettings = errors.New("it was learned under other settings")
 )
 
-// Current is what a snapshot is held against.
+// Current describes the running front, with which a snapshot is compared.
 type Current struct {
 	At       scheduler.Micros
 	Front    string
 	Settings uint64
-	Fresh    scheduler.NodeStats // what a fresh front assumes of a node
+	Fresh    scheduler.NodeStats // assumptions of a fresh front about a node
 	Nodes    []snapshot.Node
 }
 
-// Check tells why a snapshot must not be used at all.
+// Check returns an error if a snapshot must not be used at all.
 func Check(s snapshot.Snapshot, now Current) error {
 	switch {
 	case s.Front != now.Front:
@@ -66,20 +68,20 @@
 
 func duration(m scheduler.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Decay returns what still counts. older tells that a later snapshot was written and can't be read: what projects
-// drew since is unknown then, so their limits' stores start empty.
+// Decay returns the parts of a snapshot that are still valid. older means that a later snapshot was written but can't be used:
+// the units that volumes have drawn since are unknown then, so their token buckets start empty.
 func Decay(s snapshot.Snapshot, now Current, older bool) scheduler.Learned {
 	out := scheduler.Learned{At: now.At}
 	age := duration(now.At - s.Saved)
-	if age >= horizon {
+	if age >= maxAge {
 		return out
 	}
-	learned := map[string]snapshot.Node{}
+	nodesByName := map[string]snapshot.Node{}
 	for _, n := range s.Nodes {
-		learned[n.Node] = n
+		nodesByName[n.Node] = n
 	}
 	for _, n := range now.Nodes {
-		if old, ok := learned[n.Node]; ok {
+		if old, ok := nodesByName[n.Node]; ok {
 			out.Nodes = append(out.Nodes, scheduler.LearnedNode{Endpoint: n.Endpoint, NodeStats: decayNode(old, n, now, age)})
 		}
 	}
@@ -88,43 +90,45 @@
 			a.Bucket.Level, a.Bucket.Lease, a.Bucket.BoundUntil = 0, 0, 0
 			a.Bucket.At = now.At
 		}
-		a.ReservationTag = min(a.ReservationTag, float64(now.At+scheduler.Micros(reserveAhead/time.Microsecond)))
+		a.ReservationTag = min(a.ReservationTag, float64(now.At+scheduler.Micros(maxReservationLead/time.Microsecond)))
 		out.Volumes = append(out.Volumes, a)
 	}
 	for _, l := range s.Leads {
-		if since := duration(now.At - l.LastSend); since >= 0 && since < leadLife {
-			l.Units = decay(l.Units, 0, age, leadHalf)
+		if since := duration(now.At - l.LastSend); since >= 0 && since < leadLifetime {
+			l.Units = decay(l.Units, 0, age, leadHalfLife)
 			out.Flows = append(out.Flows, l)
 		}
 	}
 	return out
 }
 
-// decayNode is what is left of a node's habits. One that started anew or moved is not the node that was learned.
+// decayNode returns the decayed statistics of a node. Those of a node that has restarted or has another address are dropped.
 func decayNode(old, listed snapshot.Node, now Current, age time.Duration) scheduler.NodeStats {
 	fresh := now.Fresh
 	if old.StartedAt != listed.StartedAt {
-		return fresh // the list's own start time has it guarded as cold
+		return fresh // the scheduler treats the node as cold because of the start time in the list
 	}
 	if old.Addr != listed.Addr {
 		fresh.SuspectedRestart = now.At
 		return fresh
 	}
-	h := old.NodeStats
-	h.Budget = min(fresh.Budget, decay(h.Budget, fresh.Budget, age, speedHalf))
-	h.Target = decay(h.Target, fresh.Target, age, speedHalf)
-	h.SmoothedLatency, h.PreviousLatency = decay(h.SmoothedLatency, 0, age, speedHalf), decay(h.PreviousLatency, 0, age, speedHalf)
-	h.ErrorRate = decay(h.ErrorRate, 0, age, errorHalf)
-	if age >= unitLife {
-		h.UnitTime = 0
+	stats := old.NodeStats
+	stats.Budget = min(fresh.Budget, decay(stats.Budget, fresh.Budget, age, loadHalfLife))
+	stats.Target = decay(stats.Target, fresh.Target, age, loadHalfLife)
+	stats.SmoothedLatency, stats.PreviousLatency = decay(stats.SmoothedLatency, 0, age, loadHalfLife),
+		decay(stats.PreviousLatency, 0, age, loadHalfLife)
+	stats.ErrorRate = decay(stats.ErrorRate, 0, age, errorHalfLife)
+	if age >= unitTimeLifetime {
+		stats.UnitTime = 0
 	}
-	gone := min(int(age/pointLife), len(h.Curve))
-	h.Curve = h.Curve[gone:]
-	h.LatencyUpdated, h.LastAnswer, h.SuspectedRestart = min(h.LatencyUpdated, now.At), min(h.LastAnswer, now.At), min(h.SuspectedRestart, now.At)
-	return h
+	dropped := min(int(age/curvePointInterval), len(stats.Curve))
+	stats.Curve = stats.Curve[dropped:]
+	stats.LatencyUpdated, stats.LastAnswer, stats.SuspectedRestart = min(stats.LatencyUpdated, now.At),
+		min(stats.LastAnswer, now.At), min(stats.SuspectedRestart, now.At)
+	return stats
 }
 
-// decay moves a value towards a fresh one, by half in each half-life.
-func decay(v, fresh float64, age, life time.Duration) float64 {
-	return fresh + (v-fresh)*math.Exp2(-age.Seconds()/life.Seconds())
+// decay moves a value towards a fresh one; the difference halves in each half-life.
+func decay(v, fresh float64, age, halfLife time.Duration) float64 {
+	return fresh + (v-fresh)*math.Exp2(-age.Seconds()/halfLife.Seconds())
 }
--- a/internal/state/saver/saver.go
+++ b/internal/state/saver/saver.go
@@ -1,5 +1,5 @@
-// Package saver saves what a front learns, now and then and at once where a project's lease runs low, and reads it
-// back at the next start. It decides nothing of what counts: that is package decay's.
+// Package saver saves a front's learned state at regular intervals, and earlier if a volume's lease runs low, and restores it at
+// the next start. Package decay decides which parts of it are still valid.
 package saver
 
 import (
@@ -16,32 +16,33 @@
 	"otterturn/scheduler"
 )
 
-// exportBatch is how many entries are taken from the scheduler at a time, so that a large fleet doesn't make it pause.
+// exportBatch is how many entries are exported from the scheduler at a time, so that a save does not block it for long, even with
+// a large fleet.
 const exportBatch = 50
 
-// Settings are what a keeper is told.
+// Settings configure a Saver.
 type Settings struct {
 	Front       string
-	Interval    time.Duration // between two saves
-	MinInterval time.Duration // and at the least, however low leases run
+	Interval    time.Duration // time between two saves
+	MinInterval time.Duration // minimum time between two saves, even if leases run low
 	Rules       scheduler.Settings
 	Log         *slog.Logger
-	Nodes       func() []snapshot.Node // the list as last told, with addresses
-	Shutdown    time.Duration          // the last save may take so long
+	Nodes       func() []snapshot.Node // returns the current endpoint list, with addresses
+	Shutdown    time.Duration          // timeout of the last save
 }
 
-// Status is what operators are told of the saves.
+// Status reports on the saves, for operators.
 type Status struct {
 	Saves, Failures int64
-	Last            time.Time     // of the last save that went well
-	Took            time.Duration // it
+	Last            time.Time     // time of the last successful save
+	Took            time.Duration // duration of the last successful save; Bytes is its size
 	Bytes           int
-	Error           string // of the last one, empty where it went well
+	Error           string // of the last save, empty if it was successful
 }
 
-// Saver saves one core's knowledge in one folder.
+// Saver saves the learned state of one core in one folder.
 type Saver struct {
-	set          Settings
+	settings     Settings
 	core         *routing.Core
 	store        *store.Store
 	fingerprint  uint64
@@ -52,32 +53,38 @@
 	count  uint64
 }
 
-// New returns a keeper.
-func New(set Settings, core *routing.Core, s *store.Store) *Saver {
-	return &Saver{set: set, core: core, store: s, fingerprint: snapshot.Fingerprint(set.Rules), saveRequests: make(chan chan error)}
+// New returns a Saver. Call Restore, then Run.
+func New(settings Settings, core *routing.Core, s *store.Store) *Saver {
+	return &Saver{
+		settings: settings, core: core, store: s, fingerprint: snapshot.Fingerprint(settings.Rules),
+		saveRequests: make(chan chan error),
+	}
 }
 
-// Restore hands the core what its former self learned, as far as it still counts. The core must not run yet. It
-// returns the nodes of the last snapshot, as a hint.
-func (k *Saver) Restore() []snapshot.Node {
-	now := decay.Current{At: k.core.Now(), Front: k.set.Front, Settings: k.fingerprint, Fresh: k.core.NewNodeStats(), Nodes: k.set.Nodes()}
-	found, notes := k.store.Load(func(s snapshot.Snapshot) error { return decay.Check(s, now) })
+// Restore imports into the core the parts of the last usable snapshot that are still valid. It must be called before the core
+// runs. It returns all nodes of the snapshot, from which the caller can restore the state that operators set.
+func (s *Saver) Restore() []snapshot.Node {
+	now := decay.Current{
+		At: s.core.Now(), Front: s.settings.Front, Settings: s.fingerprint, Fresh: s.core.NewNodeStats(),
+		Nodes: s.settings.Nodes(),
+	}
+	found, notes := s.store.Load(func(snap snapshot.Snapshot) error { return decay.Check(snap, now) })
 	for _, n := range notes {
-		k.set.Log.Warn("snapshot rejected", "why", n)
+		s.settings.Log.Warn("snapshot rejected", "why", n)
 	}
 	if found == nil {
 		return nil
 	}
-	k.count = found.Count + 1
+	s.count = found.Count + 1
 	l := decay.Decay(found.Snapshot, now, found.Older)
-	k.core.ImportLearned(listings(now.Nodes), l)
+	s.core.ImportLearned(endpointList(now.Nodes), l)
 	age := time.Duration(now.At-found.Saved) * time.Microsecond
-	k.set.Log.Info("learned state restored", "snapshot", found.Count, "nodes", len(l.Nodes), "projects", len(l.Volumes),
+	s.settings.Log.Info("learned state restored", "snapshot", found.Count, "nodes", len(l.Nodes), "projects", len(l.Volumes),
 		"age", age.Round(time.Millisecond).String(), "previous", found.Older)
 	return found.Nodes
 }
 
-func listings(nodes []snapshot.Node) scheduler.EndpointsChanged {
+func endpointList(nodes []snapshot.Node) scheduler.EndpointsChanged {
 	out := scheduler.EndpointsChanged{Full: true}
 	for _, n := range nodes {
 		out.Endpoints = append(out.Endpoints, n.Endpoint)
@@ -85,37 +92,37 @@
 	return out
 }
 
-// Run saves until ctx ends. The first save is made at once: until then nothing may be drawn from the limits that
-// were recalled.
-func (k *Saver) Run(ctx context.Context) {
-	var asked chan error
+// Run saves until ctx ends. It makes the first save at once, because nothing may be drawn from restored token buckets before
+// that.
+func (s *Saver) Run(ctx context.Context) {
+	var reply chan error
 	for {
-		soonest, next := time.NewTimer(k.set.MinInterval), time.NewTimer(k.set.Interval)
-		err := k.save(ctx)
-		if asked != nil {
-			asked <- err
-			asked = nil
+		minTimer, intervalTimer := time.NewTimer(s.settings.MinInterval), time.NewTimer(s.settings.Interval)
+		err := s.save(ctx)
+		if reply != nil {
+			reply <- err
+			reply = nil
 		}
 		select {
-		case <-soonest.C:
+		case <-minTimer.C:
 		case <-ctx.Done():
 			return
 		}
 		select {
-		case <-next.C:
-		case <-k.core.SaveRequested():
-		case asked = <-k.saveRequests:
+		case <-intervalTimer.C:
+		case <-s.core.SaveRequested():
+		case reply = <-s.saveRequests:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// Save saves as soon as the pace allows, and tells how that went.
-func (k *Saver) Save(ctx context.Context) error {
+// Save makes Run save as soon as MinInterval allows, and returns the result.
+func (s *Saver) Save(ctx context.Context) error {
 	done := make(chan error, 1)
 	select {
-	case k.saveRequests <- done:
+	case s.saveRequests <- done:
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
@@ -127,11 +134,12 @@
 	}
 }
 
-// Close makes the last save, once the core has ended: nothing is drawn any more, so no lease is needed.
-func (k *Saver) Close() error {
-	ctx, end := context.WithTimeout(context.Background(), k.set.Shutdown)
+// Close makes the last save. It must be called after the core has ended: nothing is drawn any more, so the snapshot includes no
+// leases.
+func (s *Saver) Close() error {
+	ctx, end := context.WithTimeout(context.Background(), s.settings.Shutdown)
 	defer end()
-	snap, err := k.collect(ctx)
+	snap, err := s.collect(ctx)
 	if err != nil {
 		return err
 	}
@@ -139,51 +147,51 @@
 	for i := range snap.Accounts {
 		snap.Accounts[i].Bucket.Lease = 0
 	}
-	_, err = k.store.Save(snap)
+	_, err = s.store.Save(snap)
 	return err
 }
 
-func (k *Saver) save(ctx context.Context) error {
-	began := time.Now()
-	snap, err := k.collect(ctx)
+func (s *Saver) save(ctx context.Context) error {
+	startedAt := time.Now()
+	snap, err := s.collect(ctx)
 	if err != nil {
-		return err // the core has ended, or ctx
+		return err // the core or ctx has ended
 	}
-	r, err := k.store.Save(snap)
-	k.core.StateSaved(scheduler.StateSaved{Readable: r.There, Latest: r.Sure})
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	before := k.status.Error
+	result, err := s.store.Save(snap)
+	s.core.StateSaved(scheduler.StateSaved{Readable: result.Loadable, Latest: result.Durable})
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	previousError := s.status.Error
 	if err != nil {
-		k.status.Failures++
-		k.status.Error = err.Error()
-		if before == "" {
-			k.set.Log.Error("saving learned state failed", "error", err, "next_try_in", k.set.Interval.String())
+		s.status.Failures++
+		s.status.Error = err.Error()
+		if previousError == "" {
+			s.settings.Log.Error("saving learned state failed", "error", err, "next_try_in", s.settings.Interval.String())
 		}
 		return err
 	}
-	k.status.Saves++
-	k.status.Last, k.status.Took, k.status.Bytes, k.status.Error = time.Now(), time.Since(began), r.Bytes, ""
-	if before != "" {
-		k.set.Log.Info("saving learned state recovered")
+	s.status.Saves++
+	s.status.Last, s.status.Took, s.status.Bytes, s.status.Error = time.Now(), time.Since(startedAt), result.Bytes, ""
+	if previousError != "" {
+		s.settings.Log.Info("saving learned state recovered")
 	}
 	return nil
 }
 
-// collect takes what the core knows, part by part.
-func (k *Saver) collect(ctx context.Context) (snapshot.Snapshot, error) {
-	k.mu.Lock()
-	snap := snapshot.Snapshot{Front: k.set.Front, Settings: k.fingerprint, Count: k.count}
-	k.count++
-	k.mu.Unlock()
+// collect exports the core's learned state in parts.
+func (s *Saver) collect(ctx context.Context) (snapshot.Snapshot, error) {
+	s.mu.Lock()
+	snap := snapshot.Snapshot{Front: s.settings.Front, Settings: s.fingerprint, Count: s.count}
+	s.count++
+	s.mu.Unlock()
 	addrs := map[string]string{}
-	for _, n := range k.set.Nodes() {
+	for _, n := range s.settings.Nodes() {
 		addrs[n.Node] = n.Addr
 	}
 	for from := 0; ; {
-		l, next, err := k.core.ExportLearned(ctx, from, exportBatch)
+		l, next, err := s.core.ExportLearned(ctx, from, exportBatch)
 		if err != nil {
-			return snapshot.Snapshot{}, fmt.Errorf("ask what is learned: %w", err)
+			return snapshot.Snapshot{}, fmt.Errorf("export learned state: %w", err)
 		}
 		for _, n := range l.Nodes {
 			snap.Nodes = append(snap.Nodes, snapshot.Node{LearnedNode: n, Addr: addrs[n.Node]})
@@ -197,9 +205,9 @@
 	}
 }
 
-// Status tells how the saves went.
-func (k *Saver) Status() Status {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.status
+// Status returns the results of the saves so far.
+func (s *Saver) Status() Status {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.status
 }
--- a/internal/state/store/save.go
+++ b/internal/state/store/save.go
@@ -11,22 +11,22 @@
 	"otterturn/internal/state/snapshot"
 )
 
-// Result tells how a save ended: whether the snapshot may be read back from now on, and whether no earlier one may.
+// Result is the result of a save: Loadable means that the snapshot may be loaded from now on, Durable that no earlier one can be.
 type Result struct {
-	There, Sure bool
-	Bytes       int
+	Loadable, Durable bool
+	Bytes             int
 }
 
-// Save writes a snapshot. Where it fails, the earlier ones are as they were, unless the result says otherwise.
+// Save writes a snapshot. If it fails, Load still returns the last one, unless the result has Loadable set.
 func (s *Store) Save(snap snapshot.Snapshot) (r Result, err error) {
-	text, err := snapshot.Encode(snap)
+	encoded, err := snapshot.Encode(snap)
 	if err != nil {
 		return r, err
 	}
-	if err := s.present(); err != nil {
+	if err := s.ensureLocked(); err != nil {
 		return r, err
 	}
-	if err := s.fault("create"); err != nil {
+	if err := s.injectFault("create"); err != nil {
 		return r, fmt.Errorf("create: %w", err)
 	}
 	f, err := renameio.NewPendingFile(s.path(currentName), renameio.WithTempDir(s.folder), renameio.WithPermissions(0o600))
@@ -34,8 +34,8 @@
 		return r, fmt.Errorf("create: %w", err)
 	}
 	defer f.Cleanup()
-	for i, part := range [][]byte{text[:len(text)/2], text[len(text)/2:]} {
-		if err := s.fault([]string{"write", "write on"}[i]); err != nil {
+	for i, part := range [][]byte{encoded[:len(encoded)/2], encoded[len(encoded)/2:]} {
+		if err := s.injectFault([]string{"write", "write second half"}[i]); err != nil {
 			return r, fmt.Errorf("write: %w", err)
 		}
 		if _, err := f.Write(part); err != nil {
@@ -45,44 +45,45 @@
 	if err := f.Sync(); err != nil {
 		return r, fmt.Errorf("sync: %w", err)
 	}
-	// Only now does the one before the last go: as short as can be is there one good file under two names.
-	if err := s.keepLast(); err != nil {
-		return r, fmt.Errorf("keep the last snapshot: %w", err)
+	// The previous snapshot is replaced as late as possible, to minimize the time during which both names denote the same
+	// snapshot.
+	if err := s.keepPrevious(); err != nil {
+		return r, fmt.Errorf("keep last snapshot as previous one: %w", err)
 	}
-	if err := s.fault("replace"); err != nil {
+	if err := s.injectFault("replace"); err != nil {
 		return r, fmt.Errorf("sync and replace: %w", err)
 	}
 	if err := f.CloseAtomicallyReplace(); err != nil {
-		// It may fail behind the rename as well, so the new one has to be reckoned with.
-		return Result{There: true}, fmt.Errorf("sync and replace: %w", err)
+		// This may also have failed after the rename, so the new snapshot may be loaded.
+		return Result{Loadable: true}, fmt.Errorf("sync and replace: %w", err)
 	}
 	if err := s.syncFolder(); err != nil {
-		return Result{There: true}, fmt.Errorf("sync the folder: %w", err)
+		return Result{Loadable: true}, fmt.Errorf("sync snapshot folder: %w", err)
 	}
-	return Result{There: true, Sure: true, Bytes: len(text)}, nil
+	return Result{Loadable: true, Durable: true, Bytes: len(encoded)}, nil
 }
 
-// present sees to it that the folder is there and still the one that was locked: where it vanished and came back,
-// its lock is another file, which another process may hold.
-func (s *Store) present() error {
-	held, err := s.lock.Stat()
+// ensureLocked checks that the folder exists and is still the one that was locked. If the folder was replaced, its lock is another
+// file, which another process may hold, so ensureLocked locks it again.
+func (s *Store) ensureLocked() error {
+	heldInfo, err := s.lock.Stat()
 	if err != nil {
-		return fmt.Errorf("the lock: %w", err)
+		return fmt.Errorf("stat held lock: %w", err)
 	}
-	there, err := os.Stat(s.path(lockName))
-	if err == nil && os.SameFile(held, there) {
+	currentInfo, err := os.Stat(s.path(lockName))
+	if err == nil && os.SameFile(heldInfo, currentInfo) {
 		return nil
 	}
 	old := s.lock
-	if err := s.take(); err != nil {
+	if err := s.lockFolder(); err != nil {
 		return err
 	}
 	return old.Close()
 }
 
-// keepLast gives the last snapshot its second name. The first one goes on to name it until the new one takes it.
-func (s *Store) keepLast() error {
-	if err := s.fault("keep"); err != nil {
+// keepPrevious makes the last snapshot the previous one by a second link. The first name stays until the new snapshot replaces it.
+func (s *Store) keepPrevious() error {
+	if err := s.injectFault("keep"); err != nil {
 		return err
 	}
 	if err := os.Remove(s.path(linkName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -90,19 +91,19 @@
 	}
 	err := os.Link(s.path(currentName), s.path(linkName))
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil // the first one
+		return nil // there is no last snapshot yet
 	}
 	if err != nil {
 		return err
 	}
-	if err := s.fault("keep on"); err != nil {
+	if err := s.injectFault("rename link"); err != nil {
 		return err
 	}
 	return os.Rename(s.path(linkName), s.path(previousName))
 }
 
 func (s *Store) syncFolder() error {
-	if err := s.fault("sync"); err != nil {
+	if err := s.injectFault("sync"); err != nil {
 		return err
 	}
 	d, err := os.Open(s.folder)
