--- a/internal/net/transport/answer.go
+++ b/internal/net/transport/answer.go
@@ -16,9 +16,9 @@
 	"otterturn/internal/net/transport/nodes"
 )
 
-// readResponse reads an answer. A connection that breaks may mean that the node died; an answer that is no good, or stops
-// short, means that it lives. A short answer is buffered, as only at its end is it sure that there is one. A long one is passed
-// on as it comes: its body is a streamedResponse.
+// readResponse reads an answer. A broken connection may mean that the node has died; a malformed or truncated answer means
+// that the node is alive. A short answer is buffered, because only its last byte shows that it is complete. A long one is
+// passed on as it arrives: its body is a streamedResponse.
 func (s *Nodes) readResponse(ctx context.Context, c *nodes.Conn[*stream], r *http.Request) (resp *http.Response, body []byte, err error) {
 	resp, err = s.readHead(ctx, c, r)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return resp, body, nil
 }
 
-// readHead reads the head of an answer, past the informational ones ahead of it: one of these taken for the answer would have
-// the next request answered with this one's.
+// readHead reads the head of an answer and skips the informational (1xx) answers before it. If one of those were taken for
+// the answer, the next request on the connection would receive this request's answer.
 func (s *Nodes) readHead(ctx context.Context, c *nodes.Conn[*stream], r *http.Request) (*http.Response, error) {
 	in := c.Session
 	in.limit.N = int64(s.limits.Requests.HeaderBytes)
@@ -48,7 +48,7 @@
 		if err := c.SetReadDeadline(time.Time{}); err != nil {
 			return nil, fmt.Errorf("read: %w", err)
 		}
-		if ctx.Err() != nil { // that may have set a deadline before
+		if ctx.Err() != nil { // the end of ctx may have set a deadline that the call above replaced
 			return nil, ctx.Err()
 		}
 		if _, err := in.Peek(1); err != nil {
@@ -63,24 +63,24 @@
 			return nil, classifyReadError(ctx, "head", err, in)
 		}
 		if resp.StatusCode >= http.StatusOK {
-			in.limit.N = math.MaxInt64 // the body is bounded by what is buffered, or passed on
+			in.limit.N = math.MaxInt64 // the size of the body is limited where it is buffered or streamed
 			return resp, nil
 		}
 	}
-	return nil, fmt.Errorf("%w: no end of informational answers", errMalformedResponse)
+	return nil, fmt.Errorf("%w: too many informational answers", errMalformedResponse)
 }
 
-// responsePiece is how many bytes of a body are read at a time.
+// responsePiece is the number of bytes of a body that are read at a time.
 const responsePiece = 8 << 10
 
-// readBody reads a body to its end. One of a length that was not told, and that is long or slow, becomes a streamedResponse.
+// readBody reads a body to its end. A body of unknown length that is long or slow becomes a streamedResponse.
 func (s *Nodes) readBody(ctx context.Context, c *nodes.Conn[*stream], resp *http.Response) ([]byte, error) {
 	in := c.Session
 	mayStream := resp.ContentLength < 0 && resp.StatusCode == http.StatusOK
 	var buffered bytes.Buffer
 	piece := make([]byte, responsePiece)
 	for {
-		// One that goes on is passed on before its client is late; one that has stopped never comes to an end.
+		// A body that keeps arriving is passed on before its client's time is over; a body that has stopped arriving fails.
 		n, err := readAvailable(ctx, c, resp, piece, time.Now().Add(s.limits.Nodes.BodySilence))
 		buffered.Write(piece[:n])
 		long := int64(buffered.Len()) > s.limits.Requests.BufferedBytes
@@ -99,19 +99,19 @@
 	}
 }
 
-// What is kept apart of the bytes that are buffered of a body in chunks.
+// Parameters for reading the available bytes of a chunked body.
 const (
-	reservedForChunkHeads = 64               // may be heads of chunks
-	chunkEndBytes         = 2                // end a chunk whose next one has not come
-	bufferedReadTimeout   = time.Millisecond // what the kernel has comes at once
+	reservedForChunkHeads = 64               // buffered bytes that are not read at once, as they may be chunk headers
+	chunkEndBytes         = 2                // the CRLF after a chunk, while the next chunk has not arrived
+	bufferedReadTimeout   = time.Millisecond // data in the kernel's buffer is returned at once
 )
 
-// readAvailable reads what has come of a body, waiting until something has. The reader of chunks would wait until it has filled p,
-// and hold back what a node gave of a chunk: two bytes are held back at most.
+// readAvailable reads the available bytes of a body and waits until there are any. The reader of a chunked body would wait
+// until p is full and delay bytes that the node has already sent; this function delays at most two bytes.
 func readAvailable(ctx context.Context, c *nodes.Conn[*stream], resp *http.Response, p []byte, until time.Time) (n int, err error) {
 	in := c.Session
 	wait := func() error {
-		return cmp.Or(c.SetReadDeadline(until), ctx.Err()) // that may have set a deadline before
+		return cmp.Or(c.SetReadDeadline(until), ctx.Err()) // the end of ctx may have set a deadline that this call replaced
 	}
 	if err := wait(); err != nil {
 		return 0, err
@@ -120,7 +120,7 @@
 		return resp.Body.Read(p)
 	}
 	if _, err := in.Peek(1); err != nil {
-		return resp.Body.Read(p[:1]) // which tells whether that was the end
+		return resp.Body.Read(p[:1]) // its error says whether the body has ended
 	}
 	if in.Buffered() <= reservedForChunkHeads {
 		c.SetReadDeadline(time.Now().Add(bufferedReadTimeout))
@@ -140,16 +140,16 @@
 	return n, err
 }
 
-// streamedResponse is the body of an answer that is passed on while it comes. Nothing of it is held but what the kernel
-// takes and one copy buffer: a client that reads slowly slows its node down, and nobody else. It reads from the node
-// for as long as that gives something.
+// streamedResponse is the body of an answer that is passed on while it arrives. It holds no more than the kernel's buffers
+// and one copy buffer, so a client that reads slowly slows down its own node connection and nothing else. It reads from the
+// node as long as data keeps arriving.
 type streamedResponse struct {
-	buffered   []byte         // what had been read already
-	source     *http.Response // as it was read
+	buffered   []byte         // bytes that were already read
+	source     *http.Response // the response as read from the node
 	conn       *nodes.Conn[*stream]
 	limits     limits.Limits
-	bytesLeft  int64 // bytes that it may have yet
-	closeAfter bool  // the node ends the connection behind it
+	bytesLeft  int64 // bytes that the body may still have
+	closeAfter bool  // the node closes the connection after the answer
 	complete   bool
 	release    func(clean bool)
 	onClose    func()
@@ -174,7 +174,7 @@
 	return n, err
 }
 
-// Close gives the connection back, to be kept where the answer was read to its end and nothing came behind.
+// Close releases the connection. It is kept only if the answer was read to its end and no byte followed it.
 func (a *streamedResponse) Close() error {
 	if a.release != nil {
 		a.release(a.complete && !a.closeAfter && a.conn.Session.Buffered() == 0)
@@ -184,7 +184,8 @@
 	return nil
 }
 
-// classifyReadError tells an answer that is no good from a connection that broke within it, and from the end of the wait.
+// classifyReadError returns errMalformedResponse for an answer that is malformed or has stopped arriving, and the read error
+// if the connection broke or ctx ended.
 func classifyReadError(ctx context.Context, part string, err error, in *stream) error {
 	broke := in.source.readErr != nil && !errors.Is(in.source.readErr, os.ErrDeadlineExceeded)
 	if broke || ctx.Err() != nil {
--- a/internal/net/transport/answerwriter.go
+++ b/internal/net/transport/answerwriter.go
@@ -7,18 +7,18 @@
 	"otterturn/internal/lifecycle"
 )
 
-// answerWriter writes one answer. It bounds how long a client may take for each piece of it, and not for the whole of it, and
-// asks as the answer begins whether its connection may bring another request.
+// answerWriter writes one answer. It limits the time that the client may take for each write, not for the whole answer. When
+// the answer begins, it asks the guard whether the connection may carry another request.
 type answerWriter struct {
 	http.ResponseWriter
 	control      *http.ResponseController
 	guard        *lifecycle.Guard
 	writeTimeout time.Duration
-	dueBy        time.Time // by when the answer is owed, zero where none is
+	dueBy        time.Time // deadline of the answer, zero if none is owed
 	begun        bool
 }
 
-// WriteHeader begins the answer. A shutdown that came meanwhile ends the connection behind it.
+// WriteHeader begins the answer. The connection closes after it if a shutdown has begun to close idle connections.
 func (w *answerWriter) WriteHeader(status int) {
 	if !w.begun && status >= http.StatusOK {
 		w.begun = true
@@ -30,7 +30,7 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write writes a piece of the answer.
+// Write begins the answer if necessary and renews the write deadline.
 func (w *answerWriter) Write(p []byte) (int, error) {
 	if !w.begun {
 		w.WriteHeader(http.StatusOK)
@@ -41,5 +41,5 @@
 	return w.ResponseWriter.Write(p)
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap gives http.ResponseController access to the wrapped writer.
 func (w *answerWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/net/transport/arrival.go
+++ b/internal/net/transport/arrival.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	blockedRead  = time.Millisecond      // a read that takes longer waited for its client
-	shortArrival = 50 * time.Millisecond // what waited no longer to be read is not looked into
+	blockedRead  = time.Millisecond      // a longer read has waited for its client
+	shortArrival = 50 * time.Millisecond // shorter waits count as 0
 )
 
-// arrival bounds for how long the last byte of a body has waited in the kernel: while a connection to a node is opened, or the node
-// takes nothing, nothing is read, and the client's time runs all the same.
+// arrival determines an upper bound on the time that the last byte of a body has waited in the kernel. While a connection to
+// a node is being opened, or the node accepts no data, nothing is read, but the client's time runs on.
 type arrival struct {
-	caughtUp time.Time // all that had come by then was read
-	before   time.Time // the same, as of before the last read that brought something
-	chunked  bool      // a read that is not filled does not tell that the kernel has no more
+	caughtUp time.Time // everything that had arrived by this time was read
+	before   time.Time // the last byte that was read arrived after this time
+	chunked  bool      // a read that does not fill its buffer does not show that the kernel's buffer is empty
 }
 
 func newArrival(chunked bool) arrival {
@@ -23,7 +23,7 @@
 	return arrival{caughtUp: now, before: now, chunked: chunked}
 }
 
-// read notes that a read into size bytes, which began at a time, brought n.
+// read records that a read into size bytes, which began at the given time, returned n bytes.
 func (a *arrival) read(began time.Time, n, size int) {
 	if n == 0 {
 		return
@@ -39,7 +39,7 @@
 	}
 }
 
-// waited tells for how long the last byte may have waited by now.
+// waited returns an upper bound on the time that the last byte had to wait, 0 if that is short.
 func (a *arrival) waited(c net.Conn) time.Duration {
 	most := time.Since(a.before)
 	if most < shortArrival {
--- a/internal/net/transport/body.go
+++ b/internal/net/transport/body.go
@@ -12,11 +12,11 @@
 	"otterturn/internal/net/protocol"
 )
 
-// errUploadFailed tells that a long request did not get to a node but for its end: it never ran.
-var errUploadFailed = errors.New("the request could not be passed on")
+// errUploadFailed says that the part of a long request before its end could not be sent to a node, so the request never ran.
+var errUploadFailed = errors.New("request could not be sent to a node")
 
-// readRequest reads a request, or tells with which status it is rejected. A short body is buffered, and the request may be
-// retried. A long body goes to its node as it comes, but for its end.
+// readRequest reads a request, or returns the status with which to reject it. A short body is buffered, so the request may
+// be retried. A long body is sent to its node as it arrives, except for its end.
 func (f *Front) readRequest(w http.ResponseWriter, r *http.Request, set protocol.Settings) (m inboundRequest, status int, err error) {
 	conn := connOf(r.Context())
 	if status, err := checkFraming(w, r, conn); err != nil {
@@ -37,7 +37,7 @@
 	came := newArrival(r.ContentLength < 0)
 	next := f.bodyReader(r, conn, control, &came)
 	m.Body, err = f.bufferBody(r.ContentLength, next)
-	if err == nil { // there is more
+	if err == nil { // the body is longer than what is buffered
 		err = f.streamBody(r, &m, next)
 	}
 	switch {
@@ -46,7 +46,7 @@
 		m.TimeLeft -= toMicros(came.waited(conn.raw))
 	case errors.Is(err, errUploadFailed):
 		return m, 0, err
-	case f.guard.Permits(lifecycle.EndIncomplete): // its connection was woken to end
+	case f.guard.Permits(lifecycle.EndIncomplete): // the read was interrupted to close the connection
 		return m, 0, errUploadFailed
 	case errors.Is(err, errBodyTooLong):
 		return m, http.StatusRequestEntityTooLarge, errBodyTooLong
@@ -55,14 +55,15 @@
 	default:
 		return m, http.StatusBadRequest, errors.New("the body did not come whole")
 	}
-	// net/http notices that a client leaves only once the body has been read, and without a deadline.
+	// net/http notices that a client has left only after the body was read, and only without a read deadline.
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
 		return m, http.StatusInternalServerError, err
 	}
 	return m, 0, nil
 }
 
-// checkFraming rejects a request whose body may end in two places. Behind one whose end can't be told the connection ends.
+// checkFraming rejects a request whose body may end in two places. The connection closes after any other request whose end
+// can't be determined here: one with Transfer-Encoding or of HTTP/1.0.
 func checkFraming(w http.ResponseWriter, r *http.Request, conn *clientConn) (status int, err error) {
 	if len(r.TransferEncoding) == 0 && r.ProtoAtLeast(1, 1) {
 		return 0, nil
@@ -74,7 +75,8 @@
 	return 0, nil
 }
 
-// bodyReader returns a function that reads the next piece of a body, within the bounds on its length and its silence.
+// bodyReader returns a function that reads the next part of a body, within the limits on its length and on the time without
+// data.
 func (f *Front) bodyReader(r *http.Request, conn *clientConn, control *http.ResponseController, came *arrival) func(p []byte) (int, error) {
 	left := f.limits.Requests.StreamedBytes
 	return func(p []byte) (int, error) {
@@ -93,8 +95,8 @@
 	}
 }
 
-// bufferBody reads a body to its end, which is io.EOF, or until it is longer by a byte than what is buffered. length is what
-// the head tells of it, below 0 for nothing.
+// bufferBody reads a body to its end, which it reports as io.EOF, or until it is one byte longer than what is buffered.
+// length is the Content-Length, negative if unknown.
 func (f *Front) bufferBody(length int64, next func(p []byte) (int, error)) (body []byte, err error) {
 	const firstBuffer = 512
 	longest := f.limits.Requests.BufferedBytes + 1
@@ -104,14 +106,15 @@
 		var got int
 		got, err = next(buffer[n:])
 		n += got
-		if n == len(buffer) && int64(n) < longest { // of a length that was not told
+		if n == len(buffer) && int64(n) < longest { // the length is unknown
 			buffer = append(buffer, make([]byte, min(int64(n), longest-int64(n)))...)
 		}
 	}
 	return buffer[:n], err
 }
 
-// streamBody has a long request go to its node as it comes. Where no node can have it the rest is read.
+// streamBody sends a long request to its node as it arrives. If no node can take it, the rest of the body is read and
+// discarded.
 func (f *Front) streamBody(r *http.Request, m *inboundRequest, next func(p []byte) (int, error)) error {
 	err := f.next.upload(r, m, next)
 	if client := (clientError{}); err != nil && !errors.As(err, &client) {
@@ -120,7 +123,8 @@
 	return err
 }
 
-// discardBody reads what comes yet of a body that no node can have: an answer ahead of its end would be lost with the connection.
+// discardBody reads the rest of a body that no node can take: an answer sent before the end of the body would be lost with
+// the connection.
 func (f *Front) discardBody(next func([]byte) (int, error), cause error) error {
 	piece := buffers.Get()
 	defer buffers.Put(piece)
--- a/internal/net/transport/clients.go
+++ b/internal/net/transport/clients.go
@@ -10,32 +10,32 @@
 	"otterturn/internal/limits"
 )
 
-// clientConns are the connections that are open.
+// clientConns holds the open client connections.
 type clientConns struct {
 	limits   limits.Limits
 	guard    *lifecycle.Guard
 	mu       sync.Mutex
 	conns    map[*clientConn]struct{}
-	arriving int                  // connections that were accepted and are not among them yet
-	closing  int                  // of them are to end, or ending
-	handOff  func(net.Conn) error // takes connections that stand idle, nil while they are kept
-	changed  chan struct{}        // holds one: a connection has ended or stands idle
+	arriving int                  // accepted connections that are not in conns yet
+	closing  int                  // connections in conns that are to be closed or are being closed
+	handOff  func(net.Conn) error // takes over idle connections, nil while they are kept
+	changed  chan struct{}        // has a buffer of one: a connection was closed or became idle
 }
 
 func newClientConns(l limits.Limits, guard *lifecycle.Guard) *clientConns {
 	return &clientConns{limits: l, guard: guard, conns: map[*clientConn]struct{}{}, changed: make(chan struct{}, 1)}
 }
 
-// announce counts a connection that was accepted, until it is added.
+// announce changes the number of accepted connections that are not added yet.
 func (s *clientConns) announce(by int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.arriving += by
 }
 
-// add takes a connection in. Past KeptConns, the one that has stood longest without a request is closed
-// for it: clients that ask once and stay, or connect and say nothing, would keep those out that ask, and clients
-// that may have only so many connections would find them all used up. Past Conns and the spare ones it waits.
+// add adds a connection. If KeptConns are open, the one that has gone longest without a request is closed. Otherwise clients
+// that send one request and stay, or connect and send nothing, would keep active clients out, and clients with a limited
+// number of connections would find them all in use. If Conns and SpareConns are open, add waits.
 func (s *clientConns) add(c *clientConn) {
 	for !s.tryAdd(c) {
 		select {
@@ -60,8 +60,8 @@
 	return true
 }
 
-// markClosing counts a connection among those that are to end: one that stands idle does once it is woken, unless something
-// comes ahead of that. The lock is held.
+// markClosing marks a connection as one to close. An idle one closes when its read is interrupted, unless data arrives
+// first. The caller holds the lock.
 func (s *clientConns) markClosing(c *clientConn) {
 	if !c.markedClosing {
 		c.markedClosing = true
@@ -69,16 +69,17 @@
 	}
 }
 
-// shouldEnd tells whether a connection has nothing to read and is to end, or to be passed on. Its reader alone asks, so all that
-// was read is known to its framing: a request that came in this moment is either unread here, or complete.
+// shouldEnd reports whether a connection has nothing to read and is to be closed or handed over. Only the connection's
+// reader calls it, so all data read so far has passed through framing: a request that arrives at this moment is either
+// unread here or complete.
 func (s *clientConns) shouldEnd(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c.stage == reading && c.markedClosing && !c.framing.complete() && !c.hasUnreadInput() {
-		return true // its request is not complete, and no answer is owed
+		return true // the request is incomplete, so no answer is owed
 	}
 	if c.stage == idle && !c.hasInput.Load() {
-		if s.handOff != nil { // what the kernel holds is passed on with it
+		if s.handOff != nil { // unread data in the kernel is handed over with it
 			c.handOff = s.handOff
 			return true
 		}
@@ -90,7 +91,7 @@
 	return false
 }
 
-// unmarkClosing takes back that a connection is to end. The lock is held.
+// unmarkClosing removes the mark of a connection to close. The caller holds the lock.
 func (s *clientConns) unmarkClosing(c *clientConn) {
 	if c.markedClosing {
 		c.markedClosing = false
@@ -98,7 +99,7 @@
 	}
 }
 
-// beginEnding marks that nothing more is read from a connection, and tells who takes it on, if anybody.
+// beginEnding marks that nothing more is read from a connection, and returns the function that takes it over, or nil.
 func (s *clientConns) beginEnding(c *clientConn) (pass func(net.Conn) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +110,7 @@
 	return c.handOff
 }
 
-// closeNow closes a connection at once. The lock is held. net/http then finds it closed.
+// closeNow closes a connection at once; net/http then finds it closed. The caller holds the lock.
 func (s *clientConns) closeNow(c *clientConn) {
 	s.unmarkClosing(c)
 	delete(s.conns, c)
@@ -131,7 +132,7 @@
 	}
 }
 
-// trackState follows net/http's word on a connection.
+// trackState is called by net/http when the state of a connection changes.
 func (s *clientConns) trackState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok {
@@ -152,15 +153,15 @@
 	}
 }
 
-// bodyProgressed notes that a body comes: its connection is not among those that have stopped.
+// bodyProgressed records that body data arrived, so that the connection doesn't count as inactive.
 func (s *clientConns) bodyProgressed(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.stageSince = time.Now()
 }
 
-// markBusy marks that a request has come whole: its connection is left alone until it is answered. It is false where the
-// connection was closed in that moment.
+// markBusy marks that a request has arrived completely: its connection stays open until it is answered. It returns false if
+// the connection was closed meanwhile.
 func (s *clientConns) markBusy(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,15 +171,16 @@
 	return open
 }
 
-// count tells how many connections are open.
+// count returns the number of open connections.
 func (s *clientConns) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) + s.arriving
 }
 
-// endIdle ends what has carried no request for a while, and tells how many connections are there yet. One that a
-// request is crossing is left alone; a client that finds a connection closed between requests opens another.
+// endIdle closes the connections that have been idle since before the given time, and returns how many connections are left.
+// A connection on which a request is just arriving is kept. A client that finds its connection closed between requests opens
+// another.
 func (s *clientConns) endIdle(since time.Time) (left int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,8 +193,8 @@
 	return len(s.conns) + s.arriving
 }
 
-// endIncomplete ends the connections whose request has not come whole: no answer could be given to it any more. Its reader looks
-// once more whether the rest of it has come.
+// endIncomplete closes the connections whose request has not arrived completely, since it could no longer be answered. The
+// reader of each checks once more whether the rest has arrived.
 func (s *clientConns) endIncomplete() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,8 +206,8 @@
 	}
 }
 
-// handOffIdle has connections that stand idle, now and later, taken by pass; nil keeps them again. One on which something
-// has come is served first.
+// handOffIdle has pass take over the connections that are idle now or become idle later; nil stops that. A connection on
+// which data has arrived is served first.
 func (s *clientConns) handOffIdle(pass func(net.Conn) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/net/transport/conn.go
+++ b/internal/net/transport/conn.go
@@ -13,61 +13,61 @@
 	"otterturn/internal/lifecycle"
 )
 
-// clientConn is a client's connection. What stands after clients is guarded by that one's lock. Its reads are those of
-// one goroutine, which alone may end it while it stands idle: whoever wants that wakes it. Were the connection closed
-// beside a read, a request that came in that moment would be read, sent on, and its answer be lost.
+// clientConn is a client's connection. The fields from clients on are guarded by the lock of clients. Only the goroutine
+// that reads from an idle connection may close it; other goroutines interrupt its read. If the connection were closed during
+// a read, a request that arrived at that moment would be read and sent to a node, and its answer would be lost.
 type clientConn struct {
 	net.Conn
-	raw      net.Conn    // under TLS, if that is spoken
-	hasInput atomic.Bool // something was read since it last stood idle
-	answered atomic.Bool // an answer, or some of it
-	owing    atomic.Bool // a request came whole, and nothing of its answer is written
-	gone     atomic.Bool // the client has ended its sending, or the connection broke
+	raw      net.Conn    // the connection below TLS, if TLS is used
+	hasInput atomic.Bool // data was read since the connection was last idle
+	answered atomic.Bool // at least a part of an answer was written
+	owing    atomic.Bool // a request has arrived completely and no byte of its answer was written
+	gone     atomic.Bool // the client has closed its sending side, or the connection broke
 	closing  atomic.Bool
 
-	acceptDelay time.Duration // for which the first request may have waited to be read, as accepting failed
+	acceptDelay time.Duration // time that the first request may have waited to be read because accepting failed
 
-	framing   framing   // of the goroutine that reads, as are
-	headSince time.Time // when the head that comes began
-	readAhead []byte    // what came behind a request that is owed its answer
-	flooded   bool      // more came than that may hold: it was dropped, and the connection ends behind the answer
+	framing   framing   // used by the reading goroutine, like the next three fields
+	headSince time.Time // when the current head began to arrive
+	readAhead []byte    // data that arrived after a request that awaits its answer
+	flooded   bool      // readAhead overflowed: the excess was dropped, and the connection closes after the answer
 
-	reads struct { // when a read is to end
+	reads struct { // the read deadline
 		sync.Mutex
-		deadline time.Time // as net/http wants it
-		woken    bool      // the read was ended for the front's own sake
+		deadline time.Time // as set by net/http
+		woken    bool      // the read was interrupted by the front itself
 	}
 
 	clients       *clientConns
 	stage         stage
-	stageSince    time.Time // in its stage; while the first request comes, since the connection was accepted
-	served        bool      // a request is over
-	sentRequest   bool      // one for the core has come
-	markedClosing bool      // it is to end, if nothing has come
+	stageSince    time.Time // start of the stage; while the first request arrives, time of accepting
+	served        bool      // at least one request is finished
+	sentRequest   bool      // at least one request for the core has arrived
+	markedClosing bool      // to be closed unless data has arrived
 	handOff       func(net.Conn) error
 }
 
-// stage is what a connection is about.
+// stage is the state of a connection.
 type stage int
 
 const (
 	idle    stage = iota // no request has begun
-	reading              // one has, and has not come whole
-	busy                 // one is owed an answer
-	ending               // nothing more is read: the client reads the last answer
+	reading              // a request has begun to arrive and is incomplete
+	busy                 // a complete request awaits its answer
+	ending               // nothing more is read; the client reads the last answer
 )
 
-// Read gives net/http what comes. While a request is owed its answer net/http looks for one byte more, to learn whether
-// the client has left, and would learn it no more behind that byte: so what comes then is kept here, up to a bound, and
-// net/http hears of the end alone.
+// Read returns the received data to net/http. While a request awaits its answer, net/http tries to read one more byte to
+// detect that the client has left, and could not detect it after receiving that byte. So data that arrives meanwhile is kept
+// in readAhead, up to a limit, and net/http sees only the end of the connection.
 func (c *clientConn) Read(p []byte) (int, error) {
 	for {
 		if c.clients.shouldEnd(c) {
-			return 0, io.EOF // to net/http the client has gone; Close ends it, or passes it on
+			return 0, io.EOF // net/http takes the client for gone; Close closes the connection or hands it over
 		}
 		owed := c.framing.complete()
 		switch {
-		case owed && len(c.readAhead) > 0: // one byte at a time would take long
+		case owed && len(c.readAhead) > 0: // reading single bytes would be slow
 			piece := buffers.Get()
 			n, err := c.Conn.Read(piece)
 			c.noteEnd(err)
@@ -87,7 +87,7 @@
 		c.boundHead()
 		n, err := c.Conn.Read(p)
 		c.noteEnd(err)
-		if n > 0 && c.framing.complete() { // it may have come whole by now
+		if n > 0 && c.framing.complete() { // the handler may have read the whole request meanwhile
 			c.bufferAhead(p[:n])
 			continue
 		}
@@ -102,8 +102,8 @@
 	}
 }
 
-// boundHead has a head that has begun end in time. On a connection that rested net/http waits for its first four bytes as long as
-// for a request.
+// boundHead limits the time for a head that has begun to arrive. On a connection that was idle, net/http waits for the first
+// four bytes as long as for a new request.
 func (c *clientConn) boundHead() {
 	if c.headSince.IsZero() || !c.framing.inHead() {
 		return
@@ -117,8 +117,8 @@
 	}
 }
 
-// consume notes what net/http is given, and tells how much of it is of the request that comes: what is behind it would stand
-// in net/http's buffer, unseen from here.
+// consume records data that net/http receives, and returns how many of its bytes belong to the current request. Any further
+// bytes would be in net/http's buffer, invisible to this type.
 func (c *clientConn) consume(p []byte) (own int) {
 	if !c.hasInput.Swap(true) {
 		c.headSince = time.Now()
@@ -126,7 +126,7 @@
 	return c.framing.consume(p)
 }
 
-// noteEnd notes a read that ended the connection, rather than one that was woken or ran out of time.
+// noteEnd records an error that ended the connection, as opposed to an interrupted or timed out read.
 func (c *clientConn) noteEnd(err error) {
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		c.gone.Store(true)
@@ -139,14 +139,14 @@
 	return c.Conn.Write(p)
 }
 
-// takeAcceptDelay tells for how long a request may have waited to be read, and nothing for those behind the first.
+// takeAcceptDelay returns how long a request may have waited to be read, 0 for all requests after the first.
 func (c *clientConn) takeAcceptDelay() time.Duration {
 	delay := c.acceptDelay
 	c.acceptDelay = 0
 	return delay
 }
 
-// SetReadDeadline is net/http's.
+// SetReadDeadline is called by net/http.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.reads.Lock()
 	defer c.reads.Unlock()
@@ -154,7 +154,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// interruptRead has the read that is under way, or the next one, look whether the connection is to end.
+// interruptRead makes the current read, or the next one, check whether the connection is to be closed.
 func (c *clientConn) interruptRead() {
 	c.reads.Lock()
 	defer c.reads.Unlock()
@@ -162,7 +162,8 @@
 	c.raw.SetReadDeadline(time.Unix(1, 0))
 }
 
-// resumeRead tells whether a read that ended so was woken alone, or not ended at all. What net/http had set holds again.
+// resumeRead reports whether reading goes on: the read had no error, or was only interrupted. It restores the deadline of
+// net/http.
 func (c *clientConn) resumeRead(err error) bool {
 	if err == nil {
 		return true
@@ -174,11 +175,11 @@
 	return woken && errors.Is(err, os.ErrDeadlineExceeded) && c.Conn.SetReadDeadline(c.reads.deadline) == nil
 }
 
-// floodPause holds back who floods: a piece in so long, 32 MB a second.
+// floodPause slows down a client whose data is dropped: one buffer of 32 KiB per pause, 32 MB per second.
 const floodPause = time.Millisecond
 
-// bufferAhead keeps what came ahead, and what comes with it. Of a flood the rest is dropped piece by piece, so that the end
-// behind it is met.
+// bufferAhead keeps data that arrives before the current answer is written. Beyond the limit the data is dropped buffer by
+// buffer, so that the end of the connection after it is seen.
 func (c *clientConn) bufferAhead(p []byte) {
 	if len(p) == 0 {
 		return
@@ -190,13 +191,13 @@
 	c.readAhead = append(c.readAhead, p[:min(len(p), max(room, 0))]...)
 }
 
-// Close ends the connection. A client that was answered is let read that to its end: a close over bytes that were not
-// read resets a connection, and takes along what is under way.
+// Close closes the connection. A client that was sent an answer may read it to its end first: closing a socket with unread
+// bytes resets the connection and discards the answer in transit.
 func (c *clientConn) Close() error {
 	if c.owing.Load() && !c.gone.Load() && !c.hungUp() {
-		c.clients.guard.Violated(lifecycle.EndIdle, "closed with a request unanswered")
+		c.clients.guard.Violated(lifecycle.EndIdle, "connection closed with a request unanswered")
 	}
-	if c.closing.Swap(true) { // the front ends, or wants the room
+	if c.closing.Swap(true) { // closed a second time: the front stops, or needs the slot
 		return c.Conn.Close()
 	}
 	pass := c.clients.beginEnding(c)
@@ -210,10 +211,10 @@
 	return err
 }
 
-// hasPendingInput tells whether something has come that may be a request: read, or still in the kernel.
+// hasPendingInput reports whether data that may be a request has arrived, read or still in the kernel.
 func (c *clientConn) hasPendingInput() bool { return c.hasUnreadInput() || c.hasInput.Load() }
 
-// hasUnreadInput reports whether the kernel holds bytes that were not read, or the client has ended the connection.
+// hasUnreadInput reports whether the kernel holds unread bytes or the client has closed the connection.
 func (c *clientConn) hasUnreadInput() bool { return !isIdle(c.raw) }
 
 type connKey struct{}
--- a/internal/net/transport/discovery.go
+++ b/internal/net/transport/discovery.go
@@ -15,18 +15,19 @@
 	"otterturn/scheduler"
 )
 
-// FullList in the place of a version has a watch begin with the whole list.
+// FullList as the version makes a watch begin with the whole list.
 const FullList = -1
 
-// Watch follows discovery until ctx ends, from version seq on, and hands each list to apply, none once ctx has
-// ended. What can't be read is logged, once for each text, and leaves things as they are. Fronts that share discovery
-// begin at times of their own: until then a front serves from the list that it was started with.
+// Watch follows discovery from version seq on until ctx ends, and calls apply with each list, never after ctx has ended. An
+// answer that can't be read is logged, unless the same text was logged last, and leaves the endpoint list unchanged. Fronts
+// that share discovery begin after different delays; until then a front serves from the list that it was started with.
 //
-// A watch that ended, or is silent past its time, is opened anew by a call that is not held: only its answer shows that
-// somebody is there. What went lost with the watch is newer than seq, and so comes with it. A list that is older than what
-// is known takes nothing back; discovery may have begun anew, so the whole list is asked for, and that holds.
+// A watch that failed, or was silent for too long, is reopened by a call that discovery does not hold, because only an
+// answer shows that discovery is available. Changes that were lost with the watch are newer than seq, so the answer contains
+// them. A list with a version below seq is not applied. Discovery may have been restarted, so the whole list is requested
+// next, and that one is applied.
 //
-// now is the front's clock, by which no node has started later: it follows no step of the system's.
+// now is the front's clock, which does not follow steps of the system clock; no node has started later than it says.
 func Watch(ctx context.Context, addr string, seq int64, zones []string, l limits.Limits, seed int64,
 	now func() scheduler.Micros, apply func(protocol.List), log *slog.Logger,
 ) {
@@ -49,25 +50,25 @@
 		list, err := fetch(ctx, client, addr, seq, hold, zones, l, now)
 		switch {
 		case ctx.Err() != nil:
-			return // another watch may have begun: a late answer must not take back what that one tells
+			return // another watch may have begun: a late answer must not undo its changes
 		case err != nil:
 			warn("discovery unreadable, endpoint list unchanged", err.Error())
 			hold = 0
 			sleep(ctx, calls.Next())
 			continue
 		case list.Seq < seq:
-			warn("discovery went back, endpoint list unchanged", fmt.Sprintf("%d behind %d", list.Seq, seq))
+			warn("discovery went back, endpoint list unchanged", fmt.Sprintf("version %d is older than %d", list.Seq, seq))
 			seq = FullList
 			sleep(ctx, l.Discovery.RetryMin)
 			continue
 		case len(list.Odd) > 0:
-			warn("invalid endpoints ignored", fmt.Sprintf("%d, of %s first", len(list.Odd), list.Odd[0]))
+			warn("invalid endpoints ignored", fmt.Sprintf("%d entries, the first for %s", len(list.Odd), list.Odd[0]))
 		default:
 			said = ""
 		}
 		calls.Reset()
-		// An agent that does not hold an empty answer would be asked without end. The next call is due within 200 ms
-		// of an answer, or the watch would have to begin anew.
+		// An agent that does not hold an empty answer would otherwise be called without a pause. The next call must come
+		// within 200 ms of an answer, or the watch would have to be started again.
 		again := hold == 0 || len(list.Hosts) > 0 || time.Since(began) > l.Discovery.RetryMin
 		seq, hold = list.Seq, l.Discovery.WatchHold
 		apply(list)
@@ -77,7 +78,7 @@
 	}
 }
 
-// sleep waits for a while, or for the end of ctx.
+// sleep waits for a duration or until ctx ends.
 func sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -85,10 +86,10 @@
 	}
 }
 
-// clockSlack is how far ahead of this machine's clock a node's may be.
+// clockSlack is how far a node's clock may be ahead of this machine's.
 const clockSlack = time.Minute
 
-// fetch asks for what is newer than a version, or for all. Discovery may hold the answer for a while.
+// fetch requests the changes since a version, or the whole list. Discovery may hold the answer for up to hold.
 func fetch(ctx context.Context, client *http.Client, addr string, seq int64, hold time.Duration, zones []string,
 	l limits.Limits, now func() scheduler.Micros,
 ) (protocol.List, error) {
@@ -112,7 +113,7 @@
 	case err != nil:
 		return protocol.List{}, err
 	case resp.StatusCode != http.StatusOK || int64(len(text)) > l.Discovery.ListBytes:
-		return protocol.List{}, fmt.Errorf("status %d, %d bytes, %d may be read", resp.StatusCode, len(text), l.Discovery.ListBytes)
+		return protocol.List{}, fmt.Errorf("answer with status %d and %d bytes, want status 200 and at most %d bytes", resp.StatusCode, len(text), l.Discovery.ListBytes)
 	}
 	return protocol.ParseList(text, zones, now()+toMicros(clockSlack))
 }
--- a/internal/net/transport/evict.go
+++ b/internal/net/transport/evict.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// closeLongestIdle closes the connection that has been longest without a whole request, if it has had time to send
-// one. Those that never brought one for the core go first: in a flood of others, clients would lose the connections
-// that they use now and then. The lock is held.
+// closeLongestIdle closes the connection that has gone longest without a complete request, if it has had time to send one.
+// Connections that never carried a request for the core go first: in a flood of them, clients would otherwise lose
+// connections that they use occasionally. The caller holds the lock.
 func (s *clientConns) closeLongestIdle(now time.Time) {
 	var longest *clientConn
 	for c := range s.conns {
@@ -25,8 +25,9 @@
 	}
 }
 
-// closeDrained makes room at once: it closes a connection whose client has had its last answer written and may be reading it
-// yet. A connection with unread bytes is left, as closing it would reset it and take that answer along. The lock is held.
+// closeDrained frees a slot at once: it closes a connection whose last answer was written, though the client may still be
+// reading it. A connection with unread bytes is kept, as closing it would reset it and discard that answer. The caller holds
+// the lock.
 func (s *clientConns) closeDrained() bool {
 	for c := range s.conns {
 		if c.stage == ending && !c.hasUnreadInput() {
--- a/internal/net/transport/exchange.go
+++ b/internal/net/transport/exchange.go
@@ -1,5 +1,5 @@
-// Package transport holds the platform's sockets: the listener for clients, the exchanges with nodes, the watch
-// on discovery and the probes.
+// Package transport contains the network connections of a front: the listener for clients, the exchanges with nodes, the
+// discovery watch, the messages between fronts and the health checks.
 package transport
 
 import (
@@ -22,29 +22,29 @@
 	"otterturn/scheduler"
 )
 
-// errBodyTooLong tells that a message's body passes its bound.
+// errBodyTooLong says that the body of a message exceeds its limit.
 var errBodyTooLong = errors.New("the body is too long")
 
-// errMalformedResponse tells that a node answered with what can't be read, or not to its end. The request may have run, and
-// the node lives.
-var errMalformedResponse = errors.New("the answer is spoilt")
+// errMalformedResponse says that a node's answer can't be parsed or is incomplete. The request may have run, and the node is
+// alive.
+var errMalformedResponse = errors.New("malformed answer")
 
-// Nodes are the nodes with HTTP connections to each.
+// Nodes holds the HTTP connections to the nodes.
 type Nodes struct {
 	*nodes.Pool[*stream]
 	limits          limits.Limits
-	attemptsWritten atomic.Int64 // attempts of requests that were written whole
+	attemptsWritten atomic.Int64 // attempts whose request was written completely
 }
 
-// stream reads answers from a connection, each within a number of bytes.
+// stream reads answers from a connection, with a limit on the bytes of each.
 type stream struct {
 	*bufio.Reader
 	limit       io.LimitedReader
 	source      *source
-	firstByteAt time.Time // when the last answer began to come
+	firstByteAt time.Time // when the last answer began to arrive
 }
 
-// source is a connection that keeps how the last read of it ended.
+// source is a connection that records the error of its last read.
 type source struct {
 	net.Conn
 	readErr error
@@ -62,7 +62,7 @@
 	return s
 }
 
-// NewNodes returns an empty list.
+// NewNodes returns a pool without nodes.
 func NewNodes(l limits.Limits) *Nodes {
 	return &Nodes{limits: l, Pool: nodes.New(l, nodes.Session[*stream]{
 		Open:  func(c net.Conn) (*stream, error) { return newStream(c), nil },
@@ -70,11 +70,11 @@
 	})}
 }
 
-// Attempts tells how many attempts of requests were written whole.
+// Attempts returns the number of attempts whose request was written completely.
 func (s *Nodes) Attempts() int64 { return s.attemptsWritten.Load() }
 
-// isIdle tells whether a connection is open with nothing to read. An idle one that ended, or on which something
-// came unasked, must not carry a request.
+// isIdle reports whether a connection is open with nothing to read. A kept connection that was closed, or on which data
+// arrived without a request, must not carry a request.
 func isIdle(c net.Conn) bool {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -89,8 +89,8 @@
 	return err == nil && open
 }
 
-// attempt sends a request to a node once and tells how that ended. Where the connection breaks before the last
-// byte is written the request never ran, and it is written again to another: the node may just have closed it.
+// attempt sends a request to a node once and returns the result. If the connection breaks before the last byte is written,
+// the request never ran and is written to another connection: the node may just have closed an idle one.
 func (s *Nodes) attempt(ctx context.Context, a routing.Attempt, r *http.Request) (*http.Response, scheduler.AttemptEnded) {
 	for tries := 1; ; tries++ {
 		resp, out, written := s.attemptOnce(ctx, a, r)
@@ -100,13 +100,13 @@
 	}
 }
 
-// encodeForNow encodes a request with the time that its client has left now: a connection may take long to come up, and a
-// node that was told the time from before would work for longer than anybody waits.
+// encodeForNow encodes a request with the time that its client has left now. Opening a connection may take long, and a node
+// that is told an earlier value would work for longer than the client waits.
 func encodeForNow(ctx context.Context, r *http.Request) ([]byte, error) {
 	if deadline, ok := ctx.Deadline(); ok {
 		protocol.SetLeft(r.Header, time.Until(deadline))
 	}
-	if r.GetBody != nil { // an earlier connection may have taken it
+	if r.GetBody != nil { // an earlier connection may have consumed the body
 		body, err := r.GetBody()
 		if err != nil {
 			return nil, fmt.Errorf("encode: %w", err)
@@ -124,7 +124,7 @@
 	return message.Bytes(), nil
 }
 
-// attemptOnce makes an attempt on one connection. written is false only where another connection may do better.
+// attemptOnce makes an attempt on one connection. written is false only if another connection may succeed.
 func (s *Nodes) attemptOnce(ctx context.Context, a routing.Attempt, r *http.Request) (resp *http.Response, out scheduler.AttemptEnded, written bool) {
 	c, err := s.Acquire(a.MayBegin, a.Node, nodes.Running)
 	switch {
@@ -147,7 +147,7 @@
 	return s.completeAttempt(ctx, a, c, r, message)
 }
 
-// completeAttempt writes the last bytes of a request and tells what came of it.
+// completeAttempt writes the last bytes of a request and returns the result of the attempt.
 func (s *Nodes) completeAttempt(ctx context.Context, a routing.Attempt, c *nodes.Conn[*stream], r *http.Request, message []byte) (resp *http.Response, out scheduler.AttemptEnded, written bool) {
 	began := time.Now()
 	resp, first, written, err := s.exchange(ctx, c, r, message, a.Written)
@@ -156,7 +156,7 @@
 	}
 	switch {
 	case errors.Is(err, errMalformedResponse):
-		// As with an error of the node's own, its latency is what came before the answer.
+		// As for an error reported by the node, the latency is the time before the answer.
 		return nil, scheduler.AttemptEnded{Result: scheduler.Errored, Latency: toMicros(first.Sub(began))}, true
 	case err != nil && ctx.Err() != nil:
 		return nil, scheduler.AttemptEnded{Result: scheduler.TimedOut}, true
@@ -165,23 +165,23 @@
 	case err != nil:
 		return nil, scheduler.AttemptEnded{Result: scheduler.Reset, Alive: s.Reconnect(a.Node)}, true
 	}
-	// The node's work is over with its first byte: how long the rest took to come says nothing of its queue, and as
-	// latencies answers that come slowly closed every budget.
+	// The node's work is over with its first byte. How long the rest took to arrive says nothing about its queue: counted as
+	// latency, slowly arriving answers closed every budget.
 	out = protocol.ParseOutcome(resp.StatusCode, resp.Header)
 	out.Latency = toMicros(first.Sub(began))
 	return resp, out, true
 }
 
-// exchange writes a request and reads the answer to its last byte; only then is it sure that there is one.
-// written tells whether the request's last byte left. The connection is given back, or closed if ctx ended or
-// anything was odd. onWritten hears of the last byte as it leaves.
+// exchange writes a request and reads the answer to its last byte, since only then is it known to be complete. written
+// reports whether the request's last byte was sent. The connection is released, or closed if ctx ended or anything was
+// irregular. onWritten is called when the last byte is sent.
 func (s *Nodes) exchange(ctx context.Context, c *nodes.Conn[*stream], r *http.Request, message []byte, onWritten func()) (resp *http.Response, first time.Time, written bool, err error) {
 	clean, kept := false, false
 	unhook := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer func() {
 		if ended := !unhook(); !kept {
 			s.Release(c, clean && !ended)
-		} else if ended { // its body is not to be read for longer than the request has time: it had begun too late
+		} else if ended { // ctx ended before the body could be passed on, and must not be read past the request's time
 			resp.Body.Close()
 			resp, err = nil, ctx.Err()
 		}
@@ -191,7 +191,7 @@
 	}
 	onWritten()
 	resp, body, err := s.readResponse(ctx, c, r)
-	first = c.Session.firstByteAt // ahead of another exchange on this connection
+	first = c.Session.firstByteAt // before another exchange on this connection changes it
 	if err != nil {
 		return nil, first, true, err
 	}
@@ -199,7 +199,7 @@
 		kept, long.release = true, func(clean bool) { s.Release(c, clean) }
 		return resp, first, true, nil
 	}
-	// What came behind the answer is none to the next request: it costs the connection.
+	// Data after the answer belongs to no request, so the connection is closed.
 	clean = !resp.Close && c.Session.Buffered() == 0
 	resp.Body, resp.ContentLength, resp.TransferEncoding = io.NopCloser(bytes.NewReader(body)), int64(len(body)), nil
 	return resp, first, true, nil
--- a/internal/net/transport/framing.go
+++ b/internal/net/transport/framing.go
@@ -6,27 +6,27 @@
 	"sync"
 )
 
-// framing looks at a request's head as it came. net/http drops Content-Length where Transfer-Encoding stands beside
-// it, and ignores the latter on HTTP/1.0, so a handler can't see that a request was framed in two ways: a body
-// that ends elsewhere for another reader may hide a request.
+// framing parses a request's head as it arrives. net/http drops Content-Length if there is a Transfer-Encoding, and ignores
+// Transfer-Encoding on HTTP/1.0, so a handler can't see that a request was framed in two ways. A body that ends elsewhere
+// for another reader may hide a request.
 type framing struct {
 	mu                             sync.Mutex
-	line                           []byte // the beginning of the line that comes
+	line                           []byte // the beginning of the current line
 	began, headEnded               bool
 	hasLength, hasTransferEncoding bool
-	bodyLeft                       int64 // bytes of the body still to come
-	unknownLength                  bool  // its length can't be told here
-	bodyRead                       bool  // its body was read to its end
+	bodyLeft                       int64 // bytes of the body that have not arrived
+	unknownLength                  bool  // the length of the body can't be determined here
+	bodyRead                       bool  // the body was read to its end
 }
 
 const (
 	lengthName   = "content-length:"
 	transferName = "transfer-encoding:"
-	maxLineBytes = 64 // of which names and lengths are read
+	maxLineBytes = 64 // bytes per line that are searched for names and lengths
 )
 
-// consume looks at what came, and tells how much of it is this request's. Chunks tell their end themselves: of a body in
-// chunks all is.
+// consume parses data as it arrives, and returns how many of its bytes belong to this request. Chunks mark their own end, so
+// all bytes count as part of a chunked body.
 func (h *framing) consume(p []byte) (own int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -50,41 +50,41 @@
 			h.hasLength, h.bodyLeft, h.unknownLength = true, n, h.unknownLength || err != nil || n < 0
 		}
 		h.hasTransferEncoding = h.hasTransferEncoding || strings.HasPrefix(line, transferName)
-		h.headEnded = h.began && line == "" // empty lines ahead of a request are passed over
+		h.headEnded = h.began && line == "" // empty lines before a request are skipped
 		h.began, h.line = h.began || line != "", h.line[:0]
 	}
 	return len(p)
 }
 
-// isAmbiguous tells whether the head names two framings, or may do so unseen.
+// isAmbiguous reports whether the head names two framings, or may do so in a part not seen here.
 func (h *framing) isAmbiguous() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return !h.headEnded || h.unknownLength || h.hasLength && h.hasTransferEncoding
 }
 
-// inHead tells that a head has begun and has not ended.
+// inHead reports whether a head has begun and has not ended.
 func (h *framing) inHead() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return !h.headEnded && (h.began || len(h.line) > 0)
 }
 
-// complete tells that a request has come whole: what comes now is not its own.
+// complete reports whether the request has arrived completely, so that later data belongs to another one.
 func (h *framing) complete() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.bodyRead || h.headEnded && !h.hasTransferEncoding && !h.unknownLength && h.bodyLeft <= 0
 }
 
-// endBody notes that a request's body was read to its end, which a body in chunks tells alone.
+// endBody records that a request's body was read to its end. The end of a chunked body is known only in this way.
 func (h *framing) endBody() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.bodyRead = true
 }
 
-// reset forgets a request that is over.
+// reset clears the state for the next request.
 func (h *framing) reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/net/transport/front.go
+++ b/internal/net/transport/front.go
@@ -26,48 +26,48 @@
 	proxy        *httputil.ReverseProxy
 	server       *http.Server
 	clients      *clientConns
-	adopted      chan net.Conn            // by another process of the front
+	adopted      chan net.Conn            // connections handed over by another process of the front
 	listener     atomic.Pointer[listener] // nil before Serve
-	open         atomic.Int64             // requests taken and not answered
-	yielded      atomic.Bool              // another process serves new connections
-	guard        *lifecycle.Guard         // the core's
+	open         atomic.Int64             // requests received and not answered
+	yielded      atomic.Bool              // another process accepts the new connections
+	guard        *lifecycle.Guard         // the core's guard
 	acceptErrors atomic.Int64
 
-	next *RoundTripper // its core counts what finds no room here, too
+	next *RoundTripper // its core also counts the requests rejected here
 
-	Admission *gate.Gate // decides who is admitted when the front is full; nil for none, set before Serve
+	Admission *gate.Gate // decides which requests are admitted when the front is full; nil for none, set before Serve
 }
 
-// NewFront returns a front that answers clients with what the round tripper brings.
+// NewFront returns a front that gets its answers from the given RoundTripper.
 func NewFront(set protocol.Settings, l limits.Limits, next *RoundTripper) *Front {
-	quiet := log.New(io.Discard, "", 0) // a client that leaves is no news, and a line each would be a flood
+	quiet := log.New(io.Discard, "", 0) // clients leave all the time, and a line for each would flood the log
 	guard := next.core.Guard
 	f := &Front{limits: l, clients: newClientConns(l, guard), next: next, adopted: make(chan net.Conn), guard: guard}
 	f.Reconfigure(set)
 	f.proxy = &httputil.ReverseProxy{
 		Rewrite: func(p *httputil.ProxyRequest) {
 			p.Out.URL.RawQuery = p.In.URL.RawQuery
-			p.Out.Header = protocol.Forwarded(p.In.Header) // no Upgrade above all, nor Expect: the body is here
+			p.Out.Header = protocol.Forwarded(p.In.Header) // without Upgrade, and without Expect since the body has arrived
 		},
 		Transport:     next,
 		ErrorHandler:  answerError,
 		ErrorLog:      quiet,
 		BufferPool:    &buffers,
-		FlushInterval: -1, // nothing of a long answer is held back
-		ModifyResponse: func(r *http.Response) error { // what a node tells the front is not for its clients
+		FlushInterval: -1, // parts of a long answer are passed on at once
+		ModifyResponse: func(r *http.Response) error { // headers that nodes send to the front are not passed to clients
 			kind := r.Header.Get("Content-Type")
 			r.Header = http.Header{}
 			if kind != "" {
 				r.Header.Set("Content-Type", kind)
 			}
-			if r.ContentLength >= 0 { // one that is cut off can be told
+			if r.ContentLength >= 0 { // lets the client detect an answer that is cut off
 				r.Header.Set("Content-Length", strconv.FormatInt(r.ContentLength, 10))
 			}
 			return nil
 		},
 	}
-	// A read deadline that ran on would end net/http's wait for the client's leaving, and count as that. So the
-	// head alone has one here, and the body sets and clears its own.
+	// A read deadline that expires during net/http's wait for the client to leave would end that wait and count as the
+	// client leaving. So only the head has a deadline here; the reader of the body sets and clears its own.
 	f.server = &http.Server{
 		Handler:           f,
 		ReadHeaderTimeout: l.Clients.HeaderTimeout,
@@ -80,23 +80,23 @@
 	return f
 }
 
-// Reconfigure has the requests that come from now on read by other settings.
+// Reconfigure sets the settings with which later requests are read.
 func (f *Front) Reconfigure(set protocol.Settings) { f.settings.Store(&set) }
 
-// ReconfigureIf has other settings hold, if those named hold yet.
+// ReconfigureIf replaces the settings if old is still in use.
 func (f *Front) ReconfigureIf(old, set protocol.Settings) {
 	if now := f.settings.Load(); len(now.Names) == len(old.Names) && &now.Names[0] == &old.Names[0] {
 		f.settings.Store(&set)
 	}
 }
 
-// ClassNames are the classes by number, with those that are no more.
+// ClassNames returns the class names by number, including removed classes.
 func (f *Front) ClassNames() []string { return f.settings.Load().Names }
 
-// PlanNames are the plans by number, with those that are no more.
+// PlanNames returns the plan names by number, including removed plans.
 func (f *Front) PlanNames() []string { return f.settings.Load().PlanNames }
 
-// Serve accepts clients until Stop. Over TLS the listener is one of Handshakes.
+// Serve accepts clients until Stop. For TLS, l is a Handshakes listener.
 func (f *Front) Serve(l net.Listener) error {
 	own := newListener(l, f.clients, f.adopted, f.limits.AcceptRetry, f.acceptFailed)
 	f.listener.Store(own)
@@ -107,16 +107,16 @@
 	return err
 }
 
-// acceptFailed counts a connection that could not be accepted; accepting is tried again.
+// acceptFailed counts and logs a failure to accept a connection, after which accepting is tried again.
 func (f *Front) acceptFailed(err error) {
 	f.acceptErrors.Add(1)
 	f.next.core.Log.Warn("accept failed, trying again", "error", err)
 }
 
-// AcceptErrors tells how often accepting failed.
+// AcceptErrors returns how often accepting a connection failed.
 func (f *Front) AcceptErrors() int64 { return f.acceptErrors.Load() }
 
-// ServeHTTP reads a request whole, has it answered and passes the answer on.
+// ServeHTTP reads a request completely, gets its answer and passes that on.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer f.open.Add(-1)
 	open := f.open.Add(1)
@@ -136,7 +136,7 @@
 	defer func() { m.upload.close() }()
 	uploadFailed := errors.Is(err, errUploadFailed)
 	switch {
-	case err != nil && !uploadFailed: // who sends what can't be used gets no further use of the connection
+	case err != nil && !uploadFailed: // the connection of a client that sent an invalid request is not kept
 		answer.Header().Set("Connection", "close")
 		http.Error(answer, err.Error(), status)
 		return
@@ -146,7 +146,7 @@
 		return
 	}
 	conn := connOf(r.Context())
-	if !f.clients.markBusy(conn) { // it ended for want of room before it was whole
+	if !f.clients.markBusy(conn) { // the connection was closed to free a slot before the request was complete
 		return
 	}
 	m.TimeLeft -= toMicros(conn.takeAcceptDelay())
@@ -154,7 +154,7 @@
 	f.answer(answer, r, m, set.Scheduler.Plans)
 }
 
-// answer has a request answered that came whole.
+// answer gets a complete request answered.
 func (f *Front) answer(w http.ResponseWriter, r *http.Request, m inboundRequest, plans []scheduler.Plan) {
 	leave, err := f.admit(r, &m, plans)
 	if err != nil {
@@ -167,17 +167,17 @@
 	f.proxy.ServeHTTP(w, r)
 }
 
-// admit has a request wait for its turn where the front is full, and takes that off the time that its client has left. The
-// returned function gives the turn back.
+// admit makes a request wait for admission if the front is full, and subtracts the wait from the time that its client has
+// left. The returned function ends the admission.
 func (f *Front) admit(r *http.Request, m *inboundRequest, plans []scheduler.Plan) (leave func(), err error) {
 	if f.Admission == nil {
 		return func() {}, nil
 	}
 	came := time.Now()
 	client, _, _ := net.SplitHostPort(r.RemoteAddr)
-	// Half of its time: what is taken later could hardly be answered, and its client can still come again.
+	// Half of the time left: a request admitted later could hardly be answered, and its client can still retry.
 	longest := time.Until(f.guard.Deadline(micros(m.TimeLeft))) / 2
-	weight := plans[m.Plan].Weight // a plan that the settings don't name was rejected in readRequest
+	weight := plans[m.Plan].Weight // readRequest has rejected plans that the settings don't contain
 	leave, err = f.Admission.Enter(r.Context(), m.Volume, client, m.Units, weight, longest)
 	if err != nil {
 		return nil, err
@@ -186,9 +186,9 @@
 	return leave, nil
 }
 
-// answerReady tells whether this front takes new clients.
+// answerReady answers a readiness check with whether this front accepts new clients.
 func answerReady(w http.ResponseWriter, stopping bool) {
-	w.Header().Set("Connection", "close") // who asks this alone has no use for the slot
+	w.Header().Set("Connection", "close") // a readiness check needs no kept connection
 	if stopping {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
@@ -201,7 +201,7 @@
 	case errors.As(err, &refused):
 		protocol.SetRetryAfter(w.Header(), refused.RetryAfter)
 		http.Error(w, "refused", http.StatusServiceUnavailable)
-	case errors.Is(err, routing.ErrDuplicate): // who sends copies gets no further use of the connection
+	case errors.Is(err, routing.ErrDuplicate): // the connection of a client that sends duplicates is not kept
 		w.Header().Set("Connection", "close")
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	default:
--- a/internal/net/transport/handshakes.go
+++ b/internal/net/transport/handshakes.go
@@ -14,9 +14,9 @@
 	"otterturn/internal/net/steady"
 )
 
-// Handshakes is a listener whose connections have their TLS handshake behind them. It has bounds of its own: a
-// client that shakes hands slowly or not at all has its time, and past a number of them the one that has been at it
-// longest gives way. None of them holds up the others, or takes the room of clients that are served.
+// Handshakes is a listener that returns connections after their TLS handshake. It has limits of its own: each handshake has
+// a timeout, and when too many are in progress the oldest is closed. So a slow or silent client delays no other handshake
+// and takes no connection slot from the clients being served.
 type Handshakes struct {
 	net.Listener
 	config *tls.Config
@@ -27,10 +27,10 @@
 	end    context.CancelFunc
 
 	mu   sync.Mutex
-	open *queue.List // those under way, the oldest first
+	open *queue.List // handshakes in progress, the oldest first
 }
 
-// NewHandshakes returns a listener before one for plain TCP. It accepts until Close.
+// NewHandshakes returns a TLS listener on top of a plain TCP listener. It accepts until Close.
 func NewHandshakes(l net.Listener, config *tls.Config, lim limits.Limits) *Handshakes {
 	h := &Handshakes{
 		Listener: accept.New(l, lim.AcceptRetry, nil), config: config, limits: lim, ready: make(chan net.Conn), failed: make(chan error, 1),
@@ -55,12 +55,12 @@
 	}
 }
 
-// register counts a handshake in, and ends the oldest where there are too many.
+// register adds a handshake and ends the oldest one if there are too many.
 func (h *Handshakes) register(raw net.Conn) *queue.Element {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.open.Len() >= h.limits.Clients.Handshakes {
-		h.open.Front().Value.(net.Conn).Close() // which ends it: its own goroutine takes it off the list
+		h.open.Front().Value.(net.Conn).Close() // the goroutine of that handshake then removes it from the list
 		h.open.MoveToBack(h.open.Front())
 	}
 	return h.open.PushBack(raw)
@@ -74,7 +74,7 @@
 	h.mu.Lock()
 	h.open.Remove(at)
 	h.mu.Unlock()
-	if err != nil || conn.ConnectionState().NegotiatedProtocol == acme.ALPNProto { // an authority looks, and asks nothing
+	if err != nil || conn.ConnectionState().NegotiatedProtocol == acme.ALPNProto { // a certificate authority validates a challenge and sends no request
 		raw.Close()
 		return
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-// Accept returns the next connection whose handshake is over.
+// Accept returns the next connection whose handshake is complete.
 func (h *Handshakes) Accept() (net.Conn, error) {
 	select {
 	case c := <-h.ready:
@@ -97,7 +97,7 @@
 	}
 }
 
-// Close ends the listener and the handshakes under way.
+// Close closes the listener and ends the handshakes in progress.
 func (h *Handshakes) Close() error {
 	h.end()
 	return h.Listener.Close()
--- a/internal/net/transport/kernel.go
+++ b/internal/net/transport/kernel.go
@@ -8,10 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file asks the kernel what it knows of a connection and the program has not heard of yet.
-
-// hungUp reports whether the kernel knows that the client has ended its sending, or that the connection broke. Behind bytes that
-// were not read it can't tell, and says no.
+// hungUp reports whether the kernel knows that the client has closed its sending side, or that the connection broke. With
+// unread bytes before that the kernel can't tell, and the result is false.
 func (c *clientConn) hungUp() bool {
 	s, ok := c.raw.(syscall.Conn)
 	if !ok {
@@ -19,7 +17,7 @@
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
-		return true // it is closed
+		return true // closed on this side
 	}
 	gone := false
 	err = raw.Control(func(fd uintptr) {
@@ -29,13 +27,14 @@
 	return err != nil || gone
 }
 
-// nothingToRead tells whether a socket is open with nothing to read.
+// nothingToRead reports whether a socket is open with nothing to read.
 func nothingToRead(fd uintptr) bool {
 	_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err == syscall.EAGAIN
 }
 
-// sinceLastReceived asks the kernel how long ago the last data of a connection came, or returns otherwise.
+// sinceLastReceived returns how long ago the kernel last received data on a connection, or the given default if the kernel
+// can't tell.
 func sinceLastReceived(c net.Conn, otherwise time.Duration) time.Duration {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
--- a/internal/net/transport/listener.go
+++ b/internal/net/transport/listener.go
@@ -13,32 +13,32 @@
 	"otterturn/internal/net/steady"
 )
 
-// listener hands connections to net/http, within the bound on all that are open: those that it accepts, and those that
-// another process of the front passes on.
+// listener passes connections to net/http, within the limit on open connections: those that it accepts, and those that
+// another process of the front hands over.
 type listener struct {
 	net.Listener
 	accepting *accept.Listener
-	retry     time.Duration // pause behind a failure to accept
+	retry     time.Duration // pause after a failure to accept
 	clients   *clientConns
 	adopted   chan net.Conn
 	incoming  chan accepted
-	ended     chan struct{} // closed once nothing more is accepted
+	ended     chan struct{} // closed when no more connections are accepted
 	end       sync.Once
-	drained   chan struct{} // closed once all that was accepted is handed on
+	drained   chan struct{} // closed when all accepted connections were passed on
 
 	mu      sync.Mutex
-	resumed chan struct{} // nil while connections are accepted; closed once they are again
+	resumed chan struct{} // nil while connections are accepted, else closed when accepting resumes
 	closing bool
 }
 
 type accepted struct {
 	conn  net.Conn
-	delay time.Duration // for which it may have waited as accepting failed
+	delay time.Duration // time that the connection may have waited because accepting failed
 	err   error
 }
 
-// drainTime is for how long connections are accepted yet that the kernel has as the listener closes. On a busy machine the next
-// accept behind a failure comes some 10 ms later than its pause.
+// drainTime is how long a closing listener still accepts the connections that are waiting in the kernel. On a busy machine
+// the next accept after a failure comes some 10 ms later than its pause.
 const drainTime = 50 * time.Millisecond
 
 func newListener(l net.Listener, c *clientConns, passed chan net.Conn, retry time.Duration, onError func(error)) *listener {
@@ -54,7 +54,8 @@
 	return out
 }
 
-// extendDrain has the kernel's connections be accepted yet as accepting fails, until all requests must be answered.
+// extendDrain makes a closing listener accept for longer after a failure to accept, so that the connections waiting in the
+// kernel are accepted too, until the time by which all requests must be answered.
 func (l *listener) extendDrain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,7 +96,7 @@
 	}
 }
 
-// wait returns once connections are accepted again. It is false where they are not paused.
+// wait waits until connections are accepted again. It returns false if accepting is not paused.
 func (l *listener) wait() bool {
 	l.mu.Lock()
 	resumed := l.resumed
@@ -110,7 +111,8 @@
 	return true
 }
 
-// pause leaves new connections to other processes that listen on the same socket, or has them wait in the kernel.
+// pause leaves new connections to other processes that listen on the same socket, or waiting in the kernel, until a call
+// with false.
 func (l *listener) pause(yes bool) {
 	tcp, ok := l.Listener.(*net.TCPListener)
 	if !ok {
@@ -130,8 +132,8 @@
 	}
 }
 
-// Accept takes a connection and makes room for it. What finds none waits here, and those behind it in the
-// kernel's queue.
+// Accept returns the next connection once there is a slot for it. Until then the connection waits here, and those after it
+// wait in the kernel's queue.
 func (l *listener) Accept() (net.Conn, error) {
 	var next accepted
 	select {
@@ -145,16 +147,16 @@
 		return nil, net.ErrClosed
 	}
 	c := &clientConn{Conn: next.conn, raw: steady.Innermost(next.conn), clients: l.clients, acceptDelay: next.delay}
-	if _, secure := next.conn.(*tls.Conn); !secure { // TLS has it below
+	if _, secure := next.conn.(*tls.Conn); !secure { // a TLS connection has it on the connection below
 		c.Conn = steady.Conn{Conn: next.conn}
 	}
 	l.clients.add(c)
 	return c, nil
 }
 
-// drain begins to close the listener behind what the kernel has: closing the socket at once would reset those connections, with
-// the requests that came on them. It tells whether nothing more is to come. Where another process of the front accepts, what the
-// kernel has is that one's.
+// drain begins to close the listener once the connections waiting in the kernel are accepted: closing the socket at once
+// would reset them and lose the requests already sent on them. It reports whether no more connections will come. If another
+// process of the front accepts, the waiting connections are left to it.
 func (l *listener) drain() (closed bool) {
 	tcp, ok := l.Listener.(*net.TCPListener)
 	l.mu.Lock()
@@ -165,7 +167,7 @@
 	if !ok || paused {
 		l.Close()
 	} else if begins {
-		tcp.SetDeadline(time.Now().Add(l.retry + drainTime)) // accepting may be in its pause
+		tcp.SetDeadline(time.Now().Add(l.retry + drainTime)) // accepting may be pausing after a failure
 	}
 	select {
 	case <-l.drained:
@@ -184,7 +186,7 @@
 	return l.closing
 }
 
-// Close ends the listener at once. What was passed on and not taken is closed.
+// Close closes the listener at once, together with connections that were handed over and not accepted.
 func (l *listener) Close() error {
 	l.end.Do(func() { close(l.ended) })
 	for {
--- a/internal/net/transport/peers.go
+++ b/internal/net/transport/peers.go
@@ -15,31 +15,31 @@
 	"otterturn/scheduler"
 )
 
-// Peers carries short messages between fronts. They may be lost, so nothing waits for one, and what can't be read is
-// passed over.
+// Peers exchanges short messages with other fronts. Messages may be lost, so nothing waits for one, and unreadable ones are
+// skipped.
 type Peers struct {
 	conn       *net.UDPConn
-	addrs      []netip.AddrPort       // by number
-	numbers    map[netip.AddrPort]int // whose address it is
-	retryDelay time.Duration          // pause after a failure
+	addrs      []netip.AddrPort       // by front number
+	numbers    map[netip.AddrPort]int // front number by address
+	retryDelay time.Duration          // pause after a failed read
 	log        *slog.Logger
 	paused     atomic.Bool
-	resumed    chan struct{} // holds one: no longer paused
+	resumed    chan struct{} // has a buffer of one: Resume was called
 
-	// Take hears each datagram of a peer first and tells whether it is its own rather than a note. The text is good
-	// until it returns. Set before Run; nil for none.
+	// Intercept is called first with each datagram of a peer, and reports whether it has handled it; other datagrams are
+	// parsed as scheduler messages. text is valid until Intercept returns. Set before Run; nil for none.
 	Intercept func(from int, text []byte) bool
-	// Drop hears of each datagram that was dropped, in the place of the log. Set before Run; nil for none.
+	// OnDrop is called for each dropped datagram, which is then not logged. Set before Run; nil for none.
 	OnDrop func(from netip.AddrPort, why error)
 }
 
-// Why a datagram was dropped.
+// Reasons for dropping a datagram.
 var (
-	ErrNoPeer  = errors.New("the sender is no peer")
-	ErrTooLong = errors.New("the datagram is too long")
+	ErrNoPeer  = errors.New("sender is not a peer")
+	ErrTooLong = errors.New("datagram is too long")
 )
 
-// ListenPeers opens the socket for messages of other fronts.
+// ListenPeers opens the socket for messages from other fronts.
 func ListenPeers(listen netip.AddrPort, addrs []netip.AddrPort, l limits.Limits, log *slog.Logger) (*Peers, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
@@ -48,7 +48,7 @@
 	return PeersOn(conn, addrs, l, log), nil
 }
 
-// PeersOn has messages come on a socket that is open.
+// PeersOn receives messages on a socket that is already open.
 func PeersOn(conn *net.UDPConn, addrs []netip.AddrPort, l limits.Limits, log *slog.Logger) *Peers {
 	p := &Peers{resumed: make(chan struct{}, 1), conn: conn, addrs: addrs, numbers: make(map[netip.AddrPort]int, len(addrs)), retryDelay: l.AcceptRetry, log: log}
 	for i, a := range addrs {
@@ -57,16 +57,16 @@
 	return p
 }
 
-// Socket is what messages come on, to be handed to another process of this front.
+// Socket returns the socket, to be handed to another process of this front.
 func (p *Peers) Socket() *net.UDPConn { return p.conn }
 
-// Pause leaves messages to another process that has the socket, until Resume; nothing is sent meanwhile.
+// Pause leaves messages to another process that has the socket, until Resume. Nothing is sent meanwhile.
 func (p *Peers) Pause() {
 	p.paused.Store(true)
 	p.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// Resume takes messages again.
+// Resume receives and sends messages again.
 func (p *Peers) Resume() {
 	p.conn.SetReadDeadline(time.Time{})
 	if p.paused.Swap(false) {
@@ -74,21 +74,21 @@
 	}
 }
 
-// Send sends what the scheduler has for the front of a number.
+// Send sends a scheduler action to the front with the given number. An action without a message format is ignored.
 func (p *Peers) Send(to int, a scheduler.Action) {
 	if text := protocol.FormatNote(a); text != nil {
 		p.SendBytes(to, text)
 	}
 }
 
-// SendBytes sends a datagram to the front of a number.
+// SendBytes sends a datagram to the front with the given number.
 func (p *Peers) SendBytes(to int, text []byte) {
 	if !p.paused.Load() && to >= 0 && to < len(p.addrs) {
-		p.conn.WriteToUDPAddrPort(text, p.addrs[to]) // one that can't be sent is one that was lost
+		p.conn.WriteToUDPAddrPort(text, p.addrs[to]) // a send that fails counts as a lost message
 	}
 }
 
-// Run hands what comes to hear until ctx ends.
+// Run calls hear with each received message until ctx ends.
 func (p *Peers) Run(ctx context.Context, hear func(scheduler.Event)) {
 	defer context.AfterFunc(ctx, func() { p.conn.Close() })()
 	buffer := make([]byte, protocol.LongestNote+1)
@@ -104,7 +104,7 @@
 			}
 			continue
 		}
-		if err != nil { // of a peer that is gone, as the next read hears
+		if err != nil { // a message to a peer that is gone makes the next read fail
 			sleep(ctx, p.retryDelay)
 			continue
 		}
@@ -112,7 +112,7 @@
 	}
 }
 
-// receive hands on one datagram.
+// receive processes one datagram.
 func (p *Peers) receive(from netip.AddrPort, text []byte, hear func(scheduler.Event)) {
 	number, known := p.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 	switch {
@@ -133,7 +133,7 @@
 	hear(e)
 }
 
-// drop tells of a datagram that was dropped. Without Drop those that can't be read are logged, others are no peer's.
+// drop reports a dropped datagram to OnDrop. Without OnDrop, only unreadable messages of peers are logged.
 func (p *Peers) drop(from netip.AddrPort, why error) {
 	switch {
 	case p.OnDrop != nil:
--- a/internal/net/transport/probe.go
+++ b/internal/net/transport/probe.go
@@ -12,16 +12,16 @@
 	"otterturn/scheduler"
 )
 
-// HealthChecker asks nodes for their health and load.
+// HealthChecker checks the health of nodes and reads their load reports.
 type HealthChecker struct {
 	nodes            *Nodes
 	path             string
-	queue            string      // field of the load report, "" for none
-	reportUnreadable atomic.Bool // the last report could not be read, which was logged
+	queue            string      // field of the load report with the queue length, "" for none
+	reportUnreadable atomic.Bool // the last report could not be parsed, and that was logged
 	log              *slog.Logger
 }
 
-// NewHealthChecker returns a Prober that asks for load reports where nodes have them.
+// NewHealthChecker returns a HealthChecker that requests load reports if the nodes provide them.
 func NewHealthChecker(nodes *Nodes, set protocol.Settings, log *slog.Logger) *HealthChecker {
 	p := &HealthChecker{nodes: nodes, path: "/health", queue: set.LoadQueue, log: log}
 	if set.LoadReports {
@@ -30,8 +30,8 @@
 	return p
 }
 
-// Check asks one node. An answer that is spoilt, or a connection that breaks under the probe, says nothing of the
-// node that another connection would not tell better, so it is asked again.
+// Check checks one node. After a malformed answer or a connection that breaks, it tries again on another connection, which
+// says more about the node.
 func (p *HealthChecker) Check(node string) scheduler.HealthChecked {
 	out := scheduler.HealthChecked{Node: node, Queue: -1}
 	ctx, release := context.WithTimeout(context.Background(), p.nodes.limits.Nodes.ProbeTimeout)
@@ -54,13 +54,13 @@
 	if err != nil {
 		out.Queue = -1
 	}
-	if was := p.reportUnreadable.Swap(err != nil); err != nil && !was { // a line each would be a flood
+	if was := p.reportUnreadable.Swap(err != nil); err != nil && !was { // a line for each report would flood the log
 		p.log.Warn("load report unreadable", "node", node, "error", err)
 	}
 	return out
 }
 
-// checkOnce sends a probe once. again tells that one more may do better.
+// checkOnce sends one health check. again reports whether another try may succeed.
 func (p *HealthChecker) checkOnce(ctx context.Context, node string) (resp *http.Response, again bool, err error) {
 	c, err := p.nodes.Acquire(ctx, node, nodes.AnyState)
 	if err != nil {
--- a/internal/net/transport/roundtrip.go
+++ b/internal/net/transport/roundtrip.go
@@ -13,37 +13,37 @@
 	"otterturn/scheduler"
 )
 
-// RoundTripper carries a client's request through the core to the nodes. http.Transport would send a GET or a
-// keyed request again by itself when a kept connection breaks: an attempt that nobody counted, and a second
-// copy beside one that may still run. So each attempt here is one exchange on one connection.
+// RoundTripper sends a client's request through the core to the nodes. http.Transport would resend a GET or a request with
+// an idempotency key by itself when a kept connection breaks: an attempt that is not counted, and a second copy of a request
+// that may still run. So each attempt here is one exchange on one connection.
 type RoundTripper struct {
 	core  *routing.Core
 	nodes *Nodes
 }
 
-// NewRoundTripper returns a RoundTripper. Requests must carry a protocol.Request in their context.
+// NewRoundTripper returns a RoundTripper. Requests must carry an inboundRequest in their context.
 func NewRoundTripper(core *routing.Core, nodes *Nodes) *RoundTripper {
 	return &RoundTripper{core: core, nodes: nodes}
 }
 
 type inboundKey struct{}
 
-// inboundRequest is a request that has come whole: its body is held, or has gone to a node but for its end.
+// inboundRequest is a request that has arrived completely: its body is buffered, or was sent to a node except for its end.
 type inboundRequest struct {
 	protocol.Request
 	upload *upload
 }
 
-// withInbound hands the decoded request to the RoundTripper.
+// withInbound adds the parsed request to the context that RoundTrip receives.
 func withInbound(ctx context.Context, m inboundRequest) context.Context {
 	return context.WithValue(ctx, inboundKey{}, m)
 }
 
-// RoundTrip returns a node's 200 answer, or the core's refusal or failure as an error.
+// RoundTrip returns a node's answer with status 200, or the core's rejection or failure as an error.
 func (t *RoundTripper) RoundTrip(r *http.Request) (*http.Response, error) {
 	m, ok := r.Context().Value(inboundKey{}).(inboundRequest)
 	if !ok {
-		return nil, errors.New("round trip: no request in the context")
+		return nil, errors.New("round trip: no parsed request in the context")
 	}
 	var answer responseHandoff
 	var clientGone func() bool
@@ -61,7 +61,7 @@
 		})
 	if err != nil {
 		answer.drop()
-	} else if long, ok := resp.Body.(*streamedResponse); ok { // it stays open until its body has been passed on
+	} else if long, ok := resp.Body.(*streamedResponse); ok { // the request stays open until its body has been passed on
 		long.onClose = t.core.HoldOpen()
 	}
 	return resp, err
@@ -79,7 +79,8 @@
 	return r
 }
 
-// responseHandoff is an answer on its way to a client that may have left: nobody else would give its connection back.
+// responseHandoff passes an answer to a client that may have left. The answer is then closed here, as nothing else would
+// release its connection.
 type responseHandoff struct {
 	mu      sync.Mutex
 	resp    *http.Response
--- a/internal/net/transport/stop.go
+++ b/internal/net/transport/stop.go
@@ -7,14 +7,15 @@
 	"otterturn/internal/lifecycle"
 )
 
-// Stop ends the front without losing a request. Its clients have no other way until it is started again, and
-// learn late that it stops: so it serves them for nearly as long as a stop may take. Then it lets no more in, closes the
-// connections that stand idle, answers the others with 'Connection: close', and ends once none is left. Whatever is open as all
-// must be answered is answered by the core, and what comes whole after that at once. The guard says when.
+// Stop shuts the front down without losing a request. Its clients have no other front until it is started again, and learn
+// late that it stops, so it first serves them for nearly as long as a shutdown may take. Then it accepts no more
+// connections, closes the idle ones, answers on the others with 'Connection: close', and returns when none is left. The core
+// answers the requests that are open at the time by which all must be answered, and at once those that arrive completely
+// after it. The guard sets these times.
 //
-// Clients get no further connections, and one that finds all of its own taken once sent nothing more until the
-// next start. So room, where it is given, hears how many requests may be open: a part of the connections that are.
-// Where another process serves in this one's place, it ends as soon as nothing is left.
+// Clients get no further connections during that time, and a client that found all of its connections in use once sent
+// nothing more until the next start. So room, unless nil, is called with the number of requests that may be open: a fraction
+// of the open connections. If another process serves in place of this one, Stop returns as soon as nothing is left.
 func (f *Front) Stop(room func(open int)) error {
 	f.guard.BeginShutdown(time.Now())
 	tick := time.NewTicker(f.limits.Stop.CheckInterval)
@@ -24,7 +25,7 @@
 		if room != nil && left > 0 && !yielded {
 			room(max(1, left/f.limits.Stop.ConnsPerRequest))
 		}
-		accepted := false // all that the kernel had
+		accepted := false // all connections that waited in the kernel
 		if !f.guard.Permits(lifecycle.Accept) {
 			accepted = f.drainListener()
 		}
@@ -42,39 +43,40 @@
 	return f.server.Close()
 }
 
-// Yield leaves new connections to another process that listens on the same socket, and has pass take those that are
-// open once they stand idle. What has come, or has begun to, is answered here.
+// Yield leaves new connections to another process that listens on the same socket, and has pass take over the open ones when
+// they are idle. Requests that have arrived, or have begun to, are answered here.
 func (f *Front) Yield(pass func(net.Conn) error) {
 	f.yielded.Store(true)
 	f.Pause(true)
 	f.clients.handOffIdle(pass)
 }
 
-// Pause leaves new connections in the kernel, or takes them again.
+// Pause leaves new connections in the kernel, or accepts them again after a call with false.
 func (f *Front) Pause(yes bool) {
 	if l := f.listener.Load(); l != nil {
 		l.pause(yes)
 	}
 }
 
-// Resume takes back what Yield gave, as far as it was not taken.
+// Resume takes back what Yield handed over, except for the connections already taken.
 func (f *Front) Resume() {
 	f.yielded.Store(false)
 	f.clients.handOffIdle(nil)
 	f.Pause(false)
 }
 
-// drainListener accepts no more connections, for good, behind those that the kernel has. It tells whether these are taken in.
+// drainListener accepts no more connections for good, after those waiting in the kernel. It reports whether these were
+// accepted.
 func (f *Front) drainListener() bool {
 	l := f.listener.Load()
 	return l == nil || l.drain()
 }
 
-// Adopt serves a connection that another process passes on.
+// Adopt serves a connection that another process hands over.
 func (f *Front) Adopt(c net.Conn) {
 	select {
 	case f.adopted <- c:
-	case <-time.After(f.limits.Clients.HeaderTimeout): // the front has ended, or is full
+	case <-time.After(f.limits.Clients.HeaderTimeout): // the front has stopped or is full
 		c.Close()
 	}
 }
--- a/internal/net/transport/upload.go
+++ b/internal/net/transport/upload.go
@@ -19,10 +19,10 @@
 	"otterturn/scheduler"
 )
 
-// bufferPool are the buffers of bodies under way.
+// bufferPool is a pool of buffers for bodies in transfer.
 type bufferPool struct{ pool sync.Pool }
 
-// bufferBytes is the size of a buffer: each body under way holds two of them at most.
+// bufferBytes is the size of a buffer. Each body in transfer uses at most two of them.
 const bufferBytes = 32 << 10
 
 func (p *bufferPool) Get() []byte {
@@ -36,24 +36,24 @@
 
 var buffers bufferPool
 
-// upload is a long request of which all but the end has gone to a node: a node begins a request once its last byte
-// has come, so the scheduler decides on the end alone, when the client's last byte has come, as with any other
-// request. What has gone is not held, so it goes to this node or to none.
+// upload is a long request that was sent to a node except for its end. A node begins a request when its last byte arrives,
+// so the scheduler decides only whether the end is sent, when the client's last byte has arrived, as with any other request.
+// The bytes that were sent are not kept, so no other node can get the request.
 type upload struct {
 	node    string
 	conn    *nodes.Conn[*stream]
 	request *http.Request
-	tail    []byte // what is held back
+	tail    []byte // the end, which is not sent yet
 	guard   *lifecycle.Guard
 	release func(clean bool)
 }
 
-// startUpload sends a long request to a node as it comes. Its body has begun with held. An error tells that the node can't have it;
-// the client's own faults are clientError.
+// startUpload sends a long request to a node as it arrives. held is the beginning of its body. An error means that the node
+// can't take the request; errors on the client's side have the type clientError.
 func (s *Nodes) startUpload(ctx context.Context, guard *lifecycle.Guard, node string, r *http.Request, held []byte,
 	next func(p []byte) (int, error),
 ) (*upload, error) {
-	limited, end := context.WithTimeout(ctx, 2*s.limits.Nodes.ConnectTimeout) // where all sockets are in use it waits for one
+	limited, end := context.WithTimeout(ctx, 2*s.limits.Nodes.ConnectTimeout) // time to wait for a connection if all are in use
 	defer end()
 	c, err := s.Acquire(limited, node, nodes.Running)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return u, nil
 }
 
-// sendAllButTail writes head and body but for the end.
+// sendAllButTail writes the head and the body except for its end.
 func (u *upload) sendAllButTail(r *http.Request, held []byte, next func(p []byte) (int, error), l limits.Limits) error {
 	var pending bytes.Buffer
 	fmt.Fprintf(&pending, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.URL.RequestURI(), r.Host)
@@ -83,7 +83,7 @@
 	piece := buffers.Get()
 	defer buffers.Put(piece)
 	for {
-		for ; len(held) > len(piece); held = held[len(piece):] { // it is longer by one byte than what is short
+		for ; len(held) > len(piece); held = held[len(piece):] { // held may be one byte longer than a buffered body
 			to.Write(held[:len(piece)])
 			if err := u.write(&pending, l); err != nil {
 				return err
@@ -94,7 +94,7 @@
 			held = nil
 		}
 		n, err := next(piece)
-		if n > 0 { // there is more, so what was held back is not the end
+		if n > 0 { // more data arrived, so the pending bytes are not the end
 			if err := u.write(&pending, l); err != nil {
 				return err
 			}
@@ -115,7 +115,7 @@
 	return u.conn.SetWriteDeadline(time.Time{})
 }
 
-// write sends what is pending. The node may take a while for it: its client waits as long.
+// write sends the pending bytes. The node may take a while to accept them, and the client waits as long.
 func (u *upload) write(pending *bytes.Buffer, l limits.Limits) error {
 	if err := u.guard.Allow(lifecycle.Stream, time.Time{}); err != nil {
 		return err
@@ -130,12 +130,12 @@
 	return nil
 }
 
-// clientError is a fault of the client's.
+// clientError is an error on the client's side.
 type clientError struct{ error }
 
 func (e clientError) Unwrap() error { return e.error }
 
-// close drops the connection, if it was not used to the end.
+// close closes the connection unless finishUpload has used it.
 func (u *upload) close() {
 	if u != nil && u.release != nil {
 		u.release(false)
@@ -143,7 +143,7 @@
 	}
 }
 
-// finishUpload writes the end of a long request, and reads the answer. It can do so once.
+// finishUpload writes the end of a long request and reads the answer. It can do so once.
 func (s *Nodes) finishUpload(ctx context.Context, a routing.Attempt, u *upload) (*http.Response, scheduler.AttemptEnded) {
 	if u.node != a.Node || u.release == nil || a.Permitted() != nil {
 		return nil, scheduler.AttemptEnded{Result: scheduler.NotStarted}
@@ -151,13 +151,14 @@
 	u.release = nil
 	resp, out, written := s.completeAttempt(ctx, a, u.conn, u.request, u.tail)
 	if !written && out.Result == scheduler.Unreachable {
-		// The connection had stood open for long: that it broke says little of the node, which a new one tells.
+		// The connection had been open for long, so its failure says little about the node. A new connection shows whether
+		// the node is alive.
 		out = scheduler.AttemptEnded{Result: scheduler.Reset, Alive: s.Reconnect(a.Node)}
 	}
 	return resp, out
 }
 
-// upload has a long request go to its node as it comes.
+// upload sends a long request to its node as it arrives.
 func (t *RoundTripper) upload(r *http.Request, m *inboundRequest, next func(p []byte) (int, error)) error {
 	node, shard, err := t.core.NodeFor(r.Context(), m.Request.Request)
 	if err != nil {
@@ -173,9 +174,9 @@
 	if m.upload, err = t.nodes.startUpload(r.Context(), t.core.Guard, node, out, held, next); err != nil {
 		return err
 	}
-	m.Shard = shard // where it has gone, if it is a new object
+	m.Shard = shard // the shard that holds a new object
 	return nil
 }
 
-// errNoNodeAvailable tells that no node takes a request now.
-var errNoNodeAvailable = errors.New("no node takes it")
+// errNoNodeAvailable says that no node can take a request now.
+var errNoNodeAvailable = errors.New("no node can take the request")
