--- a/internal/net/transport/discovery.go
+++ b/internal/net/transport/discovery.go
@@ -22,12 +22,12 @@
 // answer that can't be read is logged, unless the same text was logged last, and leaves the endpoint list unchanged. Fronts
 // that share discovery begin after different delays; until then a front serves from the list that it was started with.
 //
-// A watch that failed, or was silent for too long, is reopened by a call that discovery does not hold, because only an
-// answer shows that discovery is available. Changes that were lost with the watch are newer than seq, so the answer contains
-// them. A list with a version below seq is not applied. Discovery may have been restarted, so the whole list is requested
-// next, and that one is applied.
+// A watch that failed, or was silent for too long, is reopened by a call with a hold of 0, because only an immediate answer
+// shows that discovery is available. Changes that were lost with the watch are newer than seq, so the answer contains them.
+// A list with a version below seq is not applied. Discovery may have been restarted, so the whole list is requested next,
+// and that one is applied.
 //
-// now is the front's clock, which does not follow steps of the system clock; no node has started later than it says.
+// now is the front's clock, which does not follow steps of the system clock. No node has started later than now.
 func Watch(ctx context.Context, addr string, seq int64, zones []string, l limits.Limits, seed int64,
 	now func() scheduler.Micros, apply func(protocol.List), log *slog.Logger,
 ) {
@@ -113,7 +113,7 @@
 	case err != nil:
 		return protocol.List{}, err
 	case resp.StatusCode != http.StatusOK || int64(len(text)) > l.Discovery.ListBytes:
-		return protocol.List{}, fmt.Errorf("status %d and %d bytes, want 200 and at most %d bytes", resp.StatusCode, len(text), l.Discovery.ListBytes)
+		return protocol.List{}, fmt.Errorf("status %d, %d bytes, limit %d bytes", resp.StatusCode, len(text), l.Discovery.ListBytes)
 	}
 	return protocol.ParseList(text, zones, now()+toMicros(clockSlack))
 }
--- a/internal/net/transport/evict_test.go
+++ b/internal/net/transport/evict_test.go
@@ -38,7 +38,7 @@
 }
 
 // The connection on which a request has been arriving longest is closed for a new one. If that request has become complete
-// at this moment it must be answered: the connection was once closed all the same.
+// at this moment it must be answered; its connection was once closed before the answer.
 func TestRequestThatIsCompleteKeepsItsConnection(t *testing.T) {
 	s, c, far := acceptOne(t)
 	s.trackState(c, http.StateActive)
--- a/internal/net/transport/exchange.go
+++ b/internal/net/transport/exchange.go
@@ -174,7 +174,7 @@
 
 // exchange writes a request and reads the answer to its last byte, since only then is it known to be complete. written
 // reports whether the request's last byte was sent. The connection is released, or closed if ctx ended or anything was
-// irregular. onWritten is called when the last byte is sent.
+// unexpected. onWritten is called when the last byte is sent.
 func (s *Nodes) exchange(ctx context.Context, c *nodes.Conn[*stream], r *http.Request, message []byte, onWritten func()) (resp *http.Response, first time.Time, written bool, err error) {
 	clean, kept := false, false
 	unhook := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
--- a/internal/net/transport/stop.go
+++ b/internal/net/transport/stop.go
@@ -9,9 +9,9 @@
 
 // Stop shuts the front down without losing a request. Its clients have no other front until it is started again, and learn
 // late that it stops, so it first serves them for nearly as long as a shutdown may take. Then it accepts no more
-// connections, closes the idle ones, answers on the others with 'Connection: close', and returns when none is left. The core
-// answers the requests that are open at the time by which all must be answered, and at once those that arrive completely
-// after it. The guard sets these times.
+// connections, closes the idle ones, answers on the others with 'Connection: close', and returns when none is left. Requests
+// that are still open when all must be answered are answered by the core, and requests that arrive completely after that are
+// answered at once. The guard sets these times.
 //
 // Clients get no further connections during that time, and a client that found all of its connections in use once sent
 // nothing more until the next start. So room, unless nil, is called with the number of requests that may be open: a fraction
