--- a/internal/net/transport/door_test.go
+++ b/internal/net/transport/admission_test.go
@@ -15,9 +15,9 @@
 	"otterturn/scheduler"
 )
 
-// frontBefore starts a front for one node, which calls work for each request except health checks, and returns the front's
-// address. The gate may be nil.
-func frontBefore(t *testing.T, g *gate.Gate, work func()) (addr string) {
+// startFrontWithGate starts a front for one node, which calls work for each request except health checks, and returns the
+// front's address. The gate may be nil.
+func startFrontWithGate(t *testing.T, g *gate.Gate, work func()) (addr string) {
 	t.Helper()
 	node := standin.Peer(t, func(_ int, c net.Conn) {
 		for in := bufio.NewReader(c); ; {
@@ -36,7 +36,7 @@
 	l := standin.Limits()
 	nodes := NewNodes(l)
 	core := standin.Core(t, standin.Settings(), nil)
-	core.UpdateEndpoints(nodes.Apply(list(node)))
+	core.UpdateEndpoints(nodes.Apply(endpointList(node)))
 	f := NewFront(protocol.Settings{
 		Classes: []string{"read", "write"}, Plans: []string{"gold"}, Shards: 1,
 		Scheduler: scheduler.Settings{Plans: []scheduler.Plan{{Weight: 1}}}, LongestWait: time.Minute, Retry: time.Second,
@@ -51,10 +51,10 @@
 
 // With room for one request and one that waits, a client's third request is rejected at once with a Retry-After, and the
 // second is served once the first is.
-func TestDoorBeforeTheFront(t *testing.T) {
+func TestAdmissionGateQueuesAndRejects(t *testing.T) {
 	asked, release := make(chan bool, 4), make(chan bool)
 	g := gate.New(admission.Config{Room: 1, Waiting: 1, MaxRetryAfter: 1_000_000}, standin.Patience)
-	addr := frontBefore(t, g, func() {
+	addr := startFrontWithGate(t, g, func() {
 		asked <- true
 		<-release
 	})
--- a/internal/net/transport/answer.go
+++ b/internal/net/transport/answer.go
@@ -42,8 +42,8 @@
 // readHead reads the head of an answer and skips the informational (1xx) answers before it. If one of those were taken for
 // the answer, the next request on the connection would receive this request's answer.
 func (s *Nodes) readHead(ctx context.Context, c *nodes.Conn[*stream], r *http.Request) (*http.Response, error) {
-	in := c.Session
-	in.limit.N = int64(s.limits.Requests.HeaderBytes)
+	session := c.Session
+	session.limit.N = int64(s.limits.Requests.HeaderBytes)
 	for range s.limits.Nodes.ResponseHeads {
 		if err := c.SetReadDeadline(time.Time{}); err != nil {
 			return nil, fmt.Errorf("read: %w", err)
@@ -51,45 +51,45 @@
 		if ctx.Err() != nil { // the end of ctx may have set a deadline that the call above replaced
 			return nil, ctx.Err()
 		}
-		if _, err := in.Peek(1); err != nil {
+		if _, err := session.Peek(1); err != nil {
 			return nil, fmt.Errorf("read head: %w", err)
 		}
-		in.firstByteAt = time.Now()
-		if err := c.SetReadDeadline(in.firstByteAt.Add(s.limits.Nodes.HeaderTimeout)); err != nil {
+		session.firstByteAt = time.Now()
+		if err := c.SetReadDeadline(session.firstByteAt.Add(s.limits.Nodes.HeaderTimeout)); err != nil {
 			return nil, fmt.Errorf("read: %w", err)
 		}
-		resp, err := http.ReadResponse(in.Reader, r)
+		resp, err := http.ReadResponse(session.Reader, r)
 		if err != nil {
-			return nil, classifyReadError(ctx, "head", err, in)
+			return nil, classifyReadError(ctx, "head", err, session)
 		}
 		if resp.StatusCode >= http.StatusOK {
-			in.limit.N = math.MaxInt64 // the size of the body is limited where it is buffered or streamed
+			session.limit.N = math.MaxInt64 // the size of the body is limited where it is buffered or streamed
 			return resp, nil
 		}
 	}
 	return nil, fmt.Errorf("%w: too many informational answers", errMalformedResponse)
 }
 
-// responsePiece is the number of bytes of a body that are read at a time.
-const responsePiece = 8 << 10
+// bodyReadBytes is the number of bytes of a body that are read at a time.
+const bodyReadBytes = 8 << 10
 
 // readBody reads a body to its end. A body of unknown length that is long or slow becomes a streamedResponse.
 func (s *Nodes) readBody(ctx context.Context, c *nodes.Conn[*stream], resp *http.Response) ([]byte, error) {
-	in := c.Session
+	session := c.Session
 	mayStream := resp.ContentLength < 0 && resp.StatusCode == http.StatusOK
 	var buffered bytes.Buffer
-	piece := make([]byte, responsePiece)
+	buffer := make([]byte, bodyReadBytes)
 	for {
 		// A body that keeps arriving is passed on before its client's time is over; a body that has stopped arriving fails.
-		n, err := readAvailable(ctx, c, resp, piece, time.Now().Add(s.limits.Nodes.BodySilence))
-		buffered.Write(piece[:n])
+		n, err := readAvailable(ctx, c, resp, buffer, time.Now().Add(s.limits.Nodes.BodySilence))
+		buffered.Write(buffer[:n])
 		long := int64(buffered.Len()) > s.limits.Requests.BufferedBytes
-		slow := time.Since(in.firstByteAt) > s.limits.Nodes.BufferTimeout
+		slow := time.Since(session.firstByteAt) > s.limits.Nodes.BufferTimeout
 		switch {
 		case err == io.EOF:
 			return buffered.Bytes(), nil
 		case err != nil:
-			return nil, classifyReadError(ctx, "body", err, in)
+			return nil, classifyReadError(ctx, "body", err, session)
 		case mayStream && (long || slow):
 			resp.Body = newStreamedResponse(resp, c, s.limits, buffered.Bytes())
 			return nil, nil
@@ -101,41 +101,41 @@
 
 // Parameters for reading the available bytes of a chunked body.
 const (
-	reservedForChunkHeads = 64               // buffered bytes that are not read at once, as they may be chunk headers
-	chunkEndBytes         = 2                // the CRLF after a chunk, while the next chunk has not arrived
-	bufferedReadTimeout   = time.Millisecond // data in the kernel's buffer is returned at once
+	chunkHeaderReserve  = 64               // buffered bytes that are not read at once, as they may be chunk headers
+	chunkEndBytes       = 2                // the CRLF after a chunk, while the next chunk has not arrived
+	bufferedReadTimeout = time.Millisecond // data in the kernel's buffer is returned at once
 )
 
 // readAvailable reads the available bytes of a body and waits until there are any. The reader of a chunked body would wait
 // until p is full and delay bytes that the node has already sent; this function delays at most two bytes.
-func readAvailable(ctx context.Context, c *nodes.Conn[*stream], resp *http.Response, p []byte, until time.Time) (n int, err error) {
-	in := c.Session
-	wait := func() error {
-		return cmp.Or(c.SetReadDeadline(until), ctx.Err()) // the end of ctx may have set a deadline that this call replaced
+func readAvailable(ctx context.Context, c *nodes.Conn[*stream], resp *http.Response, p []byte, deadline time.Time) (n int, err error) {
+	session := c.Session
+	setDeadline := func() error {
+		return cmp.Or(c.SetReadDeadline(deadline), ctx.Err()) // the end of ctx may have set a deadline that this call replaced
 	}
-	if err := wait(); err != nil {
+	if err := setDeadline(); err != nil {
 		return 0, err
 	}
 	if len(resp.TransferEncoding) == 0 {
 		return resp.Body.Read(p)
 	}
-	if _, err := in.Peek(1); err != nil {
+	if _, err := session.Peek(1); err != nil {
 		return resp.Body.Read(p[:1]) // its error says whether the body has ended
 	}
-	if in.Buffered() <= reservedForChunkHeads {
+	if session.Buffered() <= chunkHeaderReserve {
 		c.SetReadDeadline(time.Now().Add(bufferedReadTimeout))
-		in.Peek(in.Buffered() + 1)
-		if err := wait(); err != nil {
+		session.Peek(session.Buffered() + 1)
+		if err := setDeadline(); err != nil {
 			return 0, err
 		}
 	}
-	if most := in.Buffered() - reservedForChunkHeads; most > 0 {
-		return resp.Body.Read(p[:min(len(p), most)])
+	if maxRead := session.Buffered() - chunkHeaderReserve; maxRead > 0 {
+		return resp.Body.Read(p[:min(len(p), maxRead)])
 	}
-	for err == nil && n < len(p) && (n == 0 || in.Buffered() > chunkEndBytes) {
-		var one int
-		one, err = resp.Body.Read(p[n : n+1])
-		n += one
+	for err == nil && n < len(p) && (n == 0 || session.Buffered() > chunkEndBytes) {
+		var count int
+		count, err = resp.Body.Read(p[n : n+1])
+		n += count
 	}
 	return n, err
 }
@@ -155,9 +155,9 @@
 	onClose    func()
 }
 
-func newStreamedResponse(resp *http.Response, c *nodes.Conn[*stream], l limits.Limits, head []byte) *streamedResponse {
-	from := *resp
-	return &streamedResponse{buffered: head, source: &from, conn: c, limits: l, bytesLeft: l.Requests.StreamedBytes, closeAfter: resp.Close, onClose: func() {}}
+func newStreamedResponse(resp *http.Response, c *nodes.Conn[*stream], l limits.Limits, buffered []byte) *streamedResponse {
+	source := *resp
+	return &streamedResponse{buffered: buffered, source: &source, conn: c, limits: l, bytesLeft: l.Requests.StreamedBytes, closeAfter: resp.Close, onClose: func() {}}
 }
 
 func (a *streamedResponse) Read(p []byte) (n int, err error) {
@@ -186,9 +186,9 @@
 
 // classifyReadError returns errMalformedResponse for an answer that is malformed or has stopped arriving, and the read error
 // if the connection broke or ctx ended.
-func classifyReadError(ctx context.Context, part string, err error, in *stream) error {
-	broke := in.source.readErr != nil && !errors.Is(in.source.readErr, os.ErrDeadlineExceeded)
-	if broke || ctx.Err() != nil {
+func classifyReadError(ctx context.Context, part string, err error, session *stream) error {
+	connectionBroke := session.source.readErr != nil && !errors.Is(session.source.readErr, os.ErrDeadlineExceeded)
+	if connectionBroke || ctx.Err() != nil {
 		return fmt.Errorf("read %s: %w", part, err)
 	}
 	return fmt.Errorf("%w: %s: %w", errMalformedResponse, part, err)
--- a/internal/net/transport/answerwriter.go
+++ b/internal/net/transport/answerwriter.go
@@ -11,28 +11,28 @@
 // the answer begins, it asks the guard whether the connection may carry another request.
 type answerWriter struct {
 	http.ResponseWriter
-	control      *http.ResponseController
-	guard        *lifecycle.Guard
-	writeTimeout time.Duration
-	dueBy        time.Time // deadline of the answer, zero if none is owed
-	begun        bool
+	control       *http.ResponseController
+	guard         *lifecycle.Guard
+	writeTimeout  time.Duration
+	deadline      time.Time // deadline of the answer, zero if none is owed
+	headerWritten bool
 }
 
 // WriteHeader begins the answer. The connection closes after it if a shutdown has begun to close idle connections.
 func (w *answerWriter) WriteHeader(status int) {
-	if !w.begun && status >= http.StatusOK {
-		w.begun = true
+	if !w.headerWritten && status >= http.StatusOK {
+		w.headerWritten = true
 		if w.guard.Permits(lifecycle.EndIdle) {
 			w.Header().Set("Connection", "close")
 		}
-		w.guard.Done(lifecycle.Answer, w.dueBy)
+		w.guard.Done(lifecycle.Answer, w.deadline)
 	}
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write begins the answer if necessary and renews the write deadline.
 func (w *answerWriter) Write(p []byte) (int, error) {
-	if !w.begun {
+	if !w.headerWritten {
 		w.WriteHeader(http.StatusOK)
 	}
 	if err := w.control.SetWriteDeadline(time.Now().Add(w.writeTimeout)); err != nil {
--- a/internal/net/transport/body.go
+++ b/internal/net/transport/body.go
@@ -17,49 +17,51 @@
 
 // readRequest reads a request, or returns the status with which to reject it. A short body is buffered, so the request may
 // be retried. A long body is sent to its node as it arrives, except for its end.
-func (f *Front) readRequest(w http.ResponseWriter, r *http.Request, set protocol.Settings) (m inboundRequest, status int, err error) {
+func (f *Front) readRequest(w http.ResponseWriter, r *http.Request, settings protocol.Settings) (
+	inbound inboundRequest, status int, err error,
+) {
 	conn := connOf(r.Context())
 	if status, err := checkFraming(w, r, conn); err != nil {
-		return m, status, err
+		return inbound, status, err
 	}
-	m.Request, err = protocol.ParseRequest(r, set)
+	inbound.Request, err = protocol.ParseRequest(r, settings)
 	switch {
 	case errors.Is(err, protocol.ErrNoPath):
-		return m, http.StatusNotFound, err
+		return inbound, http.StatusNotFound, err
 	case err != nil:
-		return m, http.StatusBadRequest, err
+		return inbound, http.StatusBadRequest, err
 	case r.ContentLength > f.limits.Requests.StreamedBytes:
-		return m, http.StatusRequestEntityTooLarge, errBodyTooLong
+		return inbound, http.StatusRequestEntityTooLarge, errBodyTooLong
 	case r.ContentLength == 0:
-		return m, 0, nil
+		return inbound, 0, nil
 	}
 	control := http.NewResponseController(w)
-	came := newArrival(r.ContentLength < 0)
-	next := f.bodyReader(r, conn, control, &came)
-	m.Body, err = f.bufferBody(r.ContentLength, next)
+	bodyTimes := newBodyArrival(r.ContentLength < 0)
+	readNext := f.bodyReader(r, conn, control, &bodyTimes)
+	inbound.Body, err = f.bufferBody(r.ContentLength, readNext)
 	if err == nil { // the body is longer than what is buffered
-		err = f.streamBody(r, &m, next)
+		err = f.streamBody(r, &inbound, readNext)
 	}
 	switch {
 	case err == io.EOF || err == nil:
-		conn.framing.endBody()
-		m.TimeLeft -= toMicros(came.waited(conn.raw))
+		conn.framing.markBodyRead()
+		inbound.TimeLeft -= toMicros(bodyTimes.lastByteWait(conn.raw))
 	case errors.Is(err, errUploadFailed):
-		return m, 0, err
+		return inbound, 0, err
 	case f.guard.Permits(lifecycle.EndIncomplete): // the read was interrupted to close the connection
-		return m, 0, errUploadFailed
+		return inbound, 0, errUploadFailed
 	case errors.Is(err, errBodyTooLong):
-		return m, http.StatusRequestEntityTooLarge, errBodyTooLong
+		return inbound, http.StatusRequestEntityTooLarge, errBodyTooLong
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return m, http.StatusRequestTimeout, errors.New("the body did not come in time")
+		return inbound, http.StatusRequestTimeout, errors.New("the body did not come in time")
 	default:
-		return m, http.StatusBadRequest, errors.New("the body did not come whole")
+		return inbound, http.StatusBadRequest, errors.New("the body did not come whole")
 	}
 	// net/http notices that a client has left only after the body was read, and only without a read deadline.
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
-		return m, http.StatusInternalServerError, err
+		return inbound, http.StatusInternalServerError, err
 	}
-	return m, 0, nil
+	return inbound, 0, nil
 }
 
 // checkFraming rejects a request whose body may end in two places. The connection closes after any other request whose end
@@ -77,18 +79,20 @@
 
 // bodyReader returns a function that reads the next part of a body, within the limits on its length and on the time without
 // data.
-func (f *Front) bodyReader(r *http.Request, conn *clientConn, control *http.ResponseController, came *arrival) func(p []byte) (int, error) {
-	left := f.limits.Requests.StreamedBytes
+func (f *Front) bodyReader(r *http.Request, conn *clientConn, control *http.ResponseController,
+	bodyTimes *bodyArrival,
+) func(p []byte) (int, error) {
+	bytesLeft := f.limits.Requests.StreamedBytes
 	return func(p []byte) (int, error) {
 		if err := control.SetReadDeadline(time.Now().Add(f.limits.Clients.BodySilence)); err != nil {
 			return 0, err
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		n, err := r.Body.Read(p)
-		came.read(began, n, len(p))
+		bodyTimes.recordRead(startedAt, n, len(p))
 		f.clients.bodyProgressed(conn)
-		left -= int64(n)
-		if left < 0 {
+		bytesLeft -= int64(n)
+		if bytesLeft < 0 {
 			return n, errBodyTooLong
 		}
 		return n, err
@@ -97,17 +101,17 @@
 
 // bufferBody reads a body to its end, which it reports as io.EOF, or until it is one byte longer than what is buffered.
 // length is the Content-Length, negative if unknown.
-func (f *Front) bufferBody(length int64, next func(p []byte) (int, error)) (body []byte, err error) {
+func (f *Front) bufferBody(length int64, readNext func(p []byte) (int, error)) (body []byte, err error) {
 	const firstBuffer = 512
-	longest := f.limits.Requests.BufferedBytes + 1
-	buffer := make([]byte, min(max(length, firstBuffer), longest-1)+1)
+	maxBytes := f.limits.Requests.BufferedBytes + 1
+	buffer := make([]byte, min(max(length, firstBuffer), maxBytes-1)+1)
 	n := 0
 	for err == nil && n < len(buffer) {
-		var got int
-		got, err = next(buffer[n:])
-		n += got
-		if n == len(buffer) && int64(n) < longest { // the length is unknown
-			buffer = append(buffer, make([]byte, min(int64(n), longest-int64(n)))...)
+		var count int
+		count, err = readNext(buffer[n:])
+		n += count
+		if n == len(buffer) && int64(n) < maxBytes { // the length is unknown
+			buffer = append(buffer, make([]byte, min(int64(n), maxBytes-int64(n)))...)
 		}
 	}
 	return buffer[:n], err
@@ -115,21 +119,21 @@
 
 // streamBody sends a long request to its node as it arrives. If no node can take it, the rest of the body is read and
 // discarded.
-func (f *Front) streamBody(r *http.Request, m *inboundRequest, next func(p []byte) (int, error)) error {
-	err := f.next.upload(r, m, next)
+func (f *Front) streamBody(r *http.Request, inbound *inboundRequest, readNext func(p []byte) (int, error)) error {
+	err := f.roundTripper.upload(r, inbound, readNext)
 	if client := (clientError{}); err != nil && !errors.As(err, &client) {
-		return f.discardBody(next, err)
+		return f.discardBody(readNext, err)
 	}
 	return err
 }
 
 // discardBody reads the rest of a body that no node can take: an answer sent before the end of the body would be lost with
 // the connection.
-func (f *Front) discardBody(next func([]byte) (int, error), cause error) error {
-	piece := buffers.Get()
-	defer buffers.Put(piece)
+func (f *Front) discardBody(readNext func([]byte) (int, error), cause error) error {
+	buffer := buffers.Get()
+	defer buffers.Put(buffer)
 	for {
-		if _, err := next(piece); err == io.EOF {
+		if _, err := readNext(buffer); err == io.EOF {
 			return fmt.Errorf("%w: %w", errUploadFailed, cause)
 		} else if err != nil {
 			return err
--- a/internal/net/transport/clients.go
+++ b/internal/net/transport/clients.go
@@ -12,25 +12,25 @@
 
 // clientConns holds the open client connections.
 type clientConns struct {
-	limits   limits.Limits
-	guard    *lifecycle.Guard
-	mu       sync.Mutex
-	conns    map[*clientConn]struct{}
-	arriving int                  // accepted connections that are not in conns yet
-	closing  int                  // connections in conns that are to be closed or are being closed
-	handOff  func(net.Conn) error // takes over idle connections, nil while they are kept
-	changed  chan struct{}        // has a buffer of one: a connection was closed or became idle
+	limits       limits.Limits
+	guard        *lifecycle.Guard
+	mu           sync.Mutex
+	conns        map[*clientConn]struct{}
+	pending      int                  // accepted connections that are not in conns yet
+	closingCount int                  // connections in conns that are to be closed or are being closed
+	handOff      func(net.Conn) error // takes over idle connections, nil while they are kept
+	changed      chan struct{}        // has a buffer of one: a connection was closed or became idle
 }
 
 func newClientConns(l limits.Limits, guard *lifecycle.Guard) *clientConns {
 	return &clientConns{limits: l, guard: guard, conns: map[*clientConn]struct{}{}, changed: make(chan struct{}, 1)}
 }
 
-// announce changes the number of accepted connections that are not added yet.
-func (s *clientConns) announce(by int) {
+// addPending changes the number of accepted connections that are not added yet.
+func (s *clientConns) addPending(delta int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.arriving += by
+	s.pending += delta
 }
 
 // add adds a connection. If KeptConns are open, the one that has gone longest without a request is closed. Otherwise clients
@@ -48,15 +48,15 @@
 func (s *clientConns) tryAdd(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns)-s.closing >= s.limits.Clients.KeptConns {
+	if len(s.conns)-s.closingCount >= s.limits.Clients.KeptConns {
 		s.closeLongestIdle(time.Now())
 	}
-	if len(s.conns) >= s.limits.Clients.Conns+s.limits.Clients.SpareConns && !s.closeDrained() {
+	if len(s.conns) >= s.limits.Clients.Conns+s.limits.Clients.SpareConns && !s.closeOneEnding() {
 		return false
 	}
 	c.stageSince = time.Now()
 	s.conns[c] = struct{}{}
-	s.arriving--
+	s.pending--
 	return true
 }
 
@@ -65,7 +65,7 @@
 func (s *clientConns) markClosing(c *clientConn) {
 	if !c.markedClosing {
 		c.markedClosing = true
-		s.closing++
+		s.closingCount++
 	}
 }
 
@@ -75,10 +75,10 @@
 func (s *clientConns) shouldEnd(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.stage == reading && c.markedClosing && !c.framing.complete() && !c.hasUnreadInput() {
+	if c.stage == stageReading && c.markedClosing && !c.framing.isComplete() && !c.hasUnreadInput() {
 		return true // the request is incomplete, so no answer is owed
 	}
-	if c.stage == idle && !c.hasInput.Load() {
+	if c.stage == stageIdle && !c.hasInput.Load() {
 		if s.handOff != nil { // unread data in the kernel is handed over with it
 			c.handOff = s.handOff
 			return true
@@ -95,15 +95,15 @@
 func (s *clientConns) unmarkClosing(c *clientConn) {
 	if c.markedClosing {
 		c.markedClosing = false
-		s.closing--
+		s.closingCount--
 	}
 }
 
 // beginEnding marks that nothing more is read from a connection, and returns the function that takes it over, or nil.
-func (s *clientConns) beginEnding(c *clientConn) (pass func(net.Conn) error) {
+func (s *clientConns) beginEnding(c *clientConn) (handOff func(net.Conn) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.stage = ending
+	c.stage = stageEnding
 	if _, open := s.conns[c]; open {
 		s.markClosing(c)
 	}
@@ -142,13 +142,13 @@
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateActive:
-		if c.stage = reading; c.served {
+		if c.stage = stageReading; c.servedRequest {
 			c.stageSince = time.Now()
 		}
 	case http.StateIdle:
 		c.framing.reset()
 		c.hasInput.Store(len(c.readAhead) > 0)
-		c.stage, c.stageSince, c.served = idle, time.Now(), true
+		c.stage, c.stageSince, c.servedRequest = stageIdle, time.Now(), true
 		s.notifyChanged()
 	}
 }
@@ -160,14 +160,14 @@
 	c.stageSince = time.Now()
 }
 
-// markBusy marks that a request has arrived completely: its connection stays open until it is answered. It returns false if
-// the connection was closed meanwhile.
-func (s *clientConns) markBusy(c *clientConn) bool {
+// markAwaitingAnswer marks that a request has arrived completely: its connection stays open until it is answered. It returns
+// false if the connection was closed meanwhile.
+func (s *clientConns) markAwaitingAnswer(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.stage, c.sentRequest = busy, true
+	c.stage, c.sentRequest = stageAwaitingAnswer, true
 	_, open := s.conns[c]
-	c.owing.Store(open)
+	c.answerOwed.Store(open)
 	return open
 }
 
@@ -175,22 +175,22 @@
 func (s *clientConns) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.conns) + s.arriving
+	return len(s.conns) + s.pending
 }
 
 // endIdle closes the connections that have been idle since before the given time, and returns how many connections are left.
 // A connection on which a request is just arriving is kept. A client that finds its connection closed between requests opens
 // another.
-func (s *clientConns) endIdle(since time.Time) (left int) {
+func (s *clientConns) endIdle(idleBefore time.Time) (remaining int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if c.stage == idle && c.stageSince.Before(since) && !c.hasInput.Load() {
+		if c.stage == stageIdle && c.stageSince.Before(idleBefore) && !c.hasInput.Load() {
 			s.markClosing(c)
 			c.interruptRead()
 		}
 	}
-	return len(s.conns) + s.arriving
+	return len(s.conns) + s.pending
 }
 
 // endIncomplete closes the connections whose request has not arrived completely, since it could no longer be answered. The
@@ -199,24 +199,24 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if c.stage == reading {
+		if c.stage == stageReading {
 			s.markClosing(c)
 			c.interruptRead()
 		}
 	}
 }
 
-// handOffIdle has pass take over the connections that are idle now or become idle later; nil stops that. A connection on
+// handOffIdle has handOff take over the connections that are idle now or become idle later; nil stops that. A connection on
 // which data has arrived is served first.
-func (s *clientConns) handOffIdle(pass func(net.Conn) error) {
+func (s *clientConns) handOffIdle(handOff func(net.Conn) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.handOff = pass
-	if pass == nil {
+	s.handOff = handOff
+	if handOff == nil {
 		return
 	}
 	for c := range s.conns {
-		if c.stage == idle && !c.hasInput.Load() {
+		if c.stage == stageIdle && !c.hasInput.Load() {
 			c.interruptRead()
 		}
 	}
--- a/internal/net/transport/conn.go
+++ b/internal/net/transport/conn.go
@@ -18,30 +18,30 @@
 // a read, a request that arrived at that moment would be read and sent to a node, and its answer would be lost.
 type clientConn struct {
 	net.Conn
-	raw      net.Conn    // the connection below TLS, if TLS is used
-	hasInput atomic.Bool // data was read since the connection was last idle
-	answered atomic.Bool // at least a part of an answer was written
-	owing    atomic.Bool // a request has arrived completely and no byte of its answer was written
-	gone     atomic.Bool // the client has closed its sending side, or the connection broke
-	closing  atomic.Bool
+	raw           net.Conn    // the connection below TLS, if TLS is used
+	hasInput      atomic.Bool // data was read since the connection was last idle
+	answerStarted atomic.Bool // at least a part of an answer was written
+	answerOwed    atomic.Bool // a request has arrived completely and no byte of its answer was written
+	clientGone    atomic.Bool // the client has closed its sending side, or the connection broke
+	closeCalled   atomic.Bool
 
 	acceptDelay time.Duration // time that the first request may have waited to be read because accepting failed
 
-	framing   framing   // used by the reading goroutine, like the next three fields
-	headSince time.Time // when the current head began to arrive
-	readAhead []byte    // data that arrived after a request that awaits its answer
-	flooded   bool      // readAhead overflowed: the excess was dropped, and the connection closes after the answer
+	framing       framing   // this and the next three fields are used by the reading goroutine
+	headStartedAt time.Time // when the current head began to arrive
+	readAhead     []byte    // data that arrived after a request that awaits its answer
+	overflowed    bool      // readAhead overflowed: the excess was dropped, and the connection closes after the answer
 
 	reads struct { // the read deadline
 		sync.Mutex
-		deadline time.Time // as set by net/http
-		woken    bool      // the read was interrupted by the front itself
+		deadline    time.Time // as set by net/http
+		interrupted bool      // the read was interrupted by the front itself
 	}
 
 	clients       *clientConns
 	stage         stage
 	stageSince    time.Time // start of the stage; while the first request arrives, time of accepting
-	served        bool      // at least one request is finished
+	servedRequest bool      // at least one request is finished
 	sentRequest   bool      // at least one request for the core has arrived
 	markedClosing bool      // to be closed unless data has arrived
 	handOff       func(net.Conn) error
@@ -51,10 +51,10 @@
 type stage int
 
 const (
-	idle    stage = iota // no request has begun
-	reading              // a request has begun to arrive and is incomplete
-	busy                 // a complete request awaits its answer
-	ending               // nothing more is read; the client reads the last answer
+	stageIdle           stage = iota // no request has begun
+	stageReading                     // a request has begun to arrive and is incomplete
+	stageAwaitingAnswer              // a complete request awaits its answer
+	stageEnding                      // nothing more is read; the client reads the last answer
 )
 
 // Read returns the received data to net/http. While a request awaits its answer, net/http tries to read one more byte to
@@ -65,14 +65,14 @@
 		if c.clients.shouldEnd(c) {
 			return 0, io.EOF // net/http takes the client for gone; Close closes the connection or hands it over
 		}
-		owed := c.framing.complete()
+		requestComplete := c.framing.isComplete()
 		switch {
-		case owed && len(c.readAhead) > 0: // reading single bytes would be slow
-			piece := buffers.Get()
-			n, err := c.Conn.Read(piece)
-			c.noteEnd(err)
-			c.bufferAhead(piece[:n])
-			buffers.Put(piece)
+		case requestComplete && len(c.readAhead) > 0: // reading single bytes would be slow
+			buffer := buffers.Get()
+			n, err := c.Conn.Read(buffer)
+			c.recordReadError(err)
+			c.bufferAhead(buffer[:n])
+			buffers.Put(buffer)
 			if c.resumeRead(err) {
 				continue
 			}
@@ -81,20 +81,20 @@
 			n := c.consume(p[:copy(p, c.readAhead)])
 			c.readAhead = c.readAhead[n:]
 			return n, nil
-		case c.flooded && !owed:
+		case c.overflowed && !requestComplete:
 			return 0, io.EOF
 		}
-		c.boundHead()
+		c.limitHeadTime()
 		n, err := c.Conn.Read(p)
-		c.noteEnd(err)
-		if n > 0 && c.framing.complete() { // the handler may have read the whole request meanwhile
+		c.recordReadError(err)
+		if n > 0 && c.framing.isComplete() { // the handler may have read the whole request meanwhile
 			c.bufferAhead(p[:n])
 			continue
 		}
 		if n > 0 {
-			own := c.consume(p[:n])
-			c.bufferAhead(p[own:n])
-			return own, err
+			consumed := c.consume(p[:n])
+			c.bufferAhead(p[consumed:n])
+			return consumed, err
 		}
 		if !c.resumeRead(err) {
 			return 0, err
@@ -102,40 +102,40 @@
 	}
 }
 
-// boundHead limits the time for a head that has begun to arrive. On a connection that was idle, net/http waits for the first
-// four bytes as long as for a new request.
-func (c *clientConn) boundHead() {
-	if c.headSince.IsZero() || !c.framing.inHead() {
+// limitHeadTime limits the time for a head that has begun to arrive. On a connection that was idle, net/http waits for the
+// first four bytes as long as for a new request.
+func (c *clientConn) limitHeadTime() {
+	if c.headStartedAt.IsZero() || !c.framing.isInHead() {
 		return
 	}
-	by := c.headSince.Add(c.clients.limits.Clients.HeaderTimeout)
+	deadline := c.headStartedAt.Add(c.clients.limits.Clients.HeaderTimeout)
 	c.reads.Lock()
 	defer c.reads.Unlock()
-	if !c.reads.woken && (c.reads.deadline.IsZero() || by.Before(c.reads.deadline)) {
-		c.reads.deadline = by
-		c.Conn.SetReadDeadline(by)
+	if !c.reads.interrupted && (c.reads.deadline.IsZero() || deadline.Before(c.reads.deadline)) {
+		c.reads.deadline = deadline
+		c.Conn.SetReadDeadline(deadline)
 	}
 }
 
 // consume records data that net/http receives, and returns how many of its bytes belong to the current request. Any further
 // bytes would be in net/http's buffer, invisible to this type.
-func (c *clientConn) consume(p []byte) (own int) {
+func (c *clientConn) consume(p []byte) (consumed int) {
 	if !c.hasInput.Swap(true) {
-		c.headSince = time.Now()
+		c.headStartedAt = time.Now()
 	}
 	return c.framing.consume(p)
 }
 
-// noteEnd records an error that ended the connection, as opposed to an interrupted or timed out read.
-func (c *clientConn) noteEnd(err error) {
+// recordReadError records an error that ended the connection, as opposed to an interrupted or timed out read.
+func (c *clientConn) recordReadError(err error) {
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.gone.Store(true)
+		c.clientGone.Store(true)
 	}
 }
 
 func (c *clientConn) Write(p []byte) (int, error) {
-	c.answered.Store(true)
-	c.owing.Store(false)
+	c.answerStarted.Store(true)
+	c.answerOwed.Store(false)
 	return c.Conn.Write(p)
 }
 
@@ -158,7 +158,7 @@
 func (c *clientConn) interruptRead() {
 	c.reads.Lock()
 	defer c.reads.Unlock()
-	c.reads.woken = true
+	c.reads.interrupted = true
 	c.raw.SetReadDeadline(time.Unix(1, 0))
 }
 
@@ -170,13 +170,13 @@
 	}
 	c.reads.Lock()
 	defer c.reads.Unlock()
-	woken := c.reads.woken
-	c.reads.woken = false
-	return woken && errors.Is(err, os.ErrDeadlineExceeded) && c.Conn.SetReadDeadline(c.reads.deadline) == nil
+	interrupted := c.reads.interrupted
+	c.reads.interrupted = false
+	return interrupted && errors.Is(err, os.ErrDeadlineExceeded) && c.Conn.SetReadDeadline(c.reads.deadline) == nil
 }
 
-// floodPause slows down a client whose data is dropped: one buffer of 32 KiB per pause, 32 MB per second.
-const floodPause = time.Millisecond
+// overflowPause slows down a client whose data is dropped: one buffer of 32 KiB per pause, 32 MB per second.
+const overflowPause = time.Millisecond
 
 // bufferAhead keeps data that arrives before the current answer is written. Beyond the limit the data is dropped buffer by
 // buffer, so that the end of the connection after it is seen.
@@ -185,8 +185,8 @@
 		return
 	}
 	room := c.clients.limits.Clients.ReadAhead - len(c.readAhead)
-	if c.flooded = c.flooded || len(p) > room; c.flooded {
-		time.Sleep(floodPause)
+	if c.overflowed = c.overflowed || len(p) > room; c.overflowed {
+		time.Sleep(overflowPause)
 	}
 	c.readAhead = append(c.readAhead, p[:min(len(p), max(room, 0))]...)
 }
@@ -194,15 +194,16 @@
 // Close closes the connection. A client that was sent an answer may read it to its end first: closing a socket with unread
 // bytes resets the connection and discards the answer in transit.
 func (c *clientConn) Close() error {
-	if c.owing.Load() && !c.gone.Load() && !c.hungUp() {
+	if c.answerOwed.Load() && !c.clientGone.Load() && !c.hungUp() {
 		c.clients.guard.Violated(lifecycle.EndIdle, "connection closed with a request unanswered")
 	}
-	if c.closing.Swap(true) { // closed a second time: the front stops, or needs the slot
+	if c.closeCalled.Swap(true) { // closed a second time: the front stops, or needs the slot
 		return c.Conn.Close()
 	}
-	pass := c.clients.beginEnding(c)
-	passed := pass != nil && pass(c.raw) == nil
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); !passed && c.answered.Load() && ok && half.CloseWrite() == nil {
+	handOff := c.clients.beginEnding(c)
+	handedOff := handOff != nil && handOff(c.raw) == nil
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); !handedOff && c.answerStarted.Load() && ok &&
+		halfCloser.CloseWrite() == nil {
 		c.Conn.SetReadDeadline(time.Now().Add(c.clients.limits.Clients.LastAnswerTimeout))
 		io.Copy(io.Discard, c.Conn)
 	}
--- a/internal/net/transport/connections_test.go
+++ b/internal/net/transport/connections_test.go
@@ -15,32 +15,32 @@
 	"otterturn/scheduler"
 )
 
-func TestNodeThatIsNotThere(t *testing.T) {
+func TestAttemptAtUnreachableOrSilentNode(t *testing.T) {
 	l := standin.Listen(t)
 	l.Close()
-	if got := send(t, newNodes(nil, l.Addr().String()), standin.Patience); got.Result != scheduler.Unreachable {
+	if got := sendAttempt(t, newNodes(nil, l.Addr().String()), standin.Patience); got.Result != scheduler.Unreachable {
 		t.Errorf("refused connection: result %v", got.Result)
 	}
 	silent := standin.Peer(t, func(_ int, c net.Conn) { io.Copy(io.Discard, c) })
-	if got := send(t, newNodes(nil, silent), 50*time.Millisecond); got.Result != scheduler.TimedOut {
+	if got := sendAttempt(t, newNodes(nil, silent), 50*time.Millisecond); got.Result != scheduler.TimedOut {
 		t.Errorf("silent node: result %v", got.Result)
 	}
 }
 
 // A connection that is reset while it is opened, or before anything is written, says nothing about the node, and an attempt
 // of which nothing was sent uses another connection. Which of the two cases the client sees depends on how fast the node is.
-func TestConnectionResetAsItComesUp(t *testing.T) {
+func TestConnectionResetWhileOpening(t *testing.T) {
 	addr := standin.Peer(t, func(n int, c net.Conn) {
 		if n%2 == 0 {
 			c.(*net.TCPConn).SetLinger(0)
 			return
 		}
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-			io.WriteString(c, served)
+			io.WriteString(c, okAnswer)
 		}
 	})
 	for range 2000 {
-		if got := send(t, newNodes(nil, addr), standin.Patience); got.Result != scheduler.OK && !got.Alive {
+		if got := sendAttempt(t, newNodes(nil, addr), standin.Patience); got.Result != scheduler.OK && !got.Alive {
 			t.Fatalf("result %+v, want OK or an alive node", got)
 		}
 	}
@@ -49,29 +49,29 @@
 // The front's limit on connections to nodes says nothing about one node: reported as the node being full, it kept requests
 // from a node with free capacity. An idle connection to another node is closed to make room, and if there is none the
 // attempt waits for one.
-func TestSocketsInUseAreNoNewsOfANode(t *testing.T) {
-	begun, goOn := make(chan struct{}, 1), make(chan struct{})
-	addr, _ := newNode(t, func(n int64, c net.Conn, _ *http.Request) {
+func TestConnectionLimitIsNotReportedAsNodeFull(t *testing.T) {
+	started, proceed := make(chan struct{}, 1), make(chan struct{})
+	addr, _ := startNode(t, func(n int64, c net.Conn, _ *http.Request) {
 		if n == 2 {
-			begun <- struct{}{}
-			<-goOn
+			started <- struct{}{}
+			<-proceed
 		}
-		io.WriteString(c, served)
+		io.WriteString(c, okAnswer)
 	})
-	other, count := newNode(t, func(_ int64, c net.Conn, _ *http.Request) { io.WriteString(c, served) })
+	other, count := startNode(t, func(_ int64, c net.Conn, _ *http.Request) { io.WriteString(c, okAnswer) })
 	s := newNodes(func(l *limits.Limits) { l.Nodes.Conns = 1 }, addr, other)
 	probe := NewHealthChecker(s, protocol.Settings{}, logs.Quiet()).Check
-	if got := send(t, s, standin.Patience); got.Result != scheduler.OK {
+	if got := sendAttempt(t, s, standin.Patience); got.Result != scheduler.OK {
 		t.Errorf("first attempt: result %v", got.Result)
 	}
 	if !probe("node-1").OK {
 		t.Error("health check failed though the other node's connection was idle")
 	}
 	first, second := make(chan scheduler.AttemptEnded, 1), make(chan scheduler.HealthChecked, 1)
-	go func() { first <- send(t, s, standin.Patience) }()
-	standin.Await(t, "the attempt to begin", begun)
+	go func() { first <- sendAttempt(t, s, standin.Patience) }()
+	standin.Await(t, "the attempt to begin", started)
 	go func() { second <- probe("node-1") }()
-	close(goOn)
+	close(proceed)
 	if got := standin.Await(t, "the outcome", first); got.Result != scheduler.OK {
 		t.Errorf("attempt that held the connection: result %v", got.Result)
 	}
@@ -82,26 +82,26 @@
 
 // A request written to a connection that the node has closed ends with a reset, after which it may have run. So an idle
 // connection is checked before it is used.
-func TestConnectionThatEndedWhileIdleCarriesNothing(t *testing.T) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	ended := make(chan struct{}, 1)
-	addr, _ := newNode(t, func(n int64, c net.Conn, _ *http.Request) {
-		io.WriteString(c, served)
+	addr, _ := startNode(t, func(n int64, c net.Conn, _ *http.Request) {
+		io.WriteString(c, okAnswer)
 		if n == 1 {
 			c.Close()
 			ended <- struct{}{}
 		}
 	})
 	s := newNodes(nil, addr)
-	send(t, s, standin.Patience)
+	sendAttempt(t, s, standin.Patience)
 	standin.Await(t, "the node to close the connection", ended)
-	if got := send(t, s, standin.Patience); got.Result != scheduler.OK {
+	if got := sendAttempt(t, s, standin.Patience); got.Result != scheduler.OK {
 		t.Errorf("after the node closed an idle connection: result %v", got.Result)
 	}
 }
 
 // No byte may be written on an old connection once the node has been restarted, or once a drain was announced while a
 // connection was being opened.
-func TestNewsOfANodeCountsBeforeTheFirstByte(t *testing.T) {
+func TestNodeChangesApplyBeforeTheFirstByte(t *testing.T) {
 	conns := make(chan int, 8)
 	addr := standin.Peer(t, func(n int, c net.Conn) {
 		conns <- n
@@ -109,22 +109,22 @@
 			if _, err := http.ReadRequest(in); err != nil {
 				return
 			}
-			io.WriteString(c, served)
+			io.WriteString(c, okAnswer)
 		}
 	})
 	s := newNodes(nil, addr)
-	send(t, s, standin.Patience)
+	sendAttempt(t, s, standin.Patience)
 	standin.Await(t, "the first connection", conns)
-	anew := list(addr)
-	anew.Hosts[0].StartedAt = 7
-	s.Apply(anew)
-	if got := send(t, s, standin.Patience); got.Result != scheduler.OK {
+	endpoints := endpointList(addr)
+	endpoints.Hosts[0].StartedAt = 7
+	s.Apply(endpoints)
+	if got := sendAttempt(t, s, standin.Patience); got.Result != scheduler.OK {
 		t.Errorf("after a restart: result %v", got.Result)
 	}
 	standin.Await(t, "a connection to the restarted node", conns)
-	anew.Hosts[0].State = scheduler.Draining
-	s.Apply(anew)
-	if got := send(t, s, standin.Patience); got.Result != scheduler.QueueFull {
+	endpoints.Hosts[0].State = scheduler.Draining
+	s.Apply(endpoints)
+	if got := sendAttempt(t, s, standin.Patience); got.Result != scheduler.QueueFull {
 		t.Errorf("draining node: result %v", got.Result)
 	}
 }
--- a/internal/net/transport/discovery.go
+++ b/internal/net/transport/discovery.go
@@ -36,25 +36,25 @@
 		DialContext: (&net.Dialer{Timeout: l.Nodes.ConnectTimeout}).DialContext,
 	}}
 	defer client.CloseIdleConnections()
-	said, hold := "", l.Discovery.WatchHold
-	warn := func(what, text string) {
-		if text != said {
-			said = text
-			log.Warn(what, "address", addr, "error", text)
+	lastWarning, hold := "", l.Discovery.WatchHold
+	warn := func(message, reason string) {
+		if reason != lastWarning {
+			lastWarning = reason
+			log.Warn(message, "address", addr, "error", reason)
 		}
 	}
-	calls := backoff.New(backoff.Config{Min: l.Discovery.RetryMin, Max: l.Discovery.RetryMax, Spread: l.Discovery.StartSpread}, seed)
-	sleep(ctx, calls.InitialDelay())
+	retries := backoff.New(backoff.Config{Min: l.Discovery.RetryMin, Max: l.Discovery.RetryMax, Spread: l.Discovery.StartSpread}, seed)
+	sleep(ctx, retries.InitialDelay())
 	for ctx.Err() == nil {
-		began := time.Now()
-		list, err := fetch(ctx, client, addr, seq, hold, zones, l, now)
+		startedAt := time.Now()
+		list, err := fetchList(ctx, client, addr, seq, hold, zones, l, now)
 		switch {
 		case ctx.Err() != nil:
 			return // another watch may have begun: a late answer must not undo its changes
 		case err != nil:
 			warn("discovery unreadable, endpoint list unchanged", err.Error())
 			hold = 0
-			sleep(ctx, calls.Next())
+			sleep(ctx, retries.Next())
 			continue
 		case list.Seq < seq:
 			warn("discovery went back, endpoint list unchanged", fmt.Sprintf("version %d is older than %d", list.Seq, seq))
@@ -64,15 +64,15 @@
 		case len(list.Odd) > 0:
 			warn("invalid endpoints ignored", fmt.Sprintf("%d entries, the first for %s", len(list.Odd), list.Odd[0]))
 		default:
-			said = ""
+			lastWarning = ""
 		}
-		calls.Reset()
+		retries.Reset()
 		// An agent that does not hold an empty answer would otherwise be called without a pause. The next call must come
 		// within 200 ms of an answer, or the watch would have to be started again.
-		again := hold == 0 || len(list.Hosts) > 0 || time.Since(began) > l.Discovery.RetryMin
+		callNow := hold == 0 || len(list.Hosts) > 0 || time.Since(startedAt) > l.Discovery.RetryMin
 		seq, hold = list.Seq, l.Discovery.WatchHold
 		apply(list)
-		if !again {
+		if !callNow {
 			sleep(ctx, l.Discovery.RetryMin)
 		}
 	}
@@ -89,12 +89,12 @@
 // clockSlack is how far a node's clock may be ahead of this machine's.
 const clockSlack = time.Minute
 
-// fetch requests the changes since a version, or the whole list. Discovery may hold the answer for up to hold.
-func fetch(ctx context.Context, client *http.Client, addr string, seq int64, hold time.Duration, zones []string,
+// fetchList requests the changes since a version, or the whole list. Discovery may hold the answer for up to hold.
+func fetchList(ctx context.Context, client *http.Client, addr string, seq int64, hold time.Duration, zones []string,
 	l limits.Limits, now func() scheduler.Micros,
 ) (protocol.List, error) {
-	ctx, end := context.WithTimeout(ctx, hold+l.Discovery.AnswerTimeout)
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, hold+l.Discovery.AnswerTimeout)
+	defer cancel()
 	url := fmt.Sprintf("http://%s/v1/endpoints", addr)
 	if seq != FullList {
 		url += fmt.Sprintf("?from=%d&hold_ms=%d", seq, hold.Milliseconds())
@@ -108,12 +108,12 @@
 		return protocol.List{}, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, l.Discovery.ListBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, l.Discovery.ListBytes+1))
 	switch {
 	case err != nil:
 		return protocol.List{}, err
-	case resp.StatusCode != http.StatusOK || int64(len(text)) > l.Discovery.ListBytes:
-		return protocol.List{}, fmt.Errorf("status %d, %d bytes, limit %d bytes", resp.StatusCode, len(text), l.Discovery.ListBytes)
+	case resp.StatusCode != http.StatusOK || int64(len(body)) > l.Discovery.ListBytes:
+		return protocol.List{}, fmt.Errorf("status %d, %d bytes, limit %d bytes", resp.StatusCode, len(body), l.Discovery.ListBytes)
 	}
-	return protocol.ParseList(text, zones, now()+toMicros(clockSlack))
+	return protocol.ParseList(body, zones, now()+toMicros(clockSlack))
 }
--- a/internal/net/transport/watch_test.go
+++ b/internal/net/transport/discovery_test.go
@@ -17,14 +17,14 @@
 	"otterturn/scheduler"
 )
 
-// watched runs a watch on a discovery server whose answers come from answer, where "" means no answer. It returns the
+// startWatch runs a watch on a discovery server whose answers come from answer, where "" means no answer. It returns the
 // queries of the calls, the lists and the log lines.
-func watched(t *testing.T, edit func(*limits.Limits), answer func(n int64, query string) string) (calls chan string, lists chan protocol.List, logged chan string) {
+func startWatch(t *testing.T, edit func(*limits.Limits), answer func(n int64, query string) string) (calls chan string, lists chan protocol.List, logged chan string) {
 	t.Helper()
 	l := standin.Limits()
 	edit(&l)
 	calls, lists, logged = make(chan string, 1024), make(chan protocol.List, 1024), make(chan string, 1024)
-	addr, _ := newNode(t, func(n int64, c net.Conn, r *http.Request) {
+	addr, _ := startNode(t, func(n int64, c net.Conn, r *http.Request) {
 		calls <- r.URL.RawQuery
 		text := answer(n, r.URL.RawQuery)
 		if text == "" {
@@ -33,30 +33,30 @@
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	})
-	ctx, end := context.WithCancel(t.Context())
-	t.Cleanup(end)
-	go Watch(ctx, addr, 41, nil, l, 1, anyTime, func(l protocol.List) { lists <- l }, standin.Log(func(line string) { logged <- line }))
+	ctx, cancel := context.WithCancel(t.Context())
+	t.Cleanup(cancel)
+	go Watch(ctx, addr, 41, nil, l, 1, systemTime, func(l protocol.List) { lists <- l }, standin.Log(func(line string) { logged <- line }))
 	return calls, lists, logged
 }
 
-func entry(health string, block int, born int64) string {
+func listEntry(health string, block int, born int64) string {
 	return fmt.Sprintf(`{"host":"x","health":%q,"dial":"127.0.0.1:1","site":"a","block":%d,"born_ms":%d}`, health, block, born)
 }
 
 // A silent watch was once reopened by a call that discovery holds, which a front can't distinguish from silence: after
 // discovery came back, nodes were draining for over a second before a front knew that it was available.
-func TestSilentWatchIsOpenedAnewByACallThatIsNotHeld(t *testing.T) {
-	silent := 3
-	calls, lists, _ := watched(t, func(*limits.Limits) {}, func(n int64, _ string) string {
-		if n <= int64(silent) {
+func TestSilentWatchIsReopenedWithoutHold(t *testing.T) {
+	silentCalls := 3
+	calls, lists, _ := startWatch(t, func(*limits.Limits) {}, func(n int64, _ string) string {
+		if n <= int64(silentCalls) {
 			return ""
 		}
-		return `{"seq":42,"hosts":[` + entry("draining", 3, 5) + `]}`
+		return `{"seq":42,"hosts":[` + listEntry("draining", 3, 5) + `]}`
 	})
 	if query := standin.Await(t, "the first call", calls); query == "from=41&hold_ms=0" {
 		t.Errorf("first call: query %s", query)
 	}
-	for range silent {
+	for range silentCalls {
 		if query := standin.Await(t, "a discovery call", calls); query != "from=41&hold_ms=0" {
 			t.Errorf("call after silence: query %s", query)
 		}
@@ -71,15 +71,15 @@
 
 // A list older than the known one is not applied. Discovery may have been restarted, so the whole list is requested and
 // decides.
-func TestListThatGoesBack(t *testing.T) {
-	calls, lists, logged := watched(t, func(*limits.Limits) {}, func(n int64, query string) string {
+func TestOlderListIsNotApplied(t *testing.T) {
+	calls, lists, logged := startWatch(t, func(*limits.Limits) {}, func(n int64, query string) string {
 		switch {
 		case n == 1:
-			return `{"seq":45,"hosts":[` + entry("draining", 3, 5) + `]}`
+			return `{"seq":45,"hosts":[` + listEntry("draining", 3, 5) + `]}`
 		case query != "":
-			return `{"seq":40,"whole":true,"hosts":[` + entry("up", 3, 5) + `]}`
+			return `{"seq":40,"whole":true,"hosts":[` + listEntry("up", 3, 5) + `]}`
 		}
-		return `{"seq":7,"whole":true,"hosts":[` + entry("up", 3, 6) + `]}`
+		return `{"seq":7,"whole":true,"hosts":[` + listEntry("up", 3, 6) + `]}`
 	})
 	if got := standin.Await(t, "the first list", lists); got.Seq != 45 {
 		t.Errorf("%+v", got)
@@ -97,9 +97,9 @@
 }
 
 // An invalid entry would assign a node to another shard, or make it count as a cold node for years.
-func TestEntriesThatCannotBeTrueLeaveWhatWasKnown(t *testing.T) {
-	texts := []string{entry("up", 3, 5), entry("up", -1, 5), entry("up", 3, -5), entry("up", 4, 1<<50)}
-	calls, lists, logged := watched(t, func(*limits.Limits) {}, func(n int64, _ string) string {
+func TestInvalidEntriesLeaveKnownNodesUnchanged(t *testing.T) {
+	texts := []string{listEntry("up", 3, 5), listEntry("up", -1, 5), listEntry("up", 3, -5), listEntry("up", 4, 1<<50)}
+	calls, lists, logged := startWatch(t, func(*limits.Limits) {}, func(n int64, _ string) string {
 		return fmt.Sprintf("{ \"seq\": %d,\n \"whole\": true, \"hosts\": [\n\t%s ] }", 41+n, texts[min(int(n)-1, len(texts)-1)])
 	})
 	known := roster.New()
@@ -117,20 +117,21 @@
 	}
 }
 
-// anyTime is a clock for lists whose nodes have started long ago.
-func anyTime() scheduler.Micros { return scheduler.Micros(time.Now().UnixMicro()) }
+// systemTime is a clock for lists whose nodes have started long ago.
+func systemTime() scheduler.Micros { return scheduler.Micros(time.Now().UnixMicro()) }
 
 // Guards against nodes that are ignored because this machine's clock was stepped back: whether a start time is valid is
 // decided by the front's own clock.
-func TestStepOfTheClockHidesNoNode(t *testing.T) {
-	ahead := func() scheduler.Micros { return anyTime() + scheduler.Micros(time.Hour/time.Microsecond) } // the system clock was set back
+func TestClockStepExcludesNoNode(t *testing.T) {
+	// The system clock was set back by an hour, the front's clock was not.
+	frontClock := func() scheduler.Micros { return systemTime() + scheduler.Micros(time.Hour/time.Microsecond) }
 	text := fmt.Sprintf(`{"seq":42,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","block":0,"health":"up","born_ms":%d}]}`,
 		time.Now().Add(time.Hour/2).UnixMilli())
-	addr, _ := newNode(t, func(_ int64, c net.Conn, _ *http.Request) {
+	addr, _ := startNode(t, func(_ int64, c net.Conn, _ *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	})
 	lists := make(chan protocol.List, 1024)
-	go Watch(t.Context(), addr, FullList, nil, standin.Limits(), 1, ahead, func(l protocol.List) { lists <- l }, standin.Log(func(string) {}))
+	go Watch(t.Context(), addr, FullList, nil, standin.Limits(), 1, frontClock, func(l protocol.List) { lists <- l }, standin.Log(func(string) {}))
 	if got := standin.Await(t, "the list", lists); len(got.Hosts) != 1 || len(got.Odd) != 0 {
 		t.Errorf("%+v", got)
 	}
--- a/internal/net/transport/evict.go
+++ b/internal/net/transport/evict.go
@@ -6,31 +6,32 @@
 // Connections that never carried a request for the core go first: in a flood of them, clients would otherwise lose
 // connections that they use occasionally. The caller holds the lock.
 func (s *clientConns) closeLongestIdle(now time.Time) {
-	var longest *clientConn
+	var candidate *clientConn
 	for c := range s.conns {
-		wait := s.limits.Clients.MinIdle
-		if c.stage == reading {
-			wait = s.limits.Clients.HeaderTimeout / 2
+		minWait := s.limits.Clients.MinIdle
+		if c.stage == stageReading {
+			minWait = s.limits.Clients.HeaderTimeout / 2
 		}
-		if c.stage == busy || c.markedClosing || now.Sub(c.stageSince) < wait || longest != nil && !c.evictedBefore(longest) {
+		if c.stage == stageAwaitingAnswer || c.markedClosing || now.Sub(c.stageSince) < minWait ||
+			candidate != nil && !c.isEvictedBefore(candidate) {
 			continue
 		}
-		if c.stage == reading || !c.hasInput.Load() {
-			longest = c
+		if c.stage == stageReading || !c.hasInput.Load() {
+			candidate = c
 		}
 	}
-	if longest != nil {
-		s.markClosing(longest)
-		longest.interruptRead()
+	if candidate != nil {
+		s.markClosing(candidate)
+		candidate.interruptRead()
 	}
 }
 
-// closeDrained frees a slot at once: it closes a connection whose last answer was written, though the client may still be
+// closeOneEnding frees a slot at once: it closes a connection whose last answer was written, though the client may still be
 // reading it. A connection with unread bytes is kept, as closing it would reset it and discard that answer. The caller holds
 // the lock.
-func (s *clientConns) closeDrained() bool {
+func (s *clientConns) closeOneEnding() bool {
 	for c := range s.conns {
-		if c.stage == ending && !c.hasUnreadInput() {
+		if c.stage == stageEnding && !c.hasUnreadInput() {
 			s.closeNow(c)
 			return true
 		}
@@ -38,7 +39,7 @@
 	return false
 }
 
-func (c *clientConn) evictedBefore(other *clientConn) bool {
+func (c *clientConn) isEvictedBefore(other *clientConn) bool {
 	if c.sentRequest != other.sentRequest {
 		return other.sentRequest
 	}
--- a/internal/net/transport/evict_test.go
+++ b/internal/net/transport/evict_test.go
@@ -15,8 +15,8 @@
 	"otterturn/scheduler"
 )
 
-// readAll reads from a connection as net/http does, until its end.
-func readAll(c *clientConn) <-chan error {
+// readUntilError reads from a connection as net/http does, until its end.
+func readUntilError(c *clientConn) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
 		buffer := make([]byte, 4096)
@@ -30,8 +30,8 @@
 	return ended
 }
 
-// evict closes the connection that has gone longest without a request, however short that time is.
-func evict(s *clientConns) {
+// evictLongestIdle closes the connection that has gone longest without a request, however short that time is.
+func evictLongestIdle(s *clientConns) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closeLongestIdle(time.Now().Add(time.Hour))
@@ -39,13 +39,13 @@
 
 // The connection on which a request has been arriving longest is closed for a new one. If that request has become complete
 // at this moment it must be answered; its connection was once closed before the answer.
-func TestRequestThatIsCompleteKeepsItsConnection(t *testing.T) {
-	s, c, far := acceptOne(t)
+func TestCompleteRequestIsNotEvicted(t *testing.T) {
+	s, c, far := acceptClient(t)
 	s.trackState(c, http.StateActive)
-	io.WriteString(far, fmt.Sprintf(request, "id")+"\r\n")
-	readAll(c)
-	standin.Until(t, "the request to be complete", c.framing.complete)
-	evict(s)
+	io.WriteString(far, fmt.Sprintf(requestHead, "id")+"\r\n")
+	readUntilError(c)
+	standin.Until(t, "the request to be complete", c.framing.isComplete)
+	evictLongestIdle(s)
 	if _, err := c.Write([]byte("answer")); err != nil {
 		t.Fatalf("write of the answer: %v", err)
 	}
@@ -56,27 +56,27 @@
 }
 
 // A request whose rest is already in the kernel's buffer is read to its end.
-func TestRequestThatHasArrivedKeepsItsConnection(t *testing.T) {
-	s, c, far := acceptOne(t)
+func TestRequestInKernelBufferIsNotEvicted(t *testing.T) {
+	s, c, far := acceptClient(t)
 	s.trackState(c, http.StateActive)
-	io.WriteString(far, fmt.Sprintf(request, "id")+"\r\n")
+	io.WriteString(far, fmt.Sprintf(requestHead, "id")+"\r\n")
 	standin.Until(t, "the request to arrive", c.hasPendingInput)
-	evict(s)
-	readAll(c)
-	standin.Until(t, "the request to be complete", c.framing.complete)
+	evictLongestIdle(s)
+	readUntilError(c)
+	standin.Until(t, "the request to be complete", c.framing.isComplete)
 	if _, err := c.Write([]byte("answer")); err != nil {
 		t.Errorf("write of the answer: %v", err)
 	}
 }
 
 // A connection with an incomplete request is closed for a new one, as no answer is owed. Its own reader closes it.
-func TestIncompleteRequestMakesRoom(t *testing.T) {
-	s, c, far := acceptOne(t)
+func TestIncompleteRequestIsEvicted(t *testing.T) {
+	s, c, far := acceptClient(t)
 	s.trackState(c, http.StateActive)
 	io.WriteString(far, "GET /re")
-	ended := readAll(c)
+	ended := readUntilError(c)
 	standin.Until(t, "half a request to arrive", c.hasInput.Load)
-	evict(s)
+	evictLongestIdle(s)
 	if err := standin.Await(t, "the read to end", ended); err != io.EOF {
 		t.Errorf("the read ended with %v, want io.EOF", err)
 	}
@@ -84,37 +84,37 @@
 
 // A client that reads its last answer has sent more data than was read. Closing its connection to free a slot would reset it
 // and discard that answer.
-func TestLastAnswerIsNotCutOffForRoom(t *testing.T) {
-	s, c, far := acceptOne(t)
+func TestEvictionDoesNotDiscardLastAnswer(t *testing.T) {
+	s, c, far := acceptClient(t)
 	s.beginEnding(c)
 	io.WriteString(far, "GET /behind")
 	standin.Until(t, "bytes after the request to arrive", c.hasPendingInput)
 	s.mu.Lock()
-	cut := s.closeDrained()
+	closed := s.closeOneEnding()
 	s.mu.Unlock()
-	if cut {
+	if closed {
 		t.Error("a connection with unread bytes was closed")
 	}
 	if _, err := c.Conn.Read(make([]byte, 64)); err != nil {
 		t.Fatal(err)
 	}
 	s.mu.Lock()
-	cut = s.closeDrained()
+	closed = s.closeOneEnding()
 	s.mu.Unlock()
-	if !cut {
+	if !closed {
 		t.Error("a connection without unread bytes was not closed")
 	}
 }
 
 // Guards against clients that stop sending within the first four bytes of a request. On a connection that was idle, net/http
 // waits for these bytes as long as for a new request: 5 s, which is longer than a head may take.
-func TestClientThatStopsInItsFirstBytesIsEnded(t *testing.T) {
-	addr, _ := newNode(t, func(_ int64, c net.Conn, _ *http.Request) { io.WriteString(c, served) })
-	_, _, front := newFront(t, func(l *limits.Limits) {
+func TestClientThatStopsWithinFirstBytesTimesOut(t *testing.T) {
+	addr, _ := startNode(t, func(_ int64, c net.Conn, _ *http.Request) { io.WriteString(c, okAnswer) })
+	_, _, front := startFront(t, func(l *limits.Limits) {
 		l.Clients.HeaderTimeout, l.Clients.IdleTimeout = 100*time.Millisecond, time.Hour
 	}, addr)
-	c := dial(t, front)
-	c.ask(t, fmt.Sprintf(request, "usual")+"\r\n")
+	c := dialClient(t, front)
+	c.roundTrip(t, fmt.Sprintf(requestHead, "usual")+"\r\n")
 	io.WriteString(c, "GE")
 	if answer, err := io.ReadAll(c.in); err != nil || len(answer) > 0 && !strings.HasPrefix(string(answer), "HTTP/1.1 4") {
 		t.Errorf("after two bytes: answer %q, error %v", answer, err)
@@ -123,14 +123,14 @@
 
 // Guards against an attempt for a client that left during a stall of the front: the state of the connection in the kernel
 // counts right before the first byte is written, even if the reader has not seen it yet.
-func TestNothingIsBegunWhereTheKernelKnowsOfTheEnd(t *testing.T) {
-	_, c, far := acceptOne(t)
+func TestNoAttemptBeginsAfterKernelSawClientLeave(t *testing.T) {
+	_, c, far := acceptClient(t)
 	if c.hungUp() {
 		t.Error("the client counts as gone while it is connected")
 	}
 	far.CloseWrite()
 	standin.Until(t, "the client to be noticed as gone", c.hungUp)
-	addr, count := newNode(t, func(_ int64, c net.Conn, _ *http.Request) { io.WriteString(c, served) })
+	addr, count := startNode(t, func(_ int64, c net.Conn, _ *http.Request) { io.WriteString(c, okAnswer) })
 	s := newNodes(nil, addr)
 	r, _ := http.NewRequest(http.MethodGet, "http://backend.local/read/00000000000000aa/00000000000000bb", nil)
 	a := routing.Attempt{Node: "node-0", MayBegin: t.Context(), ClientGone: c.hungUp}
--- a/internal/net/transport/exchange.go
+++ b/internal/net/transport/exchange.go
@@ -66,7 +66,7 @@
 func NewNodes(l limits.Limits) *Nodes {
 	return &Nodes{limits: l, Pool: nodes.New(l, nodes.Session[*stream]{
 		Open:  func(c net.Conn) (*stream, error) { return newStream(c), nil },
-		Alive: func(c net.Conn, in *stream) bool { return in.Buffered() == 0 && isIdle(c) },
+		Alive: func(c net.Conn, session *stream) bool { return session.Buffered() == 0 && isIdle(c) },
 	})}
 }
 
@@ -85,17 +85,17 @@
 		return false
 	}
 	open := false
-	err = raw.Control(func(fd uintptr) { open = nothingToRead(fd) })
+	err = raw.Control(func(fd uintptr) { open = hasNothingToRead(fd) })
 	return err == nil && open
 }
 
 // attempt sends a request to a node once and returns the result. If the connection breaks before the last byte is written,
 // the request never ran and is written to another connection: the node may just have closed an idle one.
 func (s *Nodes) attempt(ctx context.Context, a routing.Attempt, r *http.Request) (*http.Response, scheduler.AttemptEnded) {
-	for tries := 1; ; tries++ {
-		resp, out, written := s.attemptOnce(ctx, a, r)
-		if written || tries == s.limits.Nodes.WriteTries || a.Permitted() != nil {
-			return resp, out
+	for try := 1; ; try++ {
+		resp, result, written := s.attemptOnce(ctx, a, r)
+		if written || try == s.limits.Nodes.WriteTries || a.Permitted() != nil {
+			return resp, result
 		}
 	}
 }
@@ -125,7 +125,7 @@
 }
 
 // attemptOnce makes an attempt on one connection. written is false only if another connection may succeed.
-func (s *Nodes) attemptOnce(ctx context.Context, a routing.Attempt, r *http.Request) (resp *http.Response, out scheduler.AttemptEnded, written bool) {
+func (s *Nodes) attemptOnce(ctx context.Context, a routing.Attempt, r *http.Request) (resp *http.Response, result scheduler.AttemptEnded, written bool) {
 	c, err := s.Acquire(a.MayBegin, a.Node, nodes.Running)
 	switch {
 	case err != nil && ctx.Err() != nil:
@@ -148,16 +148,16 @@
 }
 
 // completeAttempt writes the last bytes of a request and returns the result of the attempt.
-func (s *Nodes) completeAttempt(ctx context.Context, a routing.Attempt, c *nodes.Conn[*stream], r *http.Request, message []byte) (resp *http.Response, out scheduler.AttemptEnded, written bool) {
-	began := time.Now()
-	resp, first, written, err := s.exchange(ctx, c, r, message, a.Written)
+func (s *Nodes) completeAttempt(ctx context.Context, a routing.Attempt, c *nodes.Conn[*stream], r *http.Request, message []byte) (resp *http.Response, result scheduler.AttemptEnded, written bool) {
+	startedAt := time.Now()
+	resp, firstByteAt, written, err := s.exchange(ctx, c, r, message, a.Written)
 	if written {
 		s.attemptsWritten.Add(1)
 	}
 	switch {
 	case errors.Is(err, errMalformedResponse):
 		// As for an error reported by the node, the latency is the time before the answer.
-		return nil, scheduler.AttemptEnded{Result: scheduler.Errored, Latency: toMicros(first.Sub(began))}, true
+		return nil, scheduler.AttemptEnded{Result: scheduler.Errored, Latency: toMicros(firstByteAt.Sub(startedAt))}, true
 	case err != nil && ctx.Err() != nil:
 		return nil, scheduler.AttemptEnded{Result: scheduler.TimedOut}, true
 	case err != nil && !written:
@@ -167,44 +167,44 @@
 	}
 	// The node's work is over with its first byte. How long the rest took to arrive says nothing about its queue: counted as
 	// latency, slowly arriving answers closed every budget.
-	out = protocol.ParseOutcome(resp.StatusCode, resp.Header)
-	out.Latency = toMicros(first.Sub(began))
-	return resp, out, true
+	result = protocol.ParseOutcome(resp.StatusCode, resp.Header)
+	result.Latency = toMicros(firstByteAt.Sub(startedAt))
+	return resp, result, true
 }
 
 // exchange writes a request and reads the answer to its last byte, since only then is it known to be complete. written
 // reports whether the request's last byte was sent. The connection is released, or closed if ctx ended or anything was
 // unexpected. onWritten is called when the last byte is sent.
-func (s *Nodes) exchange(ctx context.Context, c *nodes.Conn[*stream], r *http.Request, message []byte, onWritten func()) (resp *http.Response, first time.Time, written bool, err error) {
-	clean, kept := false, false
-	unhook := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+func (s *Nodes) exchange(ctx context.Context, c *nodes.Conn[*stream], r *http.Request, message []byte, onWritten func()) (resp *http.Response, firstByteAt time.Time, written bool, err error) {
+	reusable, streamed := false, false
+	stopInterrupt := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer func() {
-		if ended := !unhook(); !kept {
-			s.Release(c, clean && !ended)
-		} else if ended { // ctx ended before the body could be passed on, and must not be read past the request's time
+		if interrupted := !stopInterrupt(); !streamed {
+			s.Release(c, reusable && !interrupted)
+		} else if interrupted { // ctx ended before the body could be passed on, and must not be read past the request's time
 			resp.Body.Close()
 			resp, err = nil, ctx.Err()
 		}
 	}()
 	if _, err := c.Write(message); err != nil {
-		return nil, first, false, fmt.Errorf("write: %w", err)
+		return nil, firstByteAt, false, fmt.Errorf("write: %w", err)
 	}
 	onWritten()
 	resp, body, err := s.readResponse(ctx, c, r)
-	first = c.Session.firstByteAt // before another exchange on this connection changes it
+	firstByteAt = c.Session.firstByteAt // before another exchange on this connection changes it
 	if err != nil {
-		return nil, first, true, err
+		return nil, firstByteAt, true, err
 	}
-	if long, ok := resp.Body.(*streamedResponse); ok {
-		kept, long.release = true, func(clean bool) { s.Release(c, clean) }
-		return resp, first, true, nil
+	if streamedBody, ok := resp.Body.(*streamedResponse); ok {
+		streamed, streamedBody.release = true, func(reusable bool) { s.Release(c, reusable) }
+		return resp, firstByteAt, true, nil
 	}
 	// Data after the answer belongs to no request, so the connection is closed.
-	clean = !resp.Close && c.Session.Buffered() == 0
+	reusable = !resp.Close && c.Session.Buffered() == 0
 	resp.Body, resp.ContentLength, resp.TransferEncoding = io.NopCloser(bytes.NewReader(body)), int64(len(body)), nil
-	return resp, first, true, nil
+	return resp, firstByteAt, true, nil
 }
 
 func toMicros(d time.Duration) scheduler.Micros { return scheduler.Micros(d / time.Microsecond) }
 
-func micros(m scheduler.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+func toDuration(m scheduler.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
--- a/internal/net/transport/exchange_test.go
+++ b/internal/net/transport/exchange_test.go
@@ -19,23 +19,23 @@
 	"otterturn/scheduler"
 )
 
-const served = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Served-Elsewhere: 3\r\n\r\ndata"
+const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Served-Elsewhere: 3\r\n\r\ndata"
 
 // Some answers are never completed, and their connections stay open. Waiting for them until the request's deadline left no
 // time for a retry. Data after a complete answer only costs the connection.
-func TestAnswerThatStopsShort(t *testing.T) {
+func TestIncompleteAnswerTimesOut(t *testing.T) {
 	conns := make(chan string, 4)
-	addr, _ := newNode(t, func(n int64, c net.Conn, _ *http.Request) {
+	addr, _ := startNode(t, func(n int64, c net.Conn, _ *http.Request) {
 		conns <- c.RemoteAddr().String()
-		io.WriteString(c, []string{served[:len(served)-1], served + served, served}[n-1])
+		io.WriteString(c, []string{okAnswer[:len(okAnswer)-1], okAnswer + okAnswer, okAnswer}[n-1])
 	})
 	s := newNodes(func(l *limits.Limits) { l.Nodes.BodySilence = 50 * time.Millisecond }, addr)
-	began := time.Now()
-	if got := send(t, s, standin.Patience); got.Result != scheduler.Errored || time.Since(began) > standin.Patience/2 {
+	startedAt := time.Now()
+	if got := sendAttempt(t, s, standin.Patience); got.Result != scheduler.Errored || time.Since(startedAt) > standin.Patience/2 {
 		t.Errorf("incomplete answer: %+v", got)
 	}
 	for range 2 {
-		if got := send(t, s, standin.Patience); got.Result != scheduler.OK {
+		if got := sendAttempt(t, s, standin.Patience); got.Result != scheduler.OK {
 			t.Errorf("complete answer: %+v", got)
 		}
 	}
@@ -46,7 +46,7 @@
 
 // A connection that breaks during a request says little about the node; whether the node accepts another connection shows
 // whether it is alive. Without that check the scheduler would take the node for dead.
-func TestWhetherANodeLivesAfterABreak(t *testing.T) {
+func TestResetReportsWhetherNodeIsAlive(t *testing.T) {
 	conns := make(chan net.Conn, 4)
 	addr := standin.Peer(t, func(_ int, c net.Conn) {
 		conns <- c
@@ -55,7 +55,7 @@
 		}
 	})
 	s := newNodes(nil, addr)
-	if got := send(t, s, standin.Patience); got.Result != scheduler.Reset || !got.Alive {
+	if got := sendAttempt(t, s, standin.Patience); got.Result != scheduler.Reset || !got.Alive {
 		t.Errorf("node that closes a connection: %+v", got)
 	}
 	standin.Await(t, "the first connection", conns)
@@ -68,13 +68,13 @@
 			c.Close()
 		}
 	}()
-	if got := send(t, newNodes(nil, l.Addr().String()), standin.Patience); got.Result != scheduler.Reset || got.Alive {
+	if got := sendAttempt(t, newNodes(nil, l.Addr().String()), standin.Patience); got.Result != scheduler.Reset || got.Alive {
 		t.Errorf("node that died: %+v", got)
 	}
 }
 
-// newNode starts a node that calls script for each complete request to answer it; n counts the requests from 1.
-func newNode(t *testing.T, script func(n int64, c net.Conn, r *http.Request)) (addr string, count *atomic.Int64) {
+// startNode starts a node that calls script for each complete request to answer it; n counts the requests from 1.
+func startNode(t *testing.T, script func(n int64, c net.Conn, r *http.Request)) (addr string, count *atomic.Int64) {
 	count = new(atomic.Int64)
 	return standin.Peer(t, func(_ int, c net.Conn) {
 		for in := bufio.NewReader(c); ; {
@@ -90,8 +90,8 @@
 	}), count
 }
 
-// list returns a list with nodes node-0, node-1 ... for the shards 0, 1 ...
-func list(addrs ...string) protocol.List {
+// endpointList returns a list with nodes node-0, node-1 ... for the shards 0, 1 ...
+func endpointList(addrs ...string) protocol.List {
 	out := protocol.List{Whole: true}
 	for i, a := range addrs {
 		out.Hosts = append(out.Hosts, protocol.Host{
@@ -109,37 +109,37 @@
 		edit(&l)
 	}
 	s := NewNodes(l)
-	s.Apply(list(addrs...))
+	s.Apply(endpointList(addrs...))
 	return s
 }
 
-// send makes one attempt at node-0 with a request that http.Transport would resend by itself.
-func send(t *testing.T, s *Nodes, wait time.Duration) scheduler.AttemptEnded {
+// sendAttempt makes one attempt at node-0 with a request that http.Transport would resend by itself.
+func sendAttempt(t *testing.T, s *Nodes, timeout time.Duration) scheduler.AttemptEnded {
 	t.Helper()
-	ctx, release := context.WithTimeout(context.Background(), wait)
-	defer release()
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://backend.local/read/00000000000000aa/00000000000000bb?x=1", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Header.Set("Idempotency-Key", "k")
-	_, out := s.attempt(ctx, routing.Attempt{Node: "node-0", MayBegin: ctx}, r)
-	return out
+	_, result := s.attempt(ctx, routing.Attempt{Node: "node-0", MayBegin: ctx}, r)
+	return result
 }
 
 // How an exchange breaks decides whether the request may run again, so each kind of break has its own result. None may lead
 // to a second copy that is not counted, especially on a kept connection.
-func TestHowAnAttemptEnds(t *testing.T) {
+func TestAttemptResults(t *testing.T) {
 	for _, c := range []struct {
 		name, text string // what the node sends on a kept connection before it closes it
 		want       scheduler.Result
 	}{
-		{"served", served, scheduler.OK},
-		{"informational answer before the answer", "HTTP/1.1 100 Continue\r\n\r\n" + served, scheduler.OK},
+		{"served", okAnswer, scheduler.OK},
+		{"informational answer before the answer", "HTTP/1.1 100 Continue\r\n\r\n" + okAnswer, scheduler.OK},
 		{"informational answer before a break", "HTTP/1.1 100 Continue\r\n\r\n", scheduler.Reset},
 		{"breaks before the answer", "", scheduler.Reset},
 		{"breaks within the head", "HTTP/1.1 200 OK\r\nContent-", scheduler.Reset},
-		{"breaks within the body", served[:len(served)-1], scheduler.Reset},
+		{"breaks within the body", okAnswer[:len(okAnswer)-1], scheduler.Reset},
 		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", scheduler.Errored},
 		{"rejected unprocessed", "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", scheduler.QueueFull},
 		{"503 that may have run", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", scheduler.Errored},
@@ -151,21 +151,21 @@
 		{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: y\r\n", 10_000), scheduler.Errored},
 		{"endless informational answers", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 100), scheduler.Errored},
 		{"length of 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx", scheduler.Errored},
-		{"invalid X-Served-Elsewhere", strings.Replace(served, "Elsewhere: 3", "Elsewhere: x", 1), scheduler.OK},
+		{"invalid X-Served-Elsewhere", strings.Replace(okAnswer, "Elsewhere: 3", "Elsewhere: x", 1), scheduler.OK},
 	} {
-		addr, count := newNode(t, func(n int64, conn net.Conn, _ *http.Request) {
+		addr, count := startNode(t, func(n int64, conn net.Conn, _ *http.Request) {
 			if n == 1 {
-				io.WriteString(conn, served)
+				io.WriteString(conn, okAnswer)
 				return
 			}
 			io.WriteString(conn, c.text)
 			conn.Close()
 		})
 		s := newNodes(nil, addr)
-		if got := send(t, s, standin.Patience); got.Result != scheduler.OK || got.ServedElsewhere != 3 {
+		if got := sendAttempt(t, s, standin.Patience); got.Result != scheduler.OK || got.ServedElsewhere != 3 {
 			t.Errorf("%s: first attempt %+v, want OK and ServedElsewhere 3", c.name, got)
 		}
-		if got := send(t, s, standin.Patience); got.Result != c.want {
+		if got := sendAttempt(t, s, standin.Patience); got.Result != c.want {
 			t.Errorf("%s: result %v, want %v", c.name, got.Result, c.want)
 		}
 		if n := count.Load(); n != 2 {
--- a/internal/net/transport/framing.go
+++ b/internal/net/transport/framing.go
@@ -12,7 +12,7 @@
 type framing struct {
 	mu                             sync.Mutex
 	line                           []byte // the beginning of the current line
-	began, headEnded               bool
+	headBegan, headEnded           bool
 	hasLength, hasTransferEncoding bool
 	bodyLeft                       int64 // bytes of the body that have not arrived
 	unknownLength                  bool  // the length of the body can't be determined here
@@ -20,14 +20,14 @@
 }
 
 const (
-	lengthName   = "content-length:"
-	transferName = "transfer-encoding:"
-	maxLineBytes = 64 // bytes per line that are searched for names and lengths
+	contentLengthPrefix    = "content-length:"
+	transferEncodingPrefix = "transfer-encoding:"
+	maxLineBytes           = 64 // bytes per line that are searched for names and lengths
 )
 
 // consume parses data as it arrives, and returns how many of its bytes belong to this request. Chunks mark their own end, so
 // all bytes count as part of a chunked body.
-func (h *framing) consume(p []byte) (own int) {
+func (h *framing) consume(p []byte) (consumed int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i, b := range p {
@@ -45,13 +45,13 @@
 			continue
 		}
 		line := strings.ToLower(strings.TrimRight(string(h.line), "\r"))
-		if value, ok := strings.CutPrefix(line, lengthName); ok {
+		if value, ok := strings.CutPrefix(line, contentLengthPrefix); ok {
 			n, err := strconv.ParseInt(strings.TrimSpace(value), 10, 64)
 			h.hasLength, h.bodyLeft, h.unknownLength = true, n, h.unknownLength || err != nil || n < 0
 		}
-		h.hasTransferEncoding = h.hasTransferEncoding || strings.HasPrefix(line, transferName)
-		h.headEnded = h.began && line == "" // empty lines before a request are skipped
-		h.began, h.line = h.began || line != "", h.line[:0]
+		h.hasTransferEncoding = h.hasTransferEncoding || strings.HasPrefix(line, transferEncodingPrefix)
+		h.headEnded = h.headBegan && line == "" // empty lines before a request are skipped
+		h.headBegan, h.line = h.headBegan || line != "", h.line[:0]
 	}
 	return len(p)
 }
@@ -63,22 +63,22 @@
 	return !h.headEnded || h.unknownLength || h.hasLength && h.hasTransferEncoding
 }
 
-// inHead reports whether a head has begun and has not ended.
-func (h *framing) inHead() bool {
+// isInHead reports whether a head has begun and has not ended.
+func (h *framing) isInHead() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.headEnded && (h.began || len(h.line) > 0)
+	return !h.headEnded && (h.headBegan || len(h.line) > 0)
 }
 
-// complete reports whether the request has arrived completely, so that later data belongs to another one.
-func (h *framing) complete() bool {
+// isComplete reports whether the request has arrived completely, so that later data belongs to another one.
+func (h *framing) isComplete() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.bodyRead || h.headEnded && !h.hasTransferEncoding && !h.unknownLength && h.bodyLeft <= 0
 }
 
-// endBody records that a request's body was read to its end. The end of a chunked body is known only in this way.
-func (h *framing) endBody() {
+// markBodyRead records that a request's body was read to its end. The end of a chunked body is known only in this way.
+func (h *framing) markBodyRead() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.bodyRead = true
@@ -88,6 +88,6 @@
 func (h *framing) reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.line, h.began, h.headEnded, h.hasLength, h.hasTransferEncoding, h.bodyLeft = h.line[:0], false, false, false, false, 0
+	h.line, h.headBegan, h.headEnded, h.hasLength, h.hasTransferEncoding, h.bodyLeft = h.line[:0], false, false, false, false, 0
 	h.unknownLength, h.bodyRead = false, false
 }
--- a/internal/net/transport/front_test.go
+++ b/internal/net/transport/front_test.go
@@ -18,8 +18,8 @@
 	"otterturn/internal/standin"
 )
 
-// newFront starts a front for the given nodes.
-func newFront(t *testing.T, edit func(*limits.Limits), addrs ...string) (f *Front, core *routing.Core, addr string) {
+// startFront starts a front for the given nodes.
+func startFront(t *testing.T, edit func(*limits.Limits), addrs ...string) (f *Front, core *routing.Core, addr string) {
 	t.Helper()
 	l := standin.Limits()
 	if edit != nil {
@@ -28,7 +28,7 @@
 	nodes := NewNodes(l)
 	core = standin.Core(t, standin.Settings(), nil)
 	core.Guard = lifecycle.New(l.Stop, slog.New(slog.DiscardHandler))
-	core.UpdateEndpoints(nodes.Apply(list(addrs...)))
+	core.UpdateEndpoints(nodes.Apply(endpointList(addrs...)))
 	f = NewFront(protocol.Settings{
 		Classes: []string{"read", "write"}, Plans: []string{"gold"}, Shards: 2,
 		LongestWait: 5 * time.Second, Retry: time.Second,
@@ -50,16 +50,16 @@
 	return f, core, listener.Addr().String()
 }
 
-const request = "GET /read/00000000000000aa/00000000000000bb?x=%%zz HTTP/1.1\r\nHost: backend.local\r\n" +
+const requestHead = "GET /read/00000000000000aa/00000000000000bb?x=%%zz HTTP/1.1\r\nHost: backend.local\r\n" +
 	"X-Correlation-Id: %s\r\nX-Service-Class: read\r\nX-Plan: gold\r\nX-Time-Left: 4000m\r\nX-IO: units=2,shard=0,hosts=1\r\n"
 
-// client is a connection on which a test writes requests as text.
-type client struct {
+// testClient is a connection on which a test writes requests as text.
+type testClient struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func dial(t *testing.T, addr string) *client {
+func dialClient(t *testing.T, addr string) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -67,11 +67,11 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(standin.Patience))
-	return &client{c, bufio.NewReader(c)}
+	return &testClient{c, bufio.NewReader(c)}
 }
 
-// ask writes a request and reads the answer to its end.
-func (c *client) ask(t *testing.T, text string) (*http.Response, string) {
+// roundTrip writes a request and reads the answer to its end.
+func (c *testClient) roundTrip(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
@@ -87,14 +87,14 @@
 	return r, string(body)
 }
 
-func TestRequestPassesUnchangedAndItsAnswerToo(t *testing.T) {
+func TestRequestAndAnswerPassUnchanged(t *testing.T) {
 	seen := make(chan *http.Request, 1)
-	addr, _ := newNode(t, func(_ int64, c net.Conn, r *http.Request) {
+	addr, _ := startNode(t, func(_ int64, c net.Conn, r *http.Request) {
 		seen <- r
-		io.WriteString(c, served)
+		io.WriteString(c, okAnswer)
 	})
-	_, _, front := newFront(t, nil, addr)
-	r, body := dial(t, front).ask(t, fmt.Sprintf(request, "id-1")+"Idempotency-Key: k1\r\n\r\n")
+	_, _, front := startFront(t, nil, addr)
+	r, body := dialClient(t, front).roundTrip(t, fmt.Sprintf(requestHead, "id-1")+"Idempotency-Key: k1\r\n\r\n")
 	if r.StatusCode != 200 || body != "data" || r.Header.Get("X-Served-Elsewhere") != "" {
 		t.Errorf("answer: status %d, body %q, header %v", r.StatusCode, body, r.Header)
 	}
@@ -108,10 +108,10 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
-	addr, count := newNode(t, func(_ int64, c net.Conn, _ *http.Request) { io.WriteString(c, served) })
-	_, _, front := newFront(t, nil, addr)
-	good := fmt.Sprintf(request, "id")
+func TestInvalidRequestsAreRejected(t *testing.T) {
+	addr, count := startNode(t, func(_ int64, c net.Conn, _ *http.Request) { io.WriteString(c, okAnswer) })
+	_, _, front := startFront(t, nil, addr)
+	good := fmt.Sprintf(requestHead, "id")
 	for _, c := range []struct {
 		old, with string
 		want      int
@@ -148,7 +148,7 @@
 		if c.want == 413 {
 			text = strings.Replace(text, "GET", "PUT", 1)
 		}
-		if r, _ := dial(t, front).ask(t, text); r.StatusCode != c.want {
+		if r, _ := dialClient(t, front).roundTrip(t, text); r.StatusCode != c.want {
 			t.Errorf("%q: status %d, want %d", c.with, r.StatusCode, c.want)
 		}
 	}
@@ -158,15 +158,15 @@
 }
 
 // A request that the scheduler rejects is answered at once with Retry-After.
-func TestRefusalComesAtOnceWithRetryAfter(t *testing.T) {
-	_, core, front := newFront(t, nil) // without nodes
-	began := time.Now()
-	r, _ := dial(t, front).ask(t, fmt.Sprintf(request, "id")+"\r\n")
+func TestRejectionIsImmediateWithRetryAfter(t *testing.T) {
+	_, core, front := startFront(t, nil) // without nodes
+	startedAt := time.Now()
+	r, _ := dialClient(t, front).roundTrip(t, fmt.Sprintf(requestHead, "id")+"\r\n")
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
 		t.Errorf("answer: status %d, header %v", r.StatusCode, r.Header)
 	}
-	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("answered after %v, with 4 s of time left at the start", took)
+	if duration := time.Since(startedAt); duration > 3*time.Second {
+		t.Errorf("answered after %v, with 4 s of time left at the start", duration)
 	}
 	if got := core.Tally(); got.Sum(routing.Rejected) != 1 || got.Open != 0 {
 		t.Errorf("tally %+v, want one rejected request and none open", got)
@@ -175,25 +175,25 @@
 
 // Closing a connection does not stop the work on a request, so the attempt of a client that has left runs to its end, and
 // its connection to the node is kept.
-func TestClientThatLeaves(t *testing.T) {
-	begun, goOn, conns := make(chan struct{}), make(chan struct{}), make(chan string, 2)
-	addr, count := newNode(t, func(n int64, c net.Conn, _ *http.Request) {
+func TestAttemptContinuesAfterClientLeft(t *testing.T) {
+	started, proceed, conns := make(chan struct{}), make(chan struct{}), make(chan string, 2)
+	addr, count := startNode(t, func(n int64, c net.Conn, _ *http.Request) {
 		conns <- c.RemoteAddr().String()
 		if n == 1 {
-			close(begun)
-			<-goOn
+			close(started)
+			<-proceed
 		}
-		io.WriteString(c, served)
+		io.WriteString(c, okAnswer)
 	})
-	_, core, front := newFront(t, func(l *limits.Limits) { l.Nodes.ReuseDelay, l.Nodes.Conns = 0, 1 }, addr) // the next one waits
-	c := dial(t, front)
-	io.WriteString(c, fmt.Sprintf(request, "id")+"\r\n")
-	standin.Await(t, "the attempt to begin", begun)
+	_, core, front := startFront(t, func(l *limits.Limits) { l.Nodes.ReuseDelay, l.Nodes.Conns = 0, 1 }, addr) // the next one waits
+	c := dialClient(t, front)
+	io.WriteString(c, fmt.Sprintf(requestHead, "id")+"\r\n")
+	standin.Await(t, "the attempt to begin", started)
 	c.Close()
 	standin.Until(t, "the client to be noticed as gone", func() bool { return core.Tally().ClientsLeft == 1 })
-	close(goOn)
+	close(proceed)
 	standin.Until(t, "an attempt on the kept connection to succeed", func() bool {
-		r, _ := dial(t, front).ask(t, fmt.Sprintf(request, "next")+"\r\n")
+		r, _ := dialClient(t, front).roundTrip(t, fmt.Sprintf(requestHead, "next")+"\r\n")
 		return r.StatusCode == 200
 	})
 	if first, second := <-conns, <-conns; first != second || count.Load() != 2 {
--- a/internal/net/transport/handshakes.go
+++ b/internal/net/transport/handshakes.go
@@ -19,37 +19,38 @@
 // and takes no connection slot from the clients being served.
 type Handshakes struct {
 	net.Listener
-	config *tls.Config
-	limits limits.Limits
-	ready  chan net.Conn
-	failed chan error
-	ctx    context.Context
-	end    context.CancelFunc
+	config    *tls.Config
+	limits    limits.Limits
+	ready     chan net.Conn
+	acceptErr chan error
+	ctx       context.Context
+	cancel    context.CancelFunc
 
-	mu   sync.Mutex
-	open *queue.List // handshakes in progress, the oldest first
+	mu         sync.Mutex
+	inProgress *queue.List // handshakes in progress, the oldest first
 }
 
 // NewHandshakes returns a TLS listener on top of a plain TCP listener. It accepts until Close.
 func NewHandshakes(l net.Listener, config *tls.Config, lim limits.Limits) *Handshakes {
 	h := &Handshakes{
-		Listener: accept.New(l, lim.AcceptRetry, nil), config: config, limits: lim, ready: make(chan net.Conn), failed: make(chan error, 1),
-		open: queue.New(),
+		Listener: accept.New(l, lim.AcceptRetry, nil), config: config, limits: lim, ready: make(chan net.Conn),
+		acceptErr:  make(chan error, 1),
+		inProgress: queue.New(),
 	}
-	h.ctx, h.end = context.WithCancel(context.Background())
-	go h.run()
+	h.ctx, h.cancel = context.WithCancel(context.Background())
+	go h.acceptLoop()
 	return h
 }
 
-func (h *Handshakes) run() {
+func (h *Handshakes) acceptLoop() {
 	for {
 		raw, err := h.Listener.Accept()
 		if err == nil {
-			go h.complete(raw, h.register(raw))
+			go h.completeHandshake(raw, h.register(raw))
 			continue
 		}
 		if h.ctx.Err() == nil {
-			h.failed <- err
+			h.acceptErr <- err
 		}
 		return
 	}
@@ -59,20 +60,20 @@
 func (h *Handshakes) register(raw net.Conn) *queue.Element {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.open.Len() >= h.limits.Clients.Handshakes {
-		h.open.Front().Value.(net.Conn).Close() // the goroutine of that handshake then removes it from the list
-		h.open.MoveToBack(h.open.Front())
+	if h.inProgress.Len() >= h.limits.Clients.Handshakes {
+		h.inProgress.Front().Value.(net.Conn).Close() // the goroutine of that handshake then removes it from the list
+		h.inProgress.MoveToBack(h.inProgress.Front())
 	}
-	return h.open.PushBack(raw)
+	return h.inProgress.PushBack(raw)
 }
 
-func (h *Handshakes) complete(raw net.Conn, at *queue.Element) {
-	limited, end := context.WithTimeout(h.ctx, h.limits.Clients.HandshakeTimeout)
+func (h *Handshakes) completeHandshake(raw net.Conn, element *queue.Element) {
+	ctx, cancel := context.WithTimeout(h.ctx, h.limits.Clients.HandshakeTimeout)
 	conn := tls.Server(steady.Conn{Conn: raw}, h.config)
-	err := conn.HandshakeContext(limited)
-	end()
+	err := conn.HandshakeContext(ctx)
+	cancel()
 	h.mu.Lock()
-	h.open.Remove(at)
+	h.inProgress.Remove(element)
 	h.mu.Unlock()
 	if err != nil || conn.ConnectionState().NegotiatedProtocol == acme.ALPNProto { // an ACME validation sends no request
 		raw.Close()
@@ -90,7 +91,7 @@
 	select {
 	case c := <-h.ready:
 		return c, nil
-	case err := <-h.failed:
+	case err := <-h.acceptErr:
 		return nil, err
 	case <-h.ctx.Done():
 		return nil, net.ErrClosed
@@ -99,6 +100,6 @@
 
 // Close closes the listener and ends the handshakes in progress.
 func (h *Handshakes) Close() error {
-	h.end()
+	h.cancel()
 	return h.Listener.Close()
 }
--- a/internal/net/transport/handshakes_test.go
+++ b/internal/net/transport/handshakes_test.go
@@ -12,7 +12,7 @@
 )
 
 // Clients that connect and never begin a handshake must not keep out other clients, nor stay longer than the timeout.
-func TestSilentHandshakesMakeRoom(t *testing.T) {
+func TestOldestSilentHandshakesAreClosed(t *testing.T) {
 	cert, roots, err := authority.SelfSigned("files.example", time.Hour)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/net/transport/probe.go
+++ b/internal/net/transport/healthcheck.go
@@ -16,15 +16,15 @@
 type HealthChecker struct {
 	nodes            *Nodes
 	path             string
-	queue            string      // field of the load report with the queue length, "" for none
+	queueField       string      // field of the load report with the queue length, "" for none
 	reportUnreadable atomic.Bool // the last report could not be parsed, and that was logged
 	log              *slog.Logger
 }
 
 // NewHealthChecker returns a HealthChecker that requests load reports if the nodes provide them.
-func NewHealthChecker(nodes *Nodes, set protocol.Settings, log *slog.Logger) *HealthChecker {
-	p := &HealthChecker{nodes: nodes, path: "/health", queue: set.LoadQueue, log: log}
-	if set.LoadReports {
+func NewHealthChecker(nodes *Nodes, settings protocol.Settings, log *slog.Logger) *HealthChecker {
+	p := &HealthChecker{nodes: nodes, path: "/health", queueField: settings.LoadQueue, log: log}
+	if settings.LoadReports {
 		p.path = "/status/load"
 	}
 	return p
@@ -33,35 +33,35 @@
 // Check checks one node. After a malformed answer or a connection that breaks, it tries again on another connection, which
 // says more about the node.
 func (p *HealthChecker) Check(node string) scheduler.HealthChecked {
-	out := scheduler.HealthChecked{Node: node, Queue: -1}
-	ctx, release := context.WithTimeout(context.Background(), p.nodes.limits.Nodes.ProbeTimeout)
-	defer release()
-	resp, again, err := p.checkOnce(ctx, node)
-	for tries := 1; again && tries < p.nodes.limits.Nodes.ProbeTries; tries++ {
-		resp, again, err = p.checkOnce(ctx, node)
+	result := scheduler.HealthChecked{Node: node, Queue: -1}
+	ctx, cancel := context.WithTimeout(context.Background(), p.nodes.limits.Nodes.ProbeTimeout)
+	defer cancel()
+	resp, mayRetry, err := p.checkOnce(ctx, node)
+	for tries := 1; mayRetry && tries < p.nodes.limits.Nodes.ProbeTries; tries++ {
+		resp, mayRetry, err = p.checkOnce(ctx, node)
 	}
 	if err != nil || resp.StatusCode != http.StatusOK {
-		return out
+		return result
 	}
-	out.OK = true
-	if p.queue == "" {
-		return out
+	result.OK = true
+	if p.queueField == "" {
+		return result
 	}
-	text, err := io.ReadAll(resp.Body)
+	report, err := io.ReadAll(resp.Body)
 	if err == nil {
-		out.Queue, err = protocol.ParseLoad(string(text), p.queue)
+		result.Queue, err = protocol.ParseLoad(string(report), p.queueField)
 	}
 	if err != nil {
-		out.Queue = -1
+		result.Queue = -1
 	}
-	if was := p.reportUnreadable.Swap(err != nil); err != nil && !was { // a line for each report would flood the log
+	if wasUnreadable := p.reportUnreadable.Swap(err != nil); err != nil && !wasUnreadable { // a line for each report would flood the log
 		p.log.Warn("load report unreadable", "node", node, "error", err)
 	}
-	return out
+	return result
 }
 
-// checkOnce sends one health check. again reports whether another try may succeed.
-func (p *HealthChecker) checkOnce(ctx context.Context, node string) (resp *http.Response, again bool, err error) {
+// checkOnce sends one health check. mayRetry reports whether another try may succeed.
+func (p *HealthChecker) checkOnce(ctx context.Context, node string) (resp *http.Response, mayRetry bool, err error) {
 	c, err := p.nodes.Acquire(ctx, node, nodes.AnyState)
 	if err != nil {
 		return nil, false, err
--- a/internal/net/transport/probe_test.go
+++ b/internal/net/transport/healthcheck_test.go
@@ -18,7 +18,7 @@
 
 // The settings say how load reports name their fields. When only the name in the protocol's example was read, no queue
 // length was ever received at this site.
-func TestProbe(t *testing.T) {
+func TestHealthCheckReadsLoadReports(t *testing.T) {
 	set, err := protocol.ParseSettings([]byte(`{"report":{"how":"on_probe","fields":["backlog","outstanding"]}}`))
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +29,7 @@
 		"TEXT backlog=NaN":                {Node: "node-0", OK: true, Queue: -1},
 		"JSON {}":                         {Node: "node-0", OK: true, Queue: -1},
 	} {
-		addr, _ := newNode(t, func(_ int64, c net.Conn, r *http.Request) {
+		addr, _ := startNode(t, func(_ int64, c net.Conn, r *http.Request) {
 			if r.URL.Path != "/status/load" {
 				t.Errorf("health check on path %s, want /status/load", r.URL.Path)
 			}
@@ -39,7 +39,7 @@
 			t.Errorf("%q: %+v", text, got)
 		}
 	}
-	unhealthy, _ := newNode(t, func(_ int64, c net.Conn, _ *http.Request) {
+	unhealthy, _ := startNode(t, func(_ int64, c net.Conn, _ *http.Request) {
 		io.WriteString(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 	})
 	if got := NewHealthChecker(newNodes(nil, unhealthy), protocol.Settings{}, logs.Quiet()).Check("node-0"); got.OK {
@@ -49,25 +49,25 @@
 
 // An answer that is not a list is logged and leaves the endpoint list unchanged. The next call comes within 200 ms and asks
 // from the version last applied; otherwise the changes between would count as delivered.
-func TestWatchOutlivesBadText(t *testing.T) {
+func TestWatchSurvivesInvalidLists(t *testing.T) {
 	calls := make(chan string, 16)
-	bad := []string{
+	invalidTexts := []string{
 		"{", `{"hosts":[]}`, `{"seq":9,"hosts":[{"host":"x","health":"odd"}]}`,
 		`{"seq":9,"hosts":[{"host":"x","health":"up","dial":"nowhere"}]}`,
 	}
-	good := `{"seq":42,"whole":false,"hosts":[{"host":"x","dial":"127.0.0.1:1","site":"a","block":3,"health":"draining","born_ms":5}]}`
-	addr, _ := newNode(t, func(n int64, c net.Conn, r *http.Request) {
+	validText := `{"seq":42,"whole":false,"hosts":[{"host":"x","dial":"127.0.0.1:1","site":"a","block":3,"health":"draining","born_ms":5}]}`
+	addr, _ := startNode(t, func(n int64, c net.Conn, r *http.Request) {
 		calls <- r.URL.RawQuery
-		text := good
-		if n <= int64(len(bad)) {
-			text = bad[n-1]
+		text := validText
+		if n <= int64(len(invalidTexts)) {
+			text = invalidTexts[n-1]
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	})
-	ctx, end := context.WithCancel(context.Background())
-	t.Cleanup(end)
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
 	lists, logged := make(chan protocol.List, 1), make(chan string, 16)
-	go Watch(ctx, addr, 41, []string{"b", "a"}, standin.Limits(), 1, anyTime, func(l protocol.List) {
+	go Watch(ctx, addr, 41, []string{"b", "a"}, standin.Limits(), 1, systemTime, func(l protocol.List) {
 		lists <- l
 		<-ctx.Done()
 	}, standin.Log(func(line string) { logged <- line }))
@@ -79,7 +79,7 @@
 	if len(got.Hosts) != 1 || got.Hosts[0] != want || got.Seq != 42 {
 		t.Errorf("list %+v, want one draining host x and version 42", got)
 	}
-	for range len(bad) + 1 {
+	for range len(invalidTexts) + 1 {
 		if query := standin.Await(t, "a discovery call", calls); !strings.HasPrefix(query, "from=41&hold_ms=") {
 			t.Errorf("call with query %q, want it from version 41", query)
 		}
@@ -87,7 +87,7 @@
 	if pause := standin.Limits().Discovery.RetryMin; pause > 150*time.Millisecond {
 		t.Errorf("pause of %v between two calls, want at most 150 ms", pause)
 	}
-	if len(logged) != len(bad) {
-		t.Errorf("%d lines logged, want %d", len(logged), len(bad))
+	if len(logged) != len(invalidTexts) {
+		t.Errorf("%d lines logged, want %d", len(logged), len(invalidTexts))
 	}
 }
--- a/internal/net/transport/listener.go
+++ b/internal/net/transport/listener.go
@@ -17,21 +17,21 @@
 // another process of the front hands over.
 type listener struct {
 	net.Listener
-	accepting *accept.Listener
-	retry     time.Duration // pause after a failure to accept
-	clients   *clientConns
-	adopted   chan net.Conn
-	incoming  chan accepted
-	ended     chan struct{} // closed when no more connections are accepted
-	end       sync.Once
-	drained   chan struct{} // closed when all accepted connections were passed on
+	accepting  *accept.Listener
+	retryPause time.Duration // pause after a failure to accept
+	clients    *clientConns
+	adopted    chan net.Conn
+	incoming   chan acceptResult
+	closed     chan struct{} // closed when no more connections are accepted
+	closeOnce  sync.Once
+	drained    chan struct{} // closed when all accepted connections were passed on
 
 	mu      sync.Mutex
 	resumed chan struct{} // nil while connections are accepted, else closed when accepting resumes
 	closing bool
 }
 
-type accepted struct {
+type acceptResult struct {
 	conn  net.Conn
 	delay time.Duration // time that the connection may have waited because accepting failed
 	err   error
@@ -41,17 +41,17 @@
 // the next accept after a failure comes some 10 ms later than its pause.
 const drainTime = 50 * time.Millisecond
 
-func newListener(l net.Listener, c *clientConns, passed chan net.Conn, retry time.Duration, onError func(error)) *listener {
-	out := &listener{
-		Listener: l, retry: retry, clients: c, adopted: passed,
-		incoming: make(chan accepted), ended: make(chan struct{}), drained: make(chan struct{}),
+func newListener(l net.Listener, clients *clientConns, adopted chan net.Conn, retry time.Duration, onError func(error)) *listener {
+	created := &listener{
+		Listener: l, retryPause: retry, clients: clients, adopted: adopted,
+		incoming: make(chan acceptResult), closed: make(chan struct{}), drained: make(chan struct{}),
 	}
-	out.accepting = accept.New(l, retry, func(err error) {
+	created.accepting = accept.New(l, retry, func(err error) {
 		onError(err)
-		out.extendDrain()
+		created.extendDrain()
 	})
-	go out.run()
-	return out
+	go created.acceptLoop()
+	return created
 }
 
 // extendDrain makes a closing listener accept for longer after a failure to accept, so that the connections waiting in the
@@ -60,32 +60,32 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if tcp, ok := l.Listener.(*net.TCPListener); ok && l.closing && !l.clients.guard.Permits(lifecycle.EndIncomplete) {
-		tcp.SetDeadline(time.Now().Add(l.retry + drainTime))
+		tcp.SetDeadline(time.Now().Add(l.retryPause + drainTime))
 	}
 }
 
-func (l *listener) run() {
+func (l *listener) acceptLoop() {
 	defer close(l.drained)
 	for {
 		raw, err := l.accepting.Accept()
-		if errors.Is(err, os.ErrDeadlineExceeded) && l.wait() {
+		if errors.Is(err, os.ErrDeadlineExceeded) && l.waitWhilePaused() {
 			continue
 		}
 		if err != nil && l.isClosing() {
 			return
 		}
-		next := accepted{conn: raw, err: err}
+		next := acceptResult{conn: raw, err: err}
 		if raw != nil {
-			l.clients.announce(1)
+			l.clients.addPending(1)
 			if delay := l.accepting.Delay(); delay > 0 {
-				next.delay = min(delay, sinceLastReceived(steady.Innermost(raw), delay))
+				next.delay = min(delay, timeSinceLastReceived(steady.Innermost(raw), delay))
 			}
 		}
 		select {
 		case l.incoming <- next:
-		case <-l.ended:
+		case <-l.closed:
 			if raw != nil {
-				l.clients.announce(-1)
+				l.clients.addPending(-1)
 				raw.Close()
 			}
 			return
@@ -96,8 +96,8 @@
 	}
 }
 
-// wait waits until connections are accepted again. It returns false if accepting is not paused.
-func (l *listener) wait() bool {
+// waitWhilePaused waits until connections are accepted again. It returns false if accepting is not paused.
+func (l *listener) waitWhilePaused() bool {
 	l.mu.Lock()
 	resumed := l.resumed
 	l.mu.Unlock()
@@ -106,14 +106,14 @@
 	}
 	select {
 	case <-resumed:
-	case <-l.ended:
+	case <-l.closed:
 	}
 	return true
 }
 
-// pause leaves new connections to other processes that listen on the same socket, or waiting in the kernel, until a call
-// with false.
-func (l *listener) pause(yes bool) {
+// setPaused leaves new connections to other processes that listen on the same socket, or waiting in the kernel. If paused is
+// false, they are accepted again.
+func (l *listener) setPaused(paused bool) {
 	tcp, ok := l.Listener.(*net.TCPListener)
 	if !ok {
 		return
@@ -122,10 +122,10 @@
 	defer l.mu.Unlock()
 	switch {
 	case l.closing:
-	case yes && l.resumed == nil:
+	case paused && l.resumed == nil:
 		l.resumed = make(chan struct{})
 		tcp.SetDeadline(time.Unix(1, 0))
-	case !yes && l.resumed != nil:
+	case !paused && l.resumed != nil:
 		tcp.SetDeadline(time.Time{})
 		close(l.resumed)
 		l.resumed = nil
@@ -135,19 +135,19 @@
 // Accept returns the next connection once there is a slot for it. Until then the connection waits here, and those after it
 // wait in the kernel's queue.
 func (l *listener) Accept() (net.Conn, error) {
-	var next accepted
+	var next acceptResult
 	select {
 	case next = <-l.incoming:
 		if next.err != nil {
 			return nil, next.err
 		}
 	case next.conn = <-l.adopted:
-		l.clients.announce(1)
-	case <-l.ended:
+		l.clients.addPending(1)
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 	c := &clientConn{Conn: next.conn, raw: steady.Innermost(next.conn), clients: l.clients, acceptDelay: next.delay}
-	if _, secure := next.conn.(*tls.Conn); !secure { // a TLS connection has it on the connection below
+	if _, isTLS := next.conn.(*tls.Conn); !isTLS { // a TLS connection has it on the connection below
 		c.Conn = steady.Conn{Conn: next.conn}
 	}
 	l.clients.add(c)
@@ -160,20 +160,20 @@
 func (l *listener) drain() (closed bool) {
 	tcp, ok := l.Listener.(*net.TCPListener)
 	l.mu.Lock()
-	begins := !l.closing
+	firstCall := !l.closing
 	paused := l.resumed != nil
 	l.closing = true
 	l.mu.Unlock()
 	if !ok || paused {
 		l.Close()
-	} else if begins {
-		tcp.SetDeadline(time.Now().Add(l.retry + drainTime)) // accepting may be pausing after a failure
+	} else if firstCall {
+		tcp.SetDeadline(time.Now().Add(l.retryPause + drainTime)) // accepting may be pausing after a failure
 	}
 	select {
 	case <-l.drained:
 		l.Close()
 		return true
-	case <-l.ended:
+	case <-l.closed:
 		return true
 	default:
 		return false
@@ -188,7 +188,7 @@
 
 // Close closes the listener at once, together with connections that were handed over and not accepted.
 func (l *listener) Close() error {
-	l.end.Do(func() { close(l.ended) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	for {
 		select {
 		case c := <-l.adopted:
--- a/internal/net/transport/peers.go
+++ b/internal/net/transport/peers.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// Run calls hear with each received message until ctx ends.
-func (p *Peers) Run(ctx context.Context, hear func(scheduler.Event)) {
+// Run calls handle with each received message until ctx ends.
+func (p *Peers) Run(ctx context.Context, handle func(scheduler.Event)) {
 	defer context.AfterFunc(ctx, func() { p.conn.Close() })()
 	buffer := make([]byte, protocol.LongestNote+1)
 	for ctx.Err() == nil {
@@ -108,33 +108,33 @@
 			sleep(ctx, p.retryDelay)
 			continue
 		}
-		p.receive(from, buffer[:n], hear)
+		p.receive(from, buffer[:n], handle)
 	}
 }
 
 // receive processes one datagram.
-func (p *Peers) receive(from netip.AddrPort, text []byte, hear func(scheduler.Event)) {
+func (p *Peers) receive(from netip.AddrPort, text []byte, handle func(scheduler.Event)) {
 	number, known := p.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 	switch {
 	case !known:
-		p.drop(from, ErrNoPeer)
+		p.reportDrop(from, ErrNoPeer)
 		return
 	case len(text) > protocol.LongestNote:
-		p.drop(from, ErrTooLong)
+		p.reportDrop(from, ErrTooLong)
 		return
 	case p.Intercept != nil && p.Intercept(number, text):
 		return
 	}
 	e, err := protocol.ParseNote(number, text)
 	if err != nil {
-		p.drop(from, err)
+		p.reportDrop(from, err)
 		return
 	}
-	hear(e)
+	handle(e)
 }
 
-// drop reports a dropped datagram to OnDrop. Without OnDrop, only unreadable messages of peers are logged.
-func (p *Peers) drop(from netip.AddrPort, why error) {
+// reportDrop reports a dropped datagram to OnDrop. Without OnDrop, only unreadable messages of peers are logged.
+func (p *Peers) reportDrop(from netip.AddrPort, why error) {
 	switch {
 	case p.OnDrop != nil:
 		p.OnDrop(from, why)
--- a/internal/net/transport/peers_test.go
+++ b/internal/net/transport/peers_test.go
@@ -18,32 +18,32 @@
 // A discovery answer with about 450 nodes once exceeded the number of bytes that were read, so the list was never updated
 // again. Fleets have hundreds of nodes, and no limit may be below what they need.
 func TestListOfTwoThousandNodes(t *testing.T) {
-	const many = 2000
+	const nodeCount = 2000
 	var hosts []string
-	for i := range many {
+	for i := range nodeCount {
 		hosts = append(hosts, fmt.Sprintf(`{"host":"s-%08x","dial":"127.11.%d.%d:5000","site":"hall-a","class":"std-node","block":%d,"health":"up","share":1.25,"born_ms":1796159830723}`,
 			i, i/250, i%250+1, i))
 	}
 	text := fmt.Sprintf(`{"seq":42,"whole":true,"hosts":[%s]}`, strings.Join(hosts, ","))
-	addr, _ := newNode(t, func(_ int64, c net.Conn, _ *http.Request) {
+	addr, _ := startNode(t, func(_ int64, c net.Conn, _ *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	})
-	ctx, end := context.WithCancel(context.Background())
-	t.Cleanup(end)
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
 	lists := make(chan protocol.List, 1)
 	nodes := NewNodes(standin.Limits())
-	go Watch(ctx, addr, FullList, []string{"hall-a"}, standin.Limits(), 1, anyTime, func(l protocol.List) {
+	go Watch(ctx, addr, FullList, []string{"hall-a"}, standin.Limits(), 1, systemTime, func(l protocol.List) {
 		nodes.Apply(l)
 		lists <- l
 		<-ctx.Done()
 	}, standin.Log(func(line string) { t.Error(line) }))
-	if got := standin.Await(t, "the list to be applied", lists); len(got.Hosts) != many || len(nodes.States()) != many {
+	if got := standin.Await(t, "the list to be applied", lists); len(got.Hosts) != nodeCount || len(nodes.States()) != nodeCount {
 		t.Errorf("%d nodes read, %d kept", len(got.Hosts), len(nodes.States()))
 	}
 }
 
-// newPeers opens sockets for n fronts that know each other.
-func newPeers(t *testing.T, n int, line func(string)) (peers []*Peers, heard []chan scheduler.Event) {
+// startPeers opens sockets for n fronts that know each other.
+func startPeers(t *testing.T, n int, logLine func(string)) (peers []*Peers, received []chan scheduler.Event) {
 	var addrs []netip.AddrPort
 	for range n { // a port that is free now stays free for a moment, as nothing else uses this address
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -54,29 +54,29 @@
 		c.Close()
 	}
 	for _, a := range addrs {
-		p, err := ListenPeers(a, addrs, standin.Limits(), standin.Log(line))
+		p, err := ListenPeers(a, addrs, standin.Limits(), standin.Log(logLine))
 		if err != nil {
 			t.Fatal(err)
 		}
-		ctx, end := context.WithCancel(context.Background())
-		t.Cleanup(end)
+		ctx, cancel := context.WithCancel(context.Background())
+		t.Cleanup(cancel)
 		events := make(chan scheduler.Event, 16)
 		go p.Run(ctx, func(e scheduler.Event) { events <- e })
-		peers, heard = append(peers, p), append(heard, events)
+		peers, received = append(peers, p), append(received, events)
 	}
-	return peers, heard
+	return peers, received
 }
 
-func TestPeersHearEachOther(t *testing.T) {
+func TestPeersExchangeMessages(t *testing.T) {
 	logged := make(chan string, 1)
-	peers, heard := newPeers(t, 2, func(line string) { logged <- line })
-	wish := slowstart.CapacityRequest{Units: 2, MinUnits: 1, Report: slowstart.LoadReport{Served: 3.5, Units: 7.25, Time: 0.125}}
-	peers[0].Send(1, scheduler.RequestCapacity{To: 1, Node: "s-1", CapacityRequest: wish})
-	if got, want := standin.Await(t, "a capacity request", heard[1]), (scheduler.CapacityRequested{From: 0, Node: "s-1", CapacityRequest: wish}); got != want {
+	peers, received := startPeers(t, 2, func(line string) { logged <- line })
+	capacity := slowstart.CapacityRequest{Units: 2, MinUnits: 1, Report: slowstart.LoadReport{Served: 3.5, Units: 7.25, Time: 0.125}}
+	peers[0].Send(1, scheduler.RequestCapacity{To: 1, Node: "s-1", CapacityRequest: capacity})
+	if got, want := standin.Await(t, "a capacity request", received[1]), (scheduler.CapacityRequested{From: 0, Node: "s-1", CapacityRequest: capacity}); got != want {
 		t.Errorf("received %v, want %v", got, want)
 	}
 	peers[1].Send(0, scheduler.GrantCapacity{To: 0, Node: "s-1", Units: 2, ValidUntil: 17})
-	if got, want := standin.Await(t, "a grant", heard[0]), (scheduler.CapacityGranted{From: 1, Node: "s-1", Units: 2, ValidUntil: 17}); got != want {
+	if got, want := standin.Await(t, "a grant", received[0]), (scheduler.CapacityGranted{From: 1, Node: "s-1", Units: 2, ValidUntil: 17}); got != want {
 		t.Errorf("received %v, want %v", got, want)
 	}
 	// Messages that can't be parsed, that come from other senders or that are too long do not stop the receiver.
@@ -92,15 +92,15 @@
 	defer stranger.Close()
 	stranger.Write([]byte("grant 2.000 17 s-1"))
 	peers[0].conn.WriteToUDPAddrPort(make([]byte, 400), peers[1].addrs[1])
-	peers[0].Send(1, scheduler.RequestCapacity{To: 1, Node: "s-2", CapacityRequest: wish})
-	if got := standin.Await(t, "the next capacity request", heard[1]); got.(scheduler.CapacityRequested).Node != "s-2" {
+	peers[0].Send(1, scheduler.RequestCapacity{To: 1, Node: "s-2", CapacityRequest: capacity})
+	if got := standin.Await(t, "the next capacity request", received[1]); got.(scheduler.CapacityRequested).Node != "s-2" {
 		t.Errorf("received %v", got)
 	}
 }
 
 // A datagram that Intercept takes is not parsed as a scheduler message, and dropped datagrams are reported to OnDrop instead
 // of the log.
-func TestPeersHandOnWhatIsNoNote(t *testing.T) {
+func TestPeersInterceptAndReportDrops(t *testing.T) {
 	var addrs []netip.AddrPort
 	for range 2 {
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -122,21 +122,21 @@
 		from int
 		text string
 	}
-	taken, drops, heard := make(chan datagram, 16), make(chan error, 16), make(chan scheduler.Event, 16)
+	intercepted, drops, received := make(chan datagram, 16), make(chan error, 16), make(chan scheduler.Event, 16)
 	peers[1].Intercept = func(from int, text []byte) bool {
 		if text[0] != '!' {
 			return false
 		}
-		taken <- datagram{from, string(text)}
+		intercepted <- datagram{from, string(text)}
 		return true
 	}
 	peers[1].OnDrop = func(_ netip.AddrPort, why error) { drops <- why }
 	for _, p := range peers {
-		go p.Run(t.Context(), func(e scheduler.Event) { heard <- e })
+		go p.Run(t.Context(), func(e scheduler.Event) { received <- e })
 	}
 	peers[0].SendBytes(7, []byte("!nobody"))
 	peers[0].SendBytes(1, []byte("!mine"))
-	if got := standin.Await(t, "the intercepted datagram", taken); got != (datagram{0, "!mine"}) {
+	if got := standin.Await(t, "the intercepted datagram", intercepted); got != (datagram{0, "!mine"}) {
 		t.Errorf("intercepted %+v", got)
 	}
 	peers[0].SendBytes(1, []byte("odd"))
@@ -157,7 +157,7 @@
 		t.Error(err)
 	}
 	peers[0].Send(1, scheduler.GrantCapacity{To: 1, Node: "s-1", Units: 2, ValidUntil: 17})
-	if got := standin.Await(t, "a grant", heard); got.(scheduler.CapacityGranted).Node != "s-1" {
+	if got := standin.Await(t, "a grant", received); got.(scheduler.CapacityGranted).Node != "s-1" {
 		t.Errorf("received %v", got)
 	}
 }
--- a/internal/net/transport/crossings_test.go
+++ b/internal/net/transport/races_test.go
@@ -25,37 +25,37 @@
 // The only connection to the node is in use, so the second attempt waits for it as for one that takes long to open. Its
 // client leaves meanwhile, after sending any amount of data behind its request. The end of the connection was once noticed
 // only if no such data came before it, and the attempt was made when there was a connection.
-func TestNothingIsBegunForAClientThatLeft(t *testing.T) {
-	for name, leave := range map[string]func(c *client){
-		"closes":                              func(c *client) { c.Close() },
-		"closes its sending side":             func(c *client) { c.Conn.(*net.TCPConn).CloseWrite() },
-		"resets":                              func(c *client) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
-		"closes after half a second request":  func(c *client) { io.WriteString(c, "GET /re"); c.Close() },
-		"closes after a second request":       func(c *client) { io.WriteString(c, fmt.Sprintf(request, "behind")+"\r\n"); c.Close() },
-		"closes after more data than is kept": func(c *client) { c.Write(bytes.Repeat([]byte("x"), 300<<10)); c.Close() },
+func TestNoAttemptBeginsAfterClientLeft(t *testing.T) {
+	for name, leave := range map[string]func(c *testClient){
+		"closes":                             func(c *testClient) { c.Close() },
+		"closes its sending side":            func(c *testClient) { c.Conn.(*net.TCPConn).CloseWrite() },
+		"resets":                             func(c *testClient) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
+		"closes after half a second request": func(c *testClient) { io.WriteString(c, "GET /re"); c.Close() },
+		"closes after a second request":      func(c *testClient) { io.WriteString(c, fmt.Sprintf(requestHead, "behind")+"\r\n"); c.Close() },
+		"closes after excess data":           func(c *testClient) { c.Write(bytes.Repeat([]byte("x"), 300<<10)); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			begun, goOn := make(chan struct{}), make(chan struct{})
-			addr, count := newNode(t, func(n int64, c net.Conn, _ *http.Request) {
+			started, proceed := make(chan struct{}), make(chan struct{})
+			addr, count := startNode(t, func(n int64, c net.Conn, _ *http.Request) {
 				if n == 1 {
-					close(begun)
-					<-goOn
+					close(started)
+					<-proceed
 				}
-				io.WriteString(c, served)
+				io.WriteString(c, okAnswer)
 			})
-			_, core, front := newFront(t, func(l *limits.Limits) { l.Nodes.ReuseDelay, l.Nodes.Conns = 0, 1 }, addr)
-			first, second := dial(t, front), dial(t, front)
-			io.WriteString(first, fmt.Sprintf(request, "first")+"\r\n")
-			standin.Await(t, "the first attempt to begin", begun)
-			io.WriteString(second, fmt.Sprintf(request, "second")+"\r\n")
+			_, core, front := startFront(t, func(l *limits.Limits) { l.Nodes.ReuseDelay, l.Nodes.Conns = 0, 1 }, addr)
+			first, second := dialClient(t, front), dialClient(t, front)
+			io.WriteString(first, fmt.Sprintf(requestHead, "first")+"\r\n")
+			standin.Await(t, "the first attempt to begin", started)
+			io.WriteString(second, fmt.Sprintf(requestHead, "second")+"\r\n")
 			standin.Until(t, "the second request to be open", func() bool { return core.Tally().Open == 2 })
 			leave(second)
 			standin.Until(t, "its client to be noticed as gone", func() bool { return core.Tally().ClientsLeft >= 1 })
-			close(goOn)
-			if r, _ := first.ask(t, ""); r.StatusCode != 200 {
+			close(proceed)
+			if r, _ := first.roundTrip(t, ""); r.StatusCode != 200 {
 				t.Errorf("first request: status %d", r.StatusCode)
 			}
-			if r, _ := first.ask(t, fmt.Sprintf(request, "third")+"\r\n"); r.StatusCode != 200 {
+			if r, _ := first.roundTrip(t, fmt.Sprintf(requestHead, "third")+"\r\n"); r.StatusCode != 200 {
 				t.Errorf("third request: status %d", r.StatusCode)
 			}
 			if n := count.Load(); n != 2 {
@@ -66,26 +66,26 @@
 }
 
 // An attempt after its start deadline writes nothing: a later repeat of it would arrive too late to be deduplicated.
-func TestAttemptPastItsBeginWritesNothing(t *testing.T) {
-	addr, count := newNode(t, func(_ int64, c net.Conn, _ *http.Request) { io.WriteString(c, served) })
+func TestAttemptPastStartDeadlineWritesNothing(t *testing.T) {
+	addr, count := startNode(t, func(_ int64, c net.Conn, _ *http.Request) { io.WriteString(c, okAnswer) })
 	s := newNodes(nil, addr)
-	over, end := context.WithCancel(t.Context())
-	end()
+	ended, cancel := context.WithCancel(t.Context())
+	cancel()
 	r, _ := http.NewRequest(http.MethodGet, "http://backend.local/read/00000000000000aa/00000000000000bb", nil)
-	if _, out := s.attempt(t.Context(), routing.Attempt{Node: "node-0", MayBegin: over}, r); out.Result != scheduler.NotStarted || count.Load() != 0 {
+	if _, out := s.attempt(t.Context(), routing.Attempt{Node: "node-0", MayBegin: ended}, r); out.Result != scheduler.NotStarted || count.Load() != 0 {
 		t.Errorf("result %v and %d requests, want NotStarted and none", out.Result, count.Load())
 	}
 }
 
 // A node sends a second answer some milliseconds after the first. If the connection were reused at once, the next request
 // would receive that answer. It is reused only after a longer delay, when the check finds unread data on it.
-func TestSecondAnswerThatComesLateIsNobodys(t *testing.T) {
+func TestLateSecondAnswerIsDiscarded(t *testing.T) {
 	late := make(chan struct{})
-	addr, _ := newNode(t, func(n int64, c net.Conn, _ *http.Request) {
-		io.WriteString(c, served)
+	addr, _ := startNode(t, func(n int64, c net.Conn, _ *http.Request) {
+		io.WriteString(c, okAnswer)
 		if n == 1 {
 			time.Sleep(3 * time.Millisecond) // no event in the front marks this time
-			io.WriteString(c, strings.Replace(served, "data", "else", 1))
+			io.WriteString(c, strings.Replace(okAnswer, "data", "else", 1))
 			close(late)
 		}
 	})
@@ -104,24 +104,24 @@
 }
 
 // Pipelined requests are answered in order, also after a request with a body.
-func TestRequestsBehindEachOtherAreAnsweredInTurn(t *testing.T) {
-	addr, count := newNode(t, func(_ int64, c net.Conn, r *http.Request) {
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
+	addr, count := startNode(t, func(_ int64, c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(r.Header.Get("X-Correlation-Id")), r.Header.Get("X-Correlation-Id"))
 	})
-	_, _, front := newFront(t, nil, addr)
+	_, _, front := startFront(t, nil, addr)
 	var text strings.Builder
 	for i := range 40 {
 		if i%3 == 0 {
-			put := strings.Replace(fmt.Sprintf(request, fmt.Sprint("id-", i)), "GET", "PUT", 1)
+			put := strings.Replace(fmt.Sprintf(requestHead, fmt.Sprint("id-", i)), "GET", "PUT", 1)
 			fmt.Fprintf(&text, "%sContent-Length: 9\r\n\r\nsome data", put)
 			continue
 		}
-		text.WriteString(fmt.Sprintf(request, fmt.Sprint("id-", i)) + "\r\n")
+		text.WriteString(fmt.Sprintf(requestHead, fmt.Sprint("id-", i)) + "\r\n")
 	}
-	c := dial(t, front)
+	c := dialClient(t, front)
 	io.WriteString(c, text.String())
 	for i := range 40 {
-		if r, body := c.ask(t, ""); r.StatusCode != 200 || body != fmt.Sprint("id-", i) {
+		if r, body := c.roundTrip(t, ""); r.StatusCode != 200 || body != fmt.Sprint("id-", i) {
 			t.Fatalf("answer %d: status %d, body %q", i, r.StatusCode, body)
 		}
 	}
@@ -131,12 +131,12 @@
 }
 
 // Closing a socket with unread bytes resets the connection and discards the last answer in transit.
-func TestLastAnswerOutlivesWhatWasNotRead(t *testing.T) {
-	_, _, front := newFront(t, func(l *limits.Limits) { l.Requests.Open = 0 }) // every request exceeds the limit: 503 and a close
+func TestUnreadDataDoesNotDiscardLastAnswer(t *testing.T) {
+	_, _, front := startFront(t, func(l *limits.Limits) { l.Requests.Open = 0 }) // every request exceeds the limit: 503 and a close
 	for i := range 50 {
-		c := dial(t, front)
-		go c.Write(append([]byte(fmt.Sprintf(request, fmt.Sprint("id-", i))+"\r\n"), make([]byte, 200<<10)...))
-		if r, body := c.ask(t, ""); r.StatusCode != 503 || !r.Close || body == "" {
+		c := dialClient(t, front)
+		go c.Write(append([]byte(fmt.Sprintf(requestHead, fmt.Sprint("id-", i))+"\r\n"), make([]byte, 200<<10)...))
+		if r, body := c.roundTrip(t, ""); r.StatusCode != 503 || !r.Close || body == "" {
 			t.Fatalf("status %d, body %q, want 503 with a body and a close", r.StatusCode, body)
 		}
 		if _, err := c.in.ReadByte(); err != io.EOF {
@@ -145,8 +145,8 @@
 	}
 }
 
-// acceptOne returns a client's connection as the front has it, and its other end.
-func acceptOne(t *testing.T) (s *clientConns, c *clientConn, far *net.TCPConn) {
+// acceptClient returns a client's connection as the front has it, and its other end.
+func acceptClient(t *testing.T) (s *clientConns, c *clientConn, far *net.TCPConn) {
 	t.Helper()
 	l := standin.Listen(t)
 	t.Cleanup(func() { l.Close() })
@@ -162,15 +162,15 @@
 	bounds := standin.Limits()
 	s = newClientConns(bounds, lifecycle.New(bounds.Stop, slog.New(slog.DiscardHandler)))
 	c = &clientConn{Conn: near, raw: near, clients: s}
-	s.announce(1)
+	s.addPending(1)
 	s.add(c)
 	return s, c, other.(*net.TCPConn)
 }
 
 // An idle connection was once closed by another goroutine during a read: a request that arrived at that moment was read and
 // sent on, and its answer was lost. Now only the reader closes the connection, and reads nothing after that.
-func TestIdleConnectionEndsWithoutARequest(t *testing.T) {
-	s, c, far := acceptOne(t)
+func TestIdleConnectionIsClosedByItsReader(t *testing.T) {
+	s, c, far := acceptClient(t)
 	c.Write([]byte("x")) // an earlier answer
 	read := make(chan error, 1)
 	go func() {
@@ -192,14 +192,14 @@
 	}
 	far.Close()
 	standin.Await(t, "the connection to close", closed)
-	if s.count() != 0 || s.closing != 0 {
-		t.Errorf("%d connections, %d of them closing; want none", s.count(), s.closing)
+	if s.count() != 0 || s.closingCount != 0 {
+		t.Errorf("%d connections, %d of them closing; want none", s.count(), s.closingCount)
 	}
 }
 
 // A request that has arrived when its connection is about to be closed is read, and the connection stays open.
-func TestRequestThatCrossesAnEndIsRead(t *testing.T) {
-	s, c, far := acceptOne(t)
+func TestRequestArrivingAtIdleCloseIsRead(t *testing.T) {
+	s, c, far := acceptClient(t)
 	io.WriteString(far, "GET ")
 	standin.Until(t, "the request to arrive", c.hasPendingInput)
 	s.endIdle(time.Now().Add(time.Hour))
@@ -207,25 +207,25 @@
 	if n, err := c.Read(p); err != nil || string(p[:n]) != "GET " {
 		t.Errorf("read %q, %v", p[:n], err)
 	}
-	if s.closing != 0 {
+	if s.closingCount != 0 {
 		t.Error("the connection is still marked to close")
 	}
 }
 
 // The read of a connection is interrupted while its request awaits an answer. The client must not be taken for gone, and the
 // end that net/http sets for its own read must not be lost with the interruption.
-func TestWakingEndsNoRequest(t *testing.T) {
-	begun, goOn := make(chan struct{}, 1), make(chan struct{})
-	addr, _ := newNode(t, func(_ int64, c net.Conn, _ *http.Request) {
-		begun <- struct{}{}
-		<-goOn
-		io.WriteString(c, served)
+func TestInterruptedReadEndsNoRequest(t *testing.T) {
+	started, proceed := make(chan struct{}, 1), make(chan struct{})
+	addr, _ := startNode(t, func(_ int64, c net.Conn, _ *http.Request) {
+		started <- struct{}{}
+		<-proceed
+		io.WriteString(c, okAnswer)
 	})
-	f, core, front := newFront(t, nil, addr)
-	c := dial(t, front)
+	f, core, front := startFront(t, nil, addr)
+	c := dialClient(t, front)
 	for i := range 200 {
-		io.WriteString(c, fmt.Sprintf(request, fmt.Sprint("id-", i))+"\r\n")
-		standin.Await(t, "the attempt to begin", begun)
+		io.WriteString(c, fmt.Sprintf(requestHead, fmt.Sprint("id-", i))+"\r\n")
+		standin.Await(t, "the attempt to begin", started)
 		wake := func() {
 			f.clients.mu.Lock()
 			defer f.clients.mu.Unlock()
@@ -237,8 +237,8 @@
 		if i%2 == 0 {
 			go wake() // concurrently with the answer
 		}
-		goOn <- struct{}{}
-		if r, _ := c.ask(t, ""); r.StatusCode != 200 {
+		proceed <- struct{}{}
+		if r, _ := c.roundTrip(t, ""); r.StatusCode != 200 {
 			t.Fatalf("request %d: status %d", i, r.StatusCode)
 		}
 	}
--- a/internal/net/transport/roundtrip.go
+++ b/internal/net/transport/roundtrip.go
@@ -35,34 +35,34 @@
 }
 
 // withInbound adds the parsed request to the context that RoundTrip receives.
-func withInbound(ctx context.Context, m inboundRequest) context.Context {
-	return context.WithValue(ctx, inboundKey{}, m)
+func withInbound(ctx context.Context, inbound inboundRequest) context.Context {
+	return context.WithValue(ctx, inboundKey{}, inbound)
 }
 
 // RoundTrip returns a node's answer with status 200, or the core's rejection or failure as an error.
 func (t *RoundTripper) RoundTrip(r *http.Request) (*http.Response, error) {
-	m, ok := r.Context().Value(inboundKey{}).(inboundRequest)
+	inbound, ok := r.Context().Value(inboundKey{}).(inboundRequest)
 	if !ok {
 		return nil, errors.New("round trip: no parsed request in the context")
 	}
-	var answer responseHandoff
+	var handoff responseHandoff
 	var clientGone func() bool
 	if conn := connOf(r.Context()); conn != nil {
 		clientGone = conn.hungUp
 	}
-	resp, err := routing.Do(r.Context(), t.core, m.Request.Request,
+	resp, err := routing.Do(r.Context(), t.core, inbound.Request.Request,
 		func(ctx context.Context, a routing.Attempt) (resp *http.Response, outcome scheduler.AttemptEnded) {
-			defer func() { answer.put(resp) }()
+			defer func() { handoff.put(resp) }()
 			a.ClientGone = clientGone
-			if m.upload != nil {
-				return t.nodes.finishUpload(ctx, a, m.upload)
+			if inbound.upload != nil {
+				return t.nodes.finishUpload(ctx, a, inbound.upload)
 			}
-			return t.nodes.attempt(ctx, a, withBody(r.Clone(ctx), m.Body))
+			return t.nodes.attempt(ctx, a, withBody(r.Clone(ctx), inbound.Body))
 		})
 	if err != nil {
-		answer.drop()
-	} else if long, ok := resp.Body.(*streamedResponse); ok { // the request stays open until its body has been passed on
-		long.onClose = t.core.HoldOpen()
+		handoff.drop()
+	} else if streamedBody, ok := resp.Body.(*streamedResponse); ok { // the request stays open until its body has been passed on
+		streamedBody.onClose = t.core.HoldOpen()
 	}
 	return resp, err
 }
--- a/internal/net/transport/stop.go
+++ b/internal/net/transport/shutdown.go
@@ -14,47 +14,47 @@
 // answered at once. The guard sets these times.
 //
 // Clients get no further connections during that time, and a client that found all of its connections in use once sent
-// nothing more until the next start. So room, unless nil, is called with the number of requests that may be open: a fraction
-// of the open connections. If another process serves in place of this one, Stop returns as soon as nothing is left.
-func (f *Front) Stop(room func(open int)) error {
+// nothing more until the next start. So setMaxOpen, unless nil, is called with the number of requests that may be open: a
+// fraction of the open connections. If another process serves in place of this one, Stop returns as soon as nothing is left.
+func (f *Front) Stop(setMaxOpen func(open int)) error {
 	f.guard.BeginShutdown(time.Now())
-	tick := time.NewTicker(f.limits.Stop.CheckInterval)
-	defer tick.Stop()
-	for ; ; <-tick.C {
-		left, yielded := f.clients.count(), f.yielded.Load()
-		if room != nil && left > 0 && !yielded {
-			room(max(1, left/f.limits.Stop.ConnsPerRequest))
+	ticker := time.NewTicker(f.limits.Stop.CheckInterval)
+	defer ticker.Stop()
+	for ; ; <-ticker.C {
+		remaining, yielded := f.clients.count(), f.yielded.Load()
+		if setMaxOpen != nil && remaining > 0 && !yielded {
+			setMaxOpen(max(1, remaining/f.limits.Stop.ConnsPerRequest))
 		}
 		accepted := false // all connections that waited in the kernel
 		if !f.guard.Permits(lifecycle.Accept) {
 			accepted = f.drainListener()
 		}
 		if f.guard.Permits(lifecycle.EndIdle) {
-			left = f.clients.endIdle(time.Now().Add(-f.limits.Stop.CheckInterval))
+			remaining = f.clients.endIdle(time.Now().Add(-f.limits.Stop.CheckInterval))
 		}
 		if f.guard.Permits(lifecycle.EndIncomplete) {
 			f.clients.endIncomplete()
 		}
-		ended := (accepted || yielded) && left == 0 && f.open.Load() == 0
-		if ended || f.guard.Since() > f.guard.Limits().AtMost {
+		done := (accepted || yielded) && remaining == 0 && f.openRequests.Load() == 0
+		if done || f.guard.Since() > f.guard.Limits().AtMost {
 			break
 		}
 	}
 	return f.server.Close()
 }
 
-// Yield leaves new connections to another process that listens on the same socket, and has pass take over the open ones when
-// they are idle. Requests that have arrived, or have begun to, are answered here.
-func (f *Front) Yield(pass func(net.Conn) error) {
+// Yield leaves new connections to another process that listens on the same socket, and has handOff take over the open ones
+// when they are idle. Requests that have arrived, or have begun to, are answered here.
+func (f *Front) Yield(handOff func(net.Conn) error) {
 	f.yielded.Store(true)
 	f.Pause(true)
-	f.clients.handOffIdle(pass)
+	f.clients.handOffIdle(handOff)
 }
 
-// Pause leaves new connections in the kernel, or accepts them again after a call with false.
-func (f *Front) Pause(yes bool) {
+// Pause leaves new connections in the kernel, or accepts them again if paused is false.
+func (f *Front) Pause(paused bool) {
 	if l := f.listener.Load(); l != nil {
-		l.pause(yes)
+		l.setPaused(paused)
 	}
 }
 
--- a/internal/net/transport/kernel.go
+++ b/internal/net/transport/socketstate.go
@@ -27,24 +27,24 @@
 	return err != nil || gone
 }
 
-// nothingToRead reports whether a socket is open with nothing to read.
-func nothingToRead(fd uintptr) bool {
+// hasNothingToRead reports whether a socket is open with nothing to read.
+func hasNothingToRead(fd uintptr) bool {
 	_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err == syscall.EAGAIN
 }
 
-// sinceLastReceived returns how long ago the kernel last received data on a connection, or the given default if the kernel
+// timeSinceLastReceived returns how long ago the kernel last received data on a connection, or defaultTime if the kernel
 // can't tell.
-func sinceLastReceived(c net.Conn, otherwise time.Duration) time.Duration {
+func timeSinceLastReceived(c net.Conn, defaultTime time.Duration) time.Duration {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
-		return otherwise
+		return defaultTime
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return otherwise
+		return defaultTime
 	}
-	since := otherwise
+	since := defaultTime
 	raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			since = time.Duration(info.Last_data_recv) * time.Millisecond
--- a/internal/net/transport/upload.go
+++ b/internal/net/transport/upload.go
@@ -40,65 +40,65 @@
 // so the scheduler decides only whether the end is sent, when the client's last byte has arrived, as with any other request.
 // The bytes that were sent are not kept, so no other node can get the request.
 type upload struct {
-	node    string
-	conn    *nodes.Conn[*stream]
-	request *http.Request
-	tail    []byte // the end, which is not sent yet
-	guard   *lifecycle.Guard
-	release func(clean bool)
+	node      string
+	conn      *nodes.Conn[*stream]
+	request   *http.Request
+	unsentEnd []byte // the end, which is not sent yet
+	guard     *lifecycle.Guard
+	release   func(clean bool)
 }
 
-// startUpload sends a long request to a node as it arrives. held is the beginning of its body. An error means that the node
-// can't take the request; errors on the client's side have the type clientError.
-func (s *Nodes) startUpload(ctx context.Context, guard *lifecycle.Guard, node string, r *http.Request, held []byte,
-	next func(p []byte) (int, error),
+// startUpload sends a long request to a node as it arrives. buffered is the beginning of its body. An error means that the
+// node can't take the request; errors on the client's side have the type clientError.
+func (s *Nodes) startUpload(ctx context.Context, guard *lifecycle.Guard, node string, r *http.Request, buffered []byte,
+	readNext func(p []byte) (int, error),
 ) (*upload, error) {
-	limited, end := context.WithTimeout(ctx, 2*s.limits.Nodes.ConnectTimeout) // time to wait for a connection if all are in use
-	defer end()
-	c, err := s.Acquire(limited, node, nodes.Running)
+	connectCtx, cancel := context.WithTimeout(ctx, 2*s.limits.Nodes.ConnectTimeout) // time to wait for a connection if all are in use
+	defer cancel()
+	c, err := s.Acquire(connectCtx, node, nodes.Running)
 	if err != nil {
 		return nil, err
 	}
 	u := &upload{node: node, conn: c, request: r, guard: guard}
 	u.release = func(clean bool) { s.Release(c, clean) }
-	if err := u.sendAllButTail(r, held, next, s.limits); err != nil {
+	if err := u.sendAllButEnd(r, buffered, readNext, s.limits); err != nil {
 		u.close()
 		return nil, err
 	}
 	return u, nil
 }
 
-// sendAllButTail writes the head and the body except for its end.
-func (u *upload) sendAllButTail(r *http.Request, held []byte, next func(p []byte) (int, error), l limits.Limits) error {
+// sendAllButEnd writes the head and the body except for its end.
+func (u *upload) sendAllButEnd(r *http.Request, buffered []byte, readNext func(p []byte) (int, error), l limits.Limits) error {
 	var pending bytes.Buffer
 	fmt.Fprintf(&pending, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.URL.RequestURI(), r.Host)
 	r.Header.Write(&pending)
-	to, length := io.Writer(&pending), r.ContentLength
+	body, length := io.Writer(&pending), r.ContentLength
 	if length >= 0 {
 		fmt.Fprintf(&pending, "Content-Length: %d\r\n\r\n", length)
 	} else {
 		pending.WriteString("Transfer-Encoding: chunked\r\n\r\n")
-		to = httputil.NewChunkedWriter(&pending)
+		body = httputil.NewChunkedWriter(&pending)
 	}
-	piece := buffers.Get()
-	defer buffers.Put(piece)
+	buffer := buffers.Get()
+	defer buffers.Put(buffer)
 	for {
-		for ; len(held) > len(piece); held = held[len(piece):] { // held may be one byte longer than a buffered body
-			to.Write(held[:len(piece)])
+		for ; len(buffered) > len(buffer); buffered = buffered[len(buffer):] { // one byte more than fits may be buffered
+			body.Write(buffered[:len(buffer)])
 			if err := u.write(&pending, l); err != nil {
 				return err
 			}
 		}
-		if held != nil {
-			to.Write(held)
-			held = nil
+		if buffered != nil {
+			body.Write(buffered)
+			buffered = nil
 		}
-		n, err := next(piece)
+		n, err := readNext(buffer)
 		if n > 0 { // more data arrived, so the pending bytes are not the end
 			if err := u.write(&pending, l); err != nil {
 				return err
 			}
-			to.Write(piece[:n])
+			body.Write(buffer[:n])
 		}
 		if err == io.EOF {
 			break
@@ -108,10 +108,10 @@
 		}
 	}
 	if length < 0 {
-		to.(io.Closer).Close()
+		body.(io.Closer).Close()
 		pending.WriteString("\r\n")
 	}
-	u.tail = pending.Bytes()
+	u.unsentEnd = pending.Bytes()
 	return u.conn.SetWriteDeadline(time.Time{})
 }
 
@@ -149,32 +149,34 @@
 		return nil, scheduler.AttemptEnded{Result: scheduler.NotStarted}
 	}
 	u.release = nil
-	resp, out, written := s.completeAttempt(ctx, a, u.conn, u.request, u.tail)
-	if !written && out.Result == scheduler.Unreachable {
+	resp, result, written := s.completeAttempt(ctx, a, u.conn, u.request, u.unsentEnd)
+	if !written && result.Result == scheduler.Unreachable {
 		// The connection had been open for long, so its failure says little about the node. A new connection shows whether
 		// the node is alive.
-		out = scheduler.AttemptEnded{Result: scheduler.Reset, Alive: s.Reconnect(a.Node)}
+		result = scheduler.AttemptEnded{Result: scheduler.Reset, Alive: s.Reconnect(a.Node)}
 	}
-	return resp, out
+	return resp, result
 }
 
 // upload sends a long request to its node as it arrives.
-func (t *RoundTripper) upload(r *http.Request, m *inboundRequest, next func(p []byte) (int, error)) error {
-	node, shard, err := t.core.NodeFor(r.Context(), m.Request.Request)
+func (t *RoundTripper) upload(r *http.Request, inbound *inboundRequest, readNext func(p []byte) (int, error)) error {
+	node, shard, err := t.core.NodeFor(r.Context(), inbound.Request.Request)
 	if err != nil {
 		return err
 	}
 	if node == "" {
 		return errNoNodeAvailable
 	}
-	out := &http.Request{Method: r.Method, URL: r.URL, Host: r.Host, Header: protocol.Forwarded(r.Header), ContentLength: r.ContentLength}
-	protocol.SetLeft(out.Header, time.Until(t.core.Guard.Deadline(micros(m.TimeLeft))))
-	held := m.Body
-	m.Body = nil
-	if m.upload, err = t.nodes.startUpload(r.Context(), t.core.Guard, node, out, held, next); err != nil {
+	outbound := &http.Request{
+		Method: r.Method, URL: r.URL, Host: r.Host, Header: protocol.Forwarded(r.Header), ContentLength: r.ContentLength,
+	}
+	protocol.SetLeft(outbound.Header, time.Until(t.core.Guard.Deadline(toDuration(inbound.TimeLeft))))
+	buffered := inbound.Body
+	inbound.Body = nil
+	if inbound.upload, err = t.nodes.startUpload(r.Context(), t.core.Guard, node, outbound, buffered, readNext); err != nil {
 		return err
 	}
-	m.Shard = shard // the shard that holds a new object
+	inbound.Shard = shard // the shard that holds a new object
 	return nil
 }
 
