--- a/internal/net/transport/answer.go
+++ b/internal/net/transport/answer.go
@@ -78,11 +78,11 @@
 	session := c.Session
 	mayStream := resp.ContentLength < 0 && resp.StatusCode == http.StatusOK
 	var buffered bytes.Buffer
-	buffer := make([]byte, bodyReadBytes)
+	part := make([]byte, bodyReadBytes)
 	for {
 		// A body that keeps arriving is passed on before its client's time is over; a body that has stopped arriving fails.
-		n, err := readAvailable(ctx, c, resp, buffer, time.Now().Add(s.limits.Nodes.BodySilence))
-		buffered.Write(buffer[:n])
+		n, err := readAvailable(ctx, c, resp, part, time.Now().Add(s.limits.Nodes.BodySilence))
+		buffered.Write(part[:n])
 		long := int64(buffered.Len()) > s.limits.Requests.BufferedBytes
 		slow := time.Since(session.firstByteAt) > s.limits.Nodes.BufferTimeout
 		switch {
@@ -140,9 +140,9 @@
 	return n, err
 }
 
-// streamedResponse is the body of an answer that is passed on while it arrives. It holds no more than the kernel's buffers
-// and one copy buffer, so a client that reads slowly slows down its own node connection and nothing else. It reads from the
-// node as long as data keeps arriving.
+// streamedResponse is the body of an answer that is passed on while it arrives. Apart from the kernel's buffers it holds one
+// copy buffer, so a client that reads slowly slows down its own node connection and nothing else. It reads from the node as
+// long as data keeps arriving.
 type streamedResponse struct {
 	buffered   []byte         // bytes that were already read
 	source     *http.Response // the response as read from the node
@@ -151,7 +151,7 @@
 	bytesLeft  int64 // bytes that the body may still have
 	closeAfter bool  // the node closes the connection after the answer
 	complete   bool
-	release    func(clean bool)
+	release    func(reusable bool)
 	onClose    func()
 }
 
--- a/internal/net/transport/flood_test.go
+++ b/internal/net/transport/flood_test.go
@@ -144,7 +144,8 @@
 		servedRetries = float64(gated.servedRetries.Load()) / float64(n)
 	}
 	fmt.Printf("door: %d s per run; others' share during a flood %.3f with the admission gate, %.3f without it; of the retries "+
-		"after Retry-After %.3f served (%d retries)\n", seconds, share["with gate"], share["without gate"], servedRetries, gated.retries.Load())
+		"after Retry-After %.3f served (%d retries)\n", seconds, share["with gate"], share["without gate"],
+		servedRetries, gated.retries.Load())
 	if share["with gate"] < 0.95 || servedRetries < 0.9 || gated.failures.Load() > 0 {
 		t.Errorf("with the admission gate: share %.3f (want 0.95), %.3f of retries served (want 0.9), %d failed (want 0)",
 			share["with gate"], servedRetries, gated.failures.Load())
--- a/internal/net/transport/upload.go
+++ b/internal/net/transport/upload.go
@@ -45,12 +45,12 @@
 	request   *http.Request
 	unsentEnd []byte // the end, which is not sent yet
 	guard     *lifecycle.Guard
-	release   func(clean bool)
+	release   func(reusable bool)
 }
 
-// startUpload sends a long request to a node as it arrives. buffered is the beginning of its body. An error means that the
-// node can't take the request; errors on the client's side have the type clientError.
-func (s *Nodes) startUpload(ctx context.Context, guard *lifecycle.Guard, node string, r *http.Request, buffered []byte,
+// startUpload sends a long request to a node as it arrives. bodyStart is the part of its body that has arrived. An error
+// means that the node can't take the request; errors on the client's side have the type clientError.
+func (s *Nodes) startUpload(ctx context.Context, guard *lifecycle.Guard, node string, r *http.Request, bodyStart []byte,
 	readNext func(p []byte) (int, error),
 ) (*upload, error) {
 	connectCtx, cancel := context.WithTimeout(ctx, 2*s.limits.Nodes.ConnectTimeout) // time to wait for a connection if all are in use
@@ -60,8 +60,8 @@
 		return nil, err
 	}
 	u := &upload{node: node, conn: c, request: r, guard: guard}
-	u.release = func(clean bool) { s.Release(c, clean) }
-	if err := u.sendAllButEnd(r, buffered, readNext, s.limits); err != nil {
+	u.release = func(reusable bool) { s.Release(c, reusable) }
+	if err := u.sendAllButEnd(r, bodyStart, readNext, s.limits); err != nil {
 		u.close()
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 }
 
 // sendAllButEnd writes the head and the body except for its end.
-func (u *upload) sendAllButEnd(r *http.Request, buffered []byte, readNext func(p []byte) (int, error), l limits.Limits) error {
+func (u *upload) sendAllButEnd(r *http.Request, bodyStart []byte, readNext func(p []byte) (int, error), l limits.Limits) error {
 	var pending bytes.Buffer
 	fmt.Fprintf(&pending, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.URL.RequestURI(), r.Host)
 	r.Header.Write(&pending)
@@ -83,15 +83,15 @@
 	buffer := buffers.Get()
 	defer buffers.Put(buffer)
 	for {
-		for ; len(buffered) > len(buffer); buffered = buffered[len(buffer):] { // one byte more than fits may be buffered
-			body.Write(buffered[:len(buffer)])
+		for ; len(bodyStart) > len(buffer); bodyStart = bodyStart[len(buffer):] { // it is one byte longer than a buffered body may be
+			body.Write(bodyStart[:len(buffer)])
 			if err := u.write(&pending, l); err != nil {
 				return err
 			}
 		}
-		if buffered != nil {
-			body.Write(buffered)
-			buffered = nil
+		if bodyStart != nil {
+			body.Write(bodyStart)
+			bodyStart = nil
 		}
 		n, err := readNext(buffer)
 		if n > 0 { // more data arrived, so the pending bytes are not the end
@@ -171,9 +171,9 @@
 		Method: r.Method, URL: r.URL, Host: r.Host, Header: protocol.Forwarded(r.Header), ContentLength: r.ContentLength,
 	}
 	protocol.SetLeft(outbound.Header, time.Until(t.core.Guard.Deadline(toDuration(inbound.TimeLeft))))
-	buffered := inbound.Body
+	bodyStart := inbound.Body
 	inbound.Body = nil
-	if inbound.upload, err = t.nodes.startUpload(r.Context(), t.core.Guard, node, outbound, buffered, readNext); err != nil {
+	if inbound.upload, err = t.nodes.startUpload(r.Context(), t.core.Guard, node, outbound, bodyStart, readNext); err != nil {
 		return err
 	}
 	inbound.Shard = shard // the shard that holds a new object
