--- a/internal/net/transport/evict.go
+++ b/internal/net/transport/evict.go
@@ -2,34 +2,36 @@
 
 import "time"
 
-// closeLongestIdle closes the connection that has been longest without a whole request, if it has had time to send
-// one. Those that never brought one for the core go first: in a flood of others, clients would lose the connections
-// that they use now and then. The lock is held.
+// closeLongestIdle closes the connection that has gone longest without a complete request, if it has had time to send one.
+// Connections that never carried a request for the core go first: in a flood of them, clients would otherwise lose
+// connections that they use occasionally. The caller holds the lock.
 func (s *clientConns) closeLongestIdle(now time.Time) {
-	var longest *clientConn
+	var candidate *clientConn
 	for c := range s.conns {
-		wait := s.limits.Clients.MinIdle
-		if c.stage == reading {
-			wait = s.limits.Clients.HeaderTimeout / 2
+		minWait := s.limits.Clients.MinIdle
+		if c.stage == stageReading {
+			minWait = s.limits.Clients.HeaderTimeout / 2
 		}
-		if c.stage == busy || c.markedClosing || now.Sub(c.stageSince) < wait || longest != nil && !c.evictedBefore(longest) {
+		if c.stage == stageAwaitingAnswer || c.markedClosing || now.Sub(c.stageSince) < minWait ||
+			candidate != nil && !c.isEvictedBefore(candidate) {
 			continue
 		}
-		if c.stage == reading || !c.hasInput.Load() {
-			longest = c
+		if c.stage == stageReading || !c.hasInput.Load() {
+			candidate = c
 		}
 	}
-	if longest != nil {
-		s.markClosing(longest)
-		longest.interruptRead()
+	if candidate != nil {
+		s.markClosing(candidate)
+		candidate.interruptRead()
 	}
 }
 
-// closeDrained makes room at once: it closes a connection whose client has had its last answer written and may be reading it
-// yet. A connection with unread bytes is left, as closing it would reset it and take that answer along. The lock is held.
-func (s *clientConns) closeDrained() bool {
+// closeOneEnding frees a slot at once: it closes a connection whose last answer was written, though the client may still be
+// reading it. A connection with unread bytes is kept, as closing it would reset it and discard that answer. The caller holds
+// the lock.
+func (s *clientConns) closeOneEnding() bool {
 	for c := range s.conns {
-		if c.stage == ending && !c.hasUnreadInput() {
+		if c.stage == stageEnding && !c.hasUnreadInput() {
 			s.closeNow(c)
 			return true
 		}
@@ -37,7 +39,7 @@
 	return false
 }
 
-func (c *clientConn) evictedBefore(other *clientConn) bool {
+func (c *clientConn) isEvictedBefore(other *clientConn) bool {
 	if c.sentRequest != other.sentRequest {
 		return other.sentRequest
 	}
--- a/internal/net/transport/exchange.go
+++ b/internal/net/transport/exchange.go
@@ -1,5 +1,5 @@
-// Package transport holds the platform's sockets: the listener for clients, the exchanges with nodes, the watch
-// on discovery and the probes.
+// Package transport contains the network connections of a front: the listener for clients, the exchanges with nodes, the
+// discovery watch, the messages between fronts and the health checks.
 package transport
 
 import (
@@ -22,29 +22,29 @@
 	"otterturn/scheduler"
 )
 
-// errBodyTooLong tells that a message's body passes its bound.
+// errBodyTooLong says that the body of a message exceeds its limit.
 var errBodyTooLong = errors.New("the body is too long")
 
-// errMalformedResponse tells that a node answered with what can't be read, or not to its end. The request may have run, and
-// the node lives.
-var errMalformedResponse = errors.New("the answer is spoilt")
+// errMalformedResponse says that a node's answer can't be parsed or is incomplete. The request may have run, and the node is
+// alive.
+var errMalformedResponse = errors.New("malformed answer")
 
-// Nodes are the nodes with HTTP connections to each.
+// Nodes holds the HTTP connections to the nodes.
 type Nodes struct {
 	*nodes.Pool[*stream]
 	limits          limits.Limits
-	attemptsWritten atomic.Int64 // attempts of requests that were written whole
+	attemptsWritten atomic.Int64 // attempts whose request was written completely
 }
 
-// stream reads answers from a connection, each within a number of bytes.
+// stream reads answers from a connection, with a limit on the bytes of each.
 type stream struct {
 	*bufio.Reader
 	limit       io.LimitedReader
 	source      *source
-	firstByteAt time.Time // when the last answer began to come
+	firstByteAt time.Time // when the last answer began to arrive
 }
 
-// source is a connection that keeps how the last read of it ended.
+// source is a connection that records the error of its last read.
 type source struct {
 	net.Conn
 	readErr error
@@ -62,19 +62,19 @@
 	return s
 }
 
-// NewNodes returns an empty list.
+// NewNodes returns a pool without nodes.
 func NewNodes(l limits.Limits) *Nodes {
 	return &Nodes{limits: l, Pool: nodes.New(l, nodes.Session[*stream]{
 		Open:  func(c net.Conn) (*stream, error) { return newStream(c), nil },
-		Alive: func(c net.Conn, in *stream) bool { return in.Buffered() == 0 && isIdle(c) },
+		Alive: func(c net.Conn, session *stream) bool { return session.Buffered() == 0 && isIdle(c) },
 	})}
 }
 
-// Attempts tells how many attempts of requests were written whole.
+// Attempts returns the number of attempts whose request was written completely.
 func (s *Nodes) Attempts() int64 { return s.attemptsWritten.Load() }
 
-// isIdle tells whether a connection is open with nothing to read. An idle one that ended, or on which something
-// came unasked, must not carry a request.
+// isIdle reports whether a connection is open with nothing to read. A kept connection that was closed, or on which data
+// arrived without a request, must not carry a request.
 func isIdle(c net.Conn) bool {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -85,28 +85,28 @@
 		return false
 	}
 	open := false
-	err = raw.Control(func(fd uintptr) { open = nothingToRead(fd) })
+	err = raw.Control(func(fd uintptr) { open = hasNothingToRead(fd) })
 	return err == nil && open
 }
 
-// attempt sends a request to a node once and tells how that ended. Where the connection breaks before the last
-// byte is written the request never ran, and it is written again to another: the node may just have closed it.
+// attempt sends a request to a node once and returns the result. If the connection breaks before the last byte is written,
+// the request never ran and is written to another connection: the node may just have closed an idle one.
 func (s *Nodes) attempt(ctx context.Context, a routing.Attempt, r *http.Request) (*http.Response, scheduler.AttemptEnded) {
-	for tries := 1; ; tries++ {
-		resp, out, written := s.attemptOnce(ctx, a, r)
-		if written || tries == s.limits.Nodes.WriteTries || a.Permitted() != nil {
-			return resp, out
+	for try := 1; ; try++ {
+		resp, result, written := s.attemptOnce(ctx, a, r)
+		if written || try == s.limits.Nodes.WriteTries || a.Permitted() != nil {
+			return resp, result
 		}
 	}
 }
 
-// encodeForNow encodes a request with the time that its client has left now: a connection may take long to come up, and a
-// node that was told the time from before would work for longer than anybody waits.
+// encodeForNow encodes a request with the time that its client has left now. Opening a connection may take long, and a node
+// that is told an earlier value would work for longer than the client waits.
 func encodeForNow(ctx context.Context, r *http.Request) ([]byte, error) {
 	if deadline, ok := ctx.Deadline(); ok {
 		protocol.SetLeft(r.Header, time.Until(deadline))
 	}
-	if r.GetBody != nil { // an earlier connection may have taken it
+	if r.GetBody != nil { // an earlier connection may have consumed the body
 		body, err := r.GetBody()
 		if err != nil {
 			return nil, fmt.Errorf("encode: %w", err)
@@ -124,8 +124,8 @@
 	return message.Bytes(), nil
 }
 
-// attemptOnce makes an attempt on one connection. written is false only where another connection may do better.
-func (s *Nodes) attemptOnce(ctx context.Context, a routing.Attempt, r *http.Request) (resp *http.Response, out scheduler.AttemptEnded, written bool) {
+// attemptOnce makes an attempt on one connection. written is false only if another connection may succeed.
+func (s *Nodes) attemptOnce(ctx context.Context, a routing.Attempt, r *http.Request) (resp *http.Response, result scheduler.AttemptEnded, written bool) {
 	c, err := s.Acquire(a.MayBegin, a.Node, nodes.Running)
 	switch {
 	case err != nil && ctx.Err() != nil:
@@ -147,17 +147,17 @@
 	return s.completeAttempt(ctx, a, c, r, message)
 }
 
-// completeAttempt writes the last bytes of a request and tells what came of it.
-func (s *Nodes) completeAttempt(ctx context.Context, a routing.Attempt, c *nodes.Conn[*stream], r *http.Request, message []byte) (resp *http.Response, out scheduler.AttemptEnded, written bool) {
-	began := time.Now()
-	resp, first, written, err := s.exchange(ctx, c, r, message, a.Written)
+// completeAttempt writes the last bytes of a request and returns the result of the attempt.
+func (s *Nodes) completeAttempt(ctx context.Context, a routing.Attempt, c *nodes.Conn[*stream], r *http.Request, message []byte) (resp *http.Response, result scheduler.AttemptEnded, written bool) {
+	startedAt := time.Now()
+	resp, firstByte, written, err := s.exchange(ctx, c, r, message, a.Written)
 	if written {
 		s.attemptsWritten.Add(1)
 	}
 	switch {
 	case errors.Is(err, errMalformedResponse):
-		// As with an error of the node's own, its latency is what came before the answer.
-		return nil, scheduler.AttemptEnded{Result: scheduler.Errored, Latency: toMicros(first.Sub(began))}, true
+		// As for an error reported by the node, the latency is the time before the answer.
+		return nil, scheduler.AttemptEnded{Result: scheduler.Errored, Latency: toMicros(firstByte.Sub(startedAt))}, true
 	case err != nil && ctx.Err() != nil:
 		return nil, scheduler.AttemptEnded{Result: scheduler.TimedOut}, true
 	case err != nil && !written:
@@ -165,46 +165,46 @@
 	case err != nil:
 		return nil, scheduler.AttemptEnded{Result: scheduler.Reset, Alive: s.Reconnect(a.Node)}, true
 	}
-	// The node's work is over with its first byte: how long the rest took to come says nothing of its queue, and as
-	// latencies answers that come slowly closed every budget.
-	out = protocol.ParseOutcome(resp.StatusCode, resp.Header)
-	out.Latency = toMicros(first.Sub(began))
-	return resp, out, true
+	// The node's work is over with its first byte. How long the rest took to arrive says nothing about its queue: counted as
+	// latency, slowly arriving answers closed every budget.
+	result = protocol.ParseOutcome(resp.StatusCode, resp.Header)
+	result.Latency = toMicros(firstByte.Sub(startedAt))
+	return resp, result, true
 }
 
-// exchange writes a request and reads the answer to its last byte; only then is it sure that there is one.
-// written tells whether the request's last byte left. The connection is given back, or closed if ctx ended or
-// anything was odd. onWritten hears of the last byte as it leaves.
-func (s *Nodes) exchange(ctx context.Context, c *nodes.Conn[*stream], r *http.Request, message []byte, onWritten func()) (resp *http.Response, first time.Time, written bool, err error) {
-	clean, kept := false, false
-	unhook := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+// exchange writes a request and reads the answer to its last byte, since only then is it known to be complete. written
+// reports whether the request's last byte was sent. The connection is released, or closed if ctx ended or anything was
+// unexpected. onWritten is called when the last byte is sent.
+func (s *Nodes) exchange(ctx context.Context, c *nodes.Conn[*stream], r *http.Request, message []byte, onWritten func()) (resp *http.Response, firstByte time.Time, written bool, err error) {
+	reusable, streamed := false, false
+	stopInterrupt := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer func() {
-		if ended := !unhook(); !kept {
-			s.Release(c, clean && !ended)
-		} else if ended { // its body is not to be read for longer than the request has time: it had begun too late
+		if interrupted := !stopInterrupt(); !streamed {
+			s.Release(c, reusable && !interrupted)
+		} else if interrupted { // ctx ended before the body could be passed on, and must not be read past the request's time
 			resp.Body.Close()
 			resp, err = nil, ctx.Err()
 		}
 	}()
 	if _, err := c.Write(message); err != nil {
-		return nil, first, false, fmt.Errorf("write: %w", err)
+		return nil, firstByte, false, fmt.Errorf("write: %w", err)
 	}
 	onWritten()
 	resp, body, err := s.readResponse(ctx, c, r)
-	first = c.Session.firstByteAt // ahead of another exchange on this connection
+	firstByte = c.Session.firstByteAt // before another exchange on this connection changes it
 	if err != nil {
-		return nil, first, true, err
+		return nil, firstByte, true, err
 	}
-	if long, ok := resp.Body.(*streamedResponse); ok {
-		kept, long.release = true, func(clean bool) { s.Release(c, clean) }
-		return resp, first, true, nil
+	if streamedBody, ok := resp.Body.(*streamedResponse); ok {
+		streamed, streamedBody.release = true, func(reusable bool) { s.Release(c, reusable) }
+		return resp, firstByte, true, nil
 	}
-	// What came behind the answer is none to the next request: it costs the connection.
-	clean = !resp.Close && c.Session.Buffered() == 0
+	// Data after the answer belongs to no request, so the connection is closed.
+	reusable = !resp.Close && c.Session.Buffered() == 0
 	resp.Body, resp.ContentLength, resp.TransferEncoding = io.NopCloser(bytes.NewReader(body)), int64(len(body)), nil
-	return resp, first, true, nil
+	return resp, firstByte, true, nil
 }
 
 func toMicros(d time.Duration) scheduler.Micros { return scheduler.Micros(d / time.Microsecond) }
 
-func micros(m scheduler.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+func toDuration(m scheduler.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
--- a/internal/net/transport/framing.go
+++ b/internal/net/transport/framing.go
@@ -6,28 +6,28 @@
 	"sync"
 )
 
-// framing looks at a request's head as it came. net/http drops Content-Length where Transfer-Encoding stands beside
-// it, and ignores the latter on HTTP/1.0, so a handler can't see that a request was framed in two ways: a body
-// that ends elsewhere for another reader may hide a request.
+// framing parses a request's head as it arrives. net/http drops Content-Length if there is a Transfer-Encoding, and ignores
+// Transfer-Encoding on HTTP/1.0, so a handler can't see that a request was framed in two ways. A body that ends elsewhere
+// for another reader may hide a request.
 type framing struct {
 	mu                             sync.Mutex
-	line                           []byte // the beginning of the line that comes
-	began, headEnded               bool
+	line                           []byte // the beginning of the current line
+	headBegan, headEnded           bool
 	hasLength, hasTransferEncoding bool
-	bodyLeft                       int64 // bytes of the body still to come
-	unknownLength                  bool  // its length can't be told here
-	bodyRead                       bool  // its body was read to its end
+	bodyLeft                       int64 // bytes of the body that have not arrived
+	unknownLength                  bool  // the length of the body can't be determined here
+	bodyRead                       bool  // the body was read to its end
 }
 
 const (
-	lengthName   = "content-length:"
-	transferName = "transfer-encoding:"
-	maxLineBytes = 64 // of which names and lengths are read
+	contentLengthPrefix    = "content-length:"
+	transferEncodingPrefix = "transfer-encoding:"
+	maxLineBytes           = 64 // bytes per line that are searched for names and lengths
 )
 
-// consume looks at what came, and tells how much of it is this request's. Chunks tell their end themselves: of a body in
-// chunks all is.
-func (h *framing) consume(p []byte) (own int) {
+// consume parses data as it arrives, and returns how many of its bytes belong to this request. Chunks mark their own end, so
+// all bytes count as part of a chunked body.
+func (h *framing) consume(p []byte) (consumed int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i, b := range p {
@@ -45,49 +45,49 @@
 			continue
 		}
 		line := strings.ToLower(strings.TrimRight(string(h.line), "\r"))
-		if value, ok := strings.CutPrefix(line, lengthName); ok {
+		if value, ok := strings.CutPrefix(line, contentLengthPrefix); ok {
 			n, err := strconv.ParseInt(strings.TrimSpace(value), 10, 64)
 			h.hasLength, h.bodyLeft, h.unknownLength = true, n, h.unknownLength || err != nil || n < 0
 		}
-		h.hasTransferEncoding = h.hasTransferEncoding || strings.HasPrefix(line, transferName)
-		h.headEnded = h.began && line == "" // empty lines ahead of a request are passed over
-		h.began, h.line = h.began || line != "", h.line[:0]
+		h.hasTransferEncoding = h.hasTransferEncoding || strings.HasPrefix(line, transferEncodingPrefix)
+		h.headEnded = h.headBegan && line == "" // empty lines before a request are skipped
+		h.headBegan, h.line = h.headBegan || line != "", h.line[:0]
 	}
 	return len(p)
 }
 
-// isAmbiguous tells whether the head names two framings, or may do so unseen.
+// isAmbiguous reports whether the head names two framings, or may do so in a part not seen here.
 func (h *framing) isAmbiguous() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return !h.headEnded || h.unknownLength || h.hasLength && h.hasTransferEncoding
 }
 
-// inHead tells that a head has begun and has not ended.
-func (h *framing) inHead() bool {
+// isInHead reports whether a head has begun and has not ended.
+func (h *framing) isInHead() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.headEnded && (h.began || len(h.line) > 0)
+	return !h.headEnded && (h.headBegan || len(h.line) > 0)
 }
 
-// complete tells that a request has come whole: what comes now is not its own.
-func (h *framing) complete() bool {
+// isComplete reports whether the request has arrived completely, so that later data belongs to another one.
+func (h *framing) isComplete() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.bodyRead || h.headEnded && !h.hasTransferEncoding && !h.unknownLength && h.bodyLeft <= 0
 }
 
-// endBody notes that a request's body was read to its end, which a body in chunks tells alone.
-func (h *framing) endBody() {
+// markBodyRead records that a request's body was read to its end. The end of a chunked body is known only in this way.
+func (h *framing) markBodyRead() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.bodyRead = true
 }
 
-// reset forgets a request that is over.
+// reset clears the state for the next request.
 func (h *framing) reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.line, h.began, h.headEnded, h.hasLength, h.hasTransferEncoding, h.bodyLeft = h.line[:0], false, false, false, false, 0
+	h.line, h.headBegan, h.headEnded, h.hasLength, h.hasTransferEncoding, h.bodyLeft = h.line[:0], false, false, false, false, 0
 	h.unknownLength, h.bodyRead = false, false
 }
--- a/internal/net/transport/handshakes.go
+++ b/internal/net/transport/handshakes.go
@@ -14,67 +14,68 @@
 	"otterturn/internal/net/steady"
 )
 
-// Handshakes is a listener whose connections have their TLS handshake behind them. It has bounds of its own: a
-// client that shakes hands slowly or not at all has its time, and past a number of them the one that has been at it
-// longest gives way. None of them holds up the others, or takes the room of clients that are served.
+// Handshakes is a listener that returns connections after their TLS handshake. It has limits of its own: each handshake has
+// a timeout, and when too many are in progress the oldest is closed. So a slow or silent client delays no other handshake
+// and takes no connection slot from the clients being served.
 type Handshakes struct {
 	net.Listener
-	config *tls.Config
-	limits limits.Limits
-	ready  chan net.Conn
-	failed chan error
-	ctx    context.Context
-	end    context.CancelFunc
+	config    *tls.Config
+	limits    limits.Limits
+	ready     chan net.Conn
+	acceptErr chan error
+	ctx       context.Context
+	cancel    context.CancelFunc
 
-	mu   sync.Mutex
-	open *queue.List // those under way, the oldest first
+	mu         sync.Mutex
+	inProgress *queue.List // handshakes in progress, the oldest first
 }
 
-// NewHandshakes returns a listener before one for plain TCP. It accepts until Close.
+// NewHandshakes returns a TLS listener on top of a plain TCP listener. It accepts until Close.
 func NewHandshakes(l net.Listener, config *tls.Config, lim limits.Limits) *Handshakes {
 	h := &Handshakes{
-		Listener: accept.New(l, lim.AcceptRetry, nil), config: config, limits: lim, ready: make(chan net.Conn), failed: make(chan error, 1),
-		open: queue.New(),
+		Listener: accept.New(l, lim.AcceptRetry, nil), config: config, limits: lim, ready: make(chan net.Conn),
+		acceptErr:  make(chan error, 1),
+		inProgress: queue.New(),
 	}
-	h.ctx, h.end = context.WithCancel(context.Background())
-	go h.run()
+	h.ctx, h.cancel = context.WithCancel(context.Background())
+	go h.acceptLoop()
 	return h
 }
 
-func (h *Handshakes) run() {
+func (h *Handshakes) acceptLoop() {
 	for {
 		raw, err := h.Listener.Accept()
 		if err == nil {
-			go h.complete(raw, h.register(raw))
+			go h.completeHandshake(raw, h.register(raw))
 			continue
 		}
 		if h.ctx.Err() == nil {
-			h.failed <- err
+			h.acceptErr <- err
 		}
 		return
 	}
 }
 
-// register counts a handshake in, and ends the oldest where there are too many.
+// register adds a handshake and ends the oldest one if there are too many.
 func (h *Handshakes) register(raw net.Conn) *queue.Element {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.open.Len() >= h.limits.Clients.Handshakes {
-		h.open.Front().Value.(net.Conn).Close() // which ends it: its own goroutine takes it off the list
-		h.open.MoveToBack(h.open.Front())
+	if h.inProgress.Len() >= h.limits.Clients.Handshakes {
+		h.inProgress.Front().Value.(net.Conn).Close() // the goroutine of that handshake then removes it from the list
+		h.inProgress.MoveToBack(h.inProgress.Front())
 	}
-	return h.open.PushBack(raw)
+	return h.inProgress.PushBack(raw)
 }
 
-func (h *Handshakes) complete(raw net.Conn, at *queue.Element) {
-	limited, end := context.WithTimeout(h.ctx, h.limits.Clients.HandshakeTimeout)
+func (h *Handshakes) completeHandshake(raw net.Conn, element *queue.Element) {
+	timeoutCtx, cancel := context.WithTimeout(h.ctx, h.limits.Clients.HandshakeTimeout)
 	conn := tls.Server(steady.Conn{Conn: raw}, h.config)
-	err := conn.HandshakeContext(limited)
-	end()
+	err := conn.HandshakeContext(timeoutCtx)
+	cancel()
 	h.mu.Lock()
-	h.open.Remove(at)
+	h.inProgress.Remove(element)
 	h.mu.Unlock()
-	if err != nil || conn.ConnectionState().NegotiatedProtocol == acme.ALPNProto { // an authority looks, and asks nothing
+	if err != nil || conn.ConnectionState().NegotiatedProtocol == acme.ALPNProto { // an ACME validation sends no request
 		raw.Close()
 		return
 	}
@@ -85,20 +86,20 @@
 	}
 }
 
-// Accept returns the next connection whose handshake is over.
+// Accept returns the next connection whose handshake is complete.
 func (h *Handshakes) Accept() (net.Conn, error) {
 	select {
 	case c := <-h.ready:
 		return c, nil
-	case err := <-h.failed:
+	case err := <-h.acceptErr:
 		return nil, err
 	case <-h.ctx.Done():
 		return nil, net.ErrClosed
 	}
 }
 
-// Close ends the listener and the handshakes under way.
+// Close closes the listener and ends the handshakes in progress.
 func (h *Handshakes) Close() error {
-	h.end()
+	h.cancel()
 	return h.Listener.Close()
 }
--- a/internal/net/transport/upload.go
+++ b/internal/net/transport/upload.go
@@ -19,10 +19,10 @@
 	"otterturn/scheduler"
 )
 
-// bufferPool are the buffers of bodies under way.
+// bufferPool is a pool of buffers for bodies in transfer.
 type bufferPool struct{ pool sync.Pool }
 
-// bufferBytes is the size of a buffer: each body under way holds two of them at most.
+// bufferBytes is the size of a buffer. Each body in transfer uses at most two of them.
 const bufferBytes = 32 << 10
 
 func (p *bufferPool) Get() []byte {
@@ -36,69 +36,69 @@
 
 var buffers bufferPool
 
-// upload is a long request of which all but the end has gone to a node: a node begins a request once its last byte
-// has come, so the scheduler decides on the end alone, when the client's last byte has come, as with any other
-// request. What has gone is not held, so it goes to this node or to none.
+// upload is a long request that was sent to a node except for its end. A node begins a request when its last byte arrives,
+// so the scheduler decides only whether the end is sent, when the client's last byte has arrived, as with any other request.
+// The bytes that were sent are not kept, so no other node can get the request.
 type upload struct {
-	node    string
-	conn    *nodes.Conn[*stream]
-	request *http.Request
-	tail    []byte // what is held back
-	guard   *lifecycle.Guard
-	release func(clean bool)
+	node      string
+	conn      *nodes.Conn[*stream]
+	request   *http.Request
+	unsentEnd []byte // the end, which is not sent yet
+	guard     *lifecycle.Guard
+	release   func(reusable bool)
 }
 
-// startUpload sends a long request to a node as it comes. Its body has begun with held. An error tells that the node can't have it;
-// the client's own faults are clientError.
-func (s *Nodes) startUpload(ctx context.Context, guard *lifecycle.Guard, node string, r *http.Request, held []byte,
-	next func(p []byte) (int, error),
+// startUpload sends a long request to a node as it arrives. bodyStart is the part of its body that has arrived. An error
+// means that the node can't take the request; errors on the client's side have the type clientError.
+func (s *Nodes) startUpload(ctx context.Context, guard *lifecycle.Guard, node string, r *http.Request, bodyStart []byte,
+	readNext func(p []byte) (int, error),
 ) (*upload, error) {
-	limited, end := context.WithTimeout(ctx, 2*s.limits.Nodes.ConnectTimeout) // where all sockets are in use it waits for one
-	defer end()
-	c, err := s.Acquire(limited, node, nodes.Running)
+	connectCtx, cancel := context.WithTimeout(ctx, 2*s.limits.Nodes.ConnectTimeout) // time to wait for a connection if all are in use
+	defer cancel()
+	c, err := s.Acquire(connectCtx, node, nodes.Running)
 	if err != nil {
 		return nil, err
 	}
 	u := &upload{node: node, conn: c, request: r, guard: guard}
-	u.release = func(clean bool) { s.Release(c, clean) }
-	if err := u.sendAllButTail(r, held, next, s.limits); err != nil {
+	u.release = func(reusable bool) { s.Release(c, reusable) }
+	if err := u.sendAllButEnd(r, bodyStart, readNext, s.limits); err != nil {
 		u.close()
 		return nil, err
 	}
 	return u, nil
 }
 
-// sendAllButTail writes head and body but for the end.
-func (u *upload) sendAllButTail(r *http.Request, held []byte, next func(p []byte) (int, error), l limits.Limits) error {
+// sendAllButEnd writes the head and the body except for its end.
+func (u *upload) sendAllButEnd(r *http.Request, bodyStart []byte, readNext func(p []byte) (int, error), l limits.Limits) error {
 	var pending bytes.Buffer
 	fmt.Fprintf(&pending, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.URL.RequestURI(), r.Host)
 	r.Header.Write(&pending)
-	to, length := io.Writer(&pending), r.ContentLength
+	body, length := io.Writer(&pending), r.ContentLength
 	if length >= 0 {
 		fmt.Fprintf(&pending, "Content-Length: %d\r\n\r\n", length)
 	} else {
 		pending.WriteString("Transfer-Encoding: chunked\r\n\r\n")
-		to = httputil.NewChunkedWriter(&pending)
+		body = httputil.NewChunkedWriter(&pending)
 	}
-	piece := buffers.Get()
-	defer buffers.Put(piece)
+	buffer := buffers.Get()
+	defer buffers.Put(buffer)
 	for {
-		for ; len(held) > len(piece); held = held[len(piece):] { // it is longer by one byte than what is short
-			to.Write(held[:len(piece)])
+		for ; len(bodyStart) > len(buffer); bodyStart = bodyStart[len(buffer):] { // it is one byte longer than a buffered body may be
+			body.Write(bodyStart[:len(buffer)])
 			if err := u.write(&pending, l); err != nil {
 				return err
 			}
 		}
-		if held != nil {
-			to.Write(held)
-			held = nil
+		if bodyStart != nil {
+			body.Write(bodyStart)
+			bodyStart = nil
 		}
-		n, err := next(piece)
-		if n > 0 { // there is more, so what was held back is not the end
+		n, err := readNext(buffer)
+		if n > 0 { // more data arrived, so the pending bytes are not the end
 			if err := u.write(&pending, l); err != nil {
 				return err
 			}
-			to.Write(piece[:n])
+			body.Write(buffer[:n])
 		}
 		if err == io.EOF {
 			break
@@ -108,14 +108,14 @@
 		}
 	}
 	if length < 0 {
-		to.(io.Closer).Close()
+		body.(io.Closer).Close()
 		pending.WriteString("\r\n")
 	}
-	u.tail = pending.Bytes()
+	u.unsentEnd = pending.Bytes()
 	return u.conn.SetWriteDeadline(time.Time{})
 }
 
-// write sends what is pending. The node may take a while for it: its client waits as long.
+// write sends the pending bytes. The node may take a while to accept them, and the client waits as long.
 func (u *upload) write(pending *bytes.Buffer, l limits.Limits) error {
 	if err := u.guard.Allow(lifecycle.Stream, time.Time{}); err != nil {
 		return err
@@ -130,12 +130,12 @@
 	return nil
 }
 
-// clientError is a fault of the client's.
+// clientError is an error on the client's side.
 type clientError struct{ error }
 
 func (e clientError) Unwrap() error { return e.error }
 
-// close drops the connection, if it was not used to the end.
+// close closes the connection unless finishUpload has used it.
 func (u *upload) close() {
 	if u != nil && u.release != nil {
 		u.release(false)
@@ -143,39 +143,42 @@
 	}
 }
 
-// finishUpload writes the end of a long request, and reads the answer. It can do so once.
+// finishUpload writes the end of a long request and reads the answer. It can do so once.
 func (s *Nodes) finishUpload(ctx context.Context, a routing.Attempt, u *upload) (*http.Response, scheduler.AttemptEnded) {
 	if u.node != a.Node || u.release == nil || a.Permitted() != nil {
 		return nil, scheduler.AttemptEnded{Result: scheduler.NotStarted}
 	}
 	u.release = nil
-	resp, out, written := s.completeAttempt(ctx, a, u.conn, u.request, u.tail)
-	if !written && out.Result == scheduler.Unreachable {
-		// The connection had stood open for long: that it broke says little of the node, which a new one tells.
-		out = scheduler.AttemptEnded{Result: scheduler.Reset, Alive: s.Reconnect(a.Node)}
+	resp, result, written := s.completeAttempt(ctx, a, u.conn, u.request, u.unsentEnd)
+	if !written && result.Result == scheduler.Unreachable {
+		// The connection had been open for long, so its failure says little about the node. A new connection shows whether
+		// the node is alive.
+		result = scheduler.AttemptEnded{Result: scheduler.Reset, Alive: s.Reconnect(a.Node)}
 	}
-	return resp, out
+	return resp, result
 }
 
-// upload has a long request go to its node as it comes.
-func (t *RoundTripper) upload(r *http.Request, m *inboundRequest, next func(p []byte) (int, error)) error {
-	node, shard, err := t.core.NodeFor(r.Context(), m.Request.Request)
+// upload sends a long request to its node as it arrives.
+func (t *RoundTripper) upload(r *http.Request, inbound *inboundRequest, readNext func(p []byte) (int, error)) error {
+	node, shard, err := t.core.NodeFor(r.Context(), inbound.Request.Request)
 	if err != nil {
 		return err
 	}
 	if node == "" {
 		return errNoNodeAvailable
 	}
-	out := &http.Request{Method: r.Method, URL: r.URL, Host: r.Host, Header: protocol.Forwarded(r.Header), ContentLength: r.ContentLength}
-	protocol.SetLeft(out.Header, time.Until(t.core.Guard.Deadline(micros(m.TimeLeft))))
-	held := m.Body
-	m.Body = nil
-	if m.upload, err = t.nodes.startUpload(r.Context(), t.core.Guard, node, out, held, next); err != nil {
+	outbound := &http.Request{
+		Method: r.Method, URL: r.URL, Host: r.Host, Header: protocol.Forwarded(r.Header), ContentLength: r.ContentLength,
+	}
+	protocol.SetLeft(outbound.Header, time.Until(t.core.Guard.Deadline(toDuration(inbound.TimeLeft))))
+	bodyStart := inbound.Body
+	inbound.Body = nil
+	if inbound.upload, err = t.nodes.startUpload(r.Context(), t.core.Guard, node, outbound, bodyStart, readNext); err != nil {
 		return err
 	}
-	m.Shard = shard // where it has gone, if it is a new object
+	inbound.Shard = shard // the shard that holds a new object
 	return nil
 }
 
-// errNoNodeAvailable tells that no node takes a request now.
-var errNoNodeAvailable = errors.New("no node takes it")
+// errNoNodeAvailable says that no node can take a request now.
+var errNoNodeAvailable = errors.New("no node can take the request")
