--- a/internal/fleet/health/api.go
+++ b/internal/fleet/health/api.go
@@ -1,68 +1,68 @@
-// Package health finds out once for a zone of fronts which nodes are silent, in the place of each front for itself.
+// Package health detects silent nodes for a whole zone of fronts, so that each front need not detect them by itself.
 //
-// For each node a few fronts of every zone, its probers, are chosen by rendezvous hashing from what all fronts of the
-// zone know, so no agreement is needed. A front whose requests stall or fail at a node tells the node's probers; they
-// probe it and tell all fronts of their zone what they saw. A front avoids a node once a quorum of its zone found it
-// silent. The package is a pure core: it does no I/O, reads no clock and draws no global random numbers. See
-// docs/fleet-health.md.
+// Each zone has a few probers for each node. Rendezvous hashing selects them from configuration that all fronts of the
+// zone share, so the fronts need no agreement protocol. A front whose requests stall or fail at a node tells the node's
+// probers; they probe the node and tell all fronts of their zone the result. A front avoids a node once a quorum of its
+// zone has found the node silent. The package is a pure core: it does no I/O, reads no clock and uses no global random
+// numbers. See docs/fleet-health.md.
 package health
 
 import "otterturn/scheduler"
 
-// Config is what a Monitor gets at its start, and anew by Monitor.Reconfigure.
+// Config is the configuration of a Monitor. Monitor.Reconfigure replaces it.
 type Config struct {
-	Self        int   // number of this front
-	Incarnation int64 // start of this process, Unix microseconds: tells its messages from those of its former self
-	Zones       []int // zone of each front, by the front's number
-	Probers     int   // fronts of each zone that probe a node, 1 at least
-	Quorum      int   // distinct fronts of a zone whose probes must have failed before the zone avoids a node, 2 at least
-
-	SuspectAfter     scheduler.Micros // an attempt that is out for so long, and for 4 times the node's usual latency, is stalled
-	ProbeTimeout     scheduler.Micros // a probe without an answer for so long, and for 4 times the usual, counts as failed
-	EvidenceLifetime scheduler.Micros // evidence older than this counts for nothing
-	TakeoverAfter    scheduler.Micros // the next Probers fronts in rank take over after so long without sufficient evidence
-	ProbesPerNode    float64          // probes a second that all fronts of all zones send one silent node at most
-	MessageRate      float64          // bytes of messages a second that this front sends at most
+	Self        int   // number of this front, an index into Zones
+	Incarnation int64 // start of this process in Unix microseconds; distinguishes its messages from those of its predecessor
+	Zones       []int // zone of each front, indexed by front number
+	Probers     int   // fronts of each zone that probe a node, at least 1
+	Quorum      int   // distinct fronts of a zone whose probes must fail before the zone avoids a node, at least 2
+
+	SuspectAfter     scheduler.Micros // an attempt is stalled after this time or 4 times the node's mean latency, whichever is longer
+	ProbeTimeout     scheduler.Micros // a probe fails after this time; up to 4 times as long while probes are slow
+	EvidenceLifetime scheduler.Micros // older evidence is ignored
+	TakeoverAfter    scheduler.Micros // after this time without sufficient evidence the next Probers fronts by rank take over
+	ProbesPerNode    float64          // maximum probes per second to one silent node, over all fronts of all zones
+	MessageRate      float64          // maximum bytes of messages per second that this front sends
 }
 
-// Event is something that a Monitor learns.
+// Event is an input of Monitor.Step.
 type Event interface{ event() }
 
-// EndpointsChanged is news of the node list. A full list names every node there is.
+// EndpointsChanged is a change of the endpoint list. A full list contains every node.
 type EndpointsChanged struct {
 	Full  bool
 	Nodes []scheduler.Endpoint
 }
 
-// AttemptStarted tells that an attempt was sent to a node.
+// AttemptStarted reports that an attempt was sent to a node.
 type AttemptStarted struct {
 	Node    string
-	ID      string // of the request
+	ID      string // ID of the request
 	Attempt int
 }
 
-// AttemptEnded tells how an attempt ended.
+// AttemptEnded reports the result of an attempt.
 type AttemptEnded struct {
 	Node    string
 	ID      string
 	Attempt int
 	Result  scheduler.Result
-	Alive   bool // after a reset: the node was found running right behind it
+	Alive   bool // after a reset: the node was found to be running immediately afterwards
 }
 
-// ProbeRequested tells that the scheduler wants a node probed. One ProbeAnswered is owed for it.
+// ProbeRequested reports that the scheduler requests a probe of a node. The Monitor answers it with one AnswerProbe.
 type ProbeRequested struct{ Node string }
 
-// ProbeEnded is the result of a StartProbe.
+// ProbeEnded is the result of a probe that StartProbe requested.
 type ProbeEnded struct{ scheduler.HealthChecked }
 
-// MessageReceived is a message of another front.
+// MessageReceived is a message from another front.
 type MessageReceived struct {
 	From    int
 	Message Message
 }
 
-// TimerFired tells that the time of the last SetAlarm has come.
+// TimerFired reports that the time of the last SetTimer was reached.
 type TimerFired struct{}
 
 func (EndpointsChanged) event() {}
@@ -73,25 +73,25 @@
 func (MessageReceived) event()  {}
 func (TimerFired) event()       {}
 
-// Action is something that a Monitor wants done, in the order given.
+// Action is an output of Monitor.Step. The caller performs actions in the given order.
 type Action interface{ action() }
 
-// StartProbe asks for a probe of a node; ProbeEnded is to follow within a bounded time.
+// StartProbe requests a probe of a node. The caller must deliver ProbeEnded within a bounded time.
 type StartProbe struct{ Node string }
 
-// AnswerProbe answers a ProbeWanted.
+// AnswerProbe answers a ProbeRequested.
 type AnswerProbe struct{ scheduler.HealthChecked }
 
-// ReportSilent tells the scheduler that the zone found a node silent.
+// ReportSilent reports to the scheduler that the zone found a node silent.
 type ReportSilent struct{ scheduler.NodeSilent }
 
-// SendMessage is a message to another front.
+// SendMessage sends a message to another front.
 type SendMessage struct {
 	To      int
 	Message Message
 }
 
-// SetTimer asks for an Alarm; it takes the place of an earlier one.
+// SetTimer requests a TimerFired event and replaces an earlier request.
 type SetTimer struct{ At scheduler.Micros }
 
 func (StartProbe) action()   {}
@@ -100,55 +100,55 @@
 func (SendMessage) action()  {}
 func (SetTimer) action()     {}
 
-// State is what evidence says of a node.
+// State is the state of a node according to an observation.
 type State uint8
 
-// The kinds of State.
+// Values of State.
 const (
-	Reachable   State = iota + 1 // a probe was answered
-	Silent                       // a probe was not answered in time, or the node refused it
-	Suspected                    // requests stall or fail; it asks probers to look and condemns nothing
-	StillSilent                  // all that the sender told as Silent still is; Node is what tells the set of these nodes
+	Reachable   State = iota + 1 // a probe or an attempt was answered
+	Silent                       // a probe was refused or not answered in time
+	Suspected                    // requests stall or fail: asks probers for evidence and does not count as evidence itself
+	StillSilent                  // every node that the sender announced as Silent still is; Entry.Node is a hash of that set
 )
 
-// Entry is evidence on one node.
+// Entry is evidence about one node.
 type Entry struct {
-	Node  uint64           // NodeKey of its name
-	Since scheduler.Micros // the node's start as the sender's list has it, in whole milliseconds
+	Node  uint64           // NodeKey of its name, or the hash of a set of nodes for StillSilent
+	Since scheduler.Micros // start of the node according to the sender's endpoint list, in whole milliseconds
 	State State
-	Age   scheduler.Micros // time since it was observed, in whole milliseconds
+	Age   scheduler.Micros // time since the observation, in whole milliseconds
 }
 
-// Message is what one front tells another. Its sender is known by its address.
+// Message carries evidence from one front to another. The sender is identified by its network address.
 type Message struct {
-	Incarnation int64            // Config.Run of the sender
-	Sequence    uint32           // counts the sender's messages of this run
-	Sent        scheduler.Micros // the sender's clock
+	Incarnation int64            // Config.Incarnation of the sender
+	Sequence    uint32           // number of the message, counted per recipient within the incarnation
+	Sent        scheduler.Micros // time of sending by the sender's clock
 	Entries     []Entry
 }
 
-// Counters count what a Monitor did since its start.
+// Counters counts the operations of a Monitor since its start.
 type Counters struct {
 	Probes    int64          // StartProbe actions
-	Sent      int64          // messages
-	SentBytes int64          // of these, encoded
-	Received  int64          // messages that were taken in
-	Dropped   map[Drop]int64 // messages or entries that were not, by reason
-	Shed      int64          // entries that were not sent for want of bytes
-	Avoided   int            // nodes that this front avoids now
+	Sent      int64          // messages sent
+	SentBytes int64          // encoded bytes of the messages sent
+	Received  int64          // messages accepted
+	Dropped   map[Drop]int64 // messages or entries dropped, by reason
+	Shed      int64          // entries not sent because of the rate limit
+	Avoided   int            // nodes that this front avoids at present
 }
 
-// Drop is why a message or an entry was dropped.
+// Drop is the reason why a message or an entry was dropped.
 type Drop string
 
-// The kinds of Drop.
+// Values of Drop.
 const (
-	DropForeign     Drop = "foreign zone" // the sender is not of this front's zone
-	DropRepeated    Drop = "repeated"     // the message came before, or is of a former run
-	DropExpired     Drop = "late"         // it was under way for longer than evidence lives
-	DropFuture      Drop = "future"       // its age is negative or its incarnation ahead of the list's
-	DropUnknown     Drop = "unknown node" // the node is not on the list
-	DropOutdated    Drop = "former start" // the evidence is of an earlier start of the node
-	DropSetMismatch Drop = "other set"    // what the sender still finds silent is not what this front heard of it
-	DropUnreadable  Drop = "unreadable"   // it can't be decoded
+	DropForeign     Drop = "foreign zone" // the sender is not another front of this front's zone
+	DropRepeated    Drop = "repeated"     // the message was received before, or is from an earlier incarnation
+	DropExpired     Drop = "late"         // the evidence is older than EvidenceLifetime, or the message was delayed for longer than that
+	DropFuture      Drop = "future"       // its age is negative, or the node's start is later than the one on the endpoint list
+	DropUnknown     Drop = "unknown node" // the node is not on the endpoint list
+	DropOutdated    Drop = "former start" // the evidence is about an earlier start of the node
+	DropSetMismatch Drop = "other set"    // the set of nodes that the sender finds still silent differs from the set it reported to this front
+	DropUnreadable  Drop = "unreadable"   // the message cannot be decoded, or the entry has an invalid state
 )
--- a/internal/fleet/health/attempts.go
+++ b/internal/fleet/health/attempts.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	stallFactor = 4 // an attempt that is out for so many usual latencies may be stalled
-	latencySpan = 8 // answers over which the usual latency is a mean
+	stallFactor = 4 // an attempt may be stalled after this many mean latencies
+	latencySpan = 8 // the mean latency is a moving average with weight 1/8 for each new answer
 )
 
-// attemptID names an attempt.
+// attemptID identifies an attempt.
 type attemptID struct {
 	request string
 	attempt int
 }
 
-// attempt is one that is out.
+// attempt is an attempt without a result.
 type attempt struct {
 	node  *node
-	start scheduler.Micros // of the node, as the list had it
+	start scheduler.Micros // start of the node according to the endpoint list
 	sent  scheduler.Micros
 }
 
@@ -65,7 +65,7 @@
 	}
 }
 
-// showsReachable tells whether an attempt's end shows that the node runs and can be reached.
+// showsReachable reports whether the result of an attempt proves that the node runs and can be reached.
 func showsReachable(e AttemptEnded) bool {
 	switch e.Result {
 	case scheduler.OK, scheduler.Errored, scheduler.QueueFull, scheduler.Expired:
@@ -76,7 +76,7 @@
 	return false
 }
 
-// answeredBy takes in a success of this front's own: it counts for more than older evidence of others.
+// answeredBy records an answer that this front received from a node. It overrides older evidence of other fronts.
 func (m *Monitor) answeredBy(n *node) {
 	n.answered, n.owingSince = m.now, m.now
 	if n.investigation != nil {
@@ -93,12 +93,13 @@
 	n.usualLatency += (latency - n.usualLatency) / latencySpan
 }
 
-// stallTimeout is for how long a node may owe an answer before it is suspected.
+// stallTimeout is the time without an answer after which a node with outstanding attempts is suspected.
 func (m *Monitor) stallTimeout(n *node) scheduler.Micros {
 	return max(m.config.SuspectAfter, stallFactor*n.usualLatency)
 }
 
-// stallTime is when a node is to be suspected if it answers nothing more, forever where it owes nothing.
+// stallTime is the time at which a node is suspected unless it answers before. It is
+// forever if no attempt is outstanding or the node is suspected or avoided already.
 func (m *Monitor) stallTime(n *node) scheduler.Micros {
 	if n.outstanding == 0 || !n.running() || n.investigation != nil && (n.avoided || n.suspecting) {
 		return forever
@@ -106,7 +107,7 @@
 	return max(n.owingSince+m.stallTimeout(n), n.lastSuspected+m.config.TakeoverAfter)
 }
 
-// watchStall suspects a node that has owed an answer for too long.
+// watchStall suspects a node whose attempts have been unanswered for too long.
 func (m *Monitor) watchStall(n *node) (next scheduler.Micros) {
 	if m.stallTime(n) <= m.now {
 		m.suspect(n, n.owingSince)
@@ -114,14 +115,14 @@
 	return m.stallTime(n)
 }
 
-// suspect takes in that requests of this front stall or fail at a node, since a time.
+// suspect records that requests of this front have stalled or failed at a node since the given time.
 func (m *Monitor) suspect(n *node, since scheduler.Micros) {
 	if !n.running() || n.investigation != nil && (n.avoided || n.suspecting) || m.now < n.lastSuspected+m.config.TakeoverAfter {
 		return
 	}
 	n.investigate()
 	n.suspecting, n.suspectedSince, n.lastSuspected = true, since, m.now
-	// That it was reached before is no word against those who find it silent now.
+	// Remove this front's earlier success: it does not contradict fronts that find the node silent now.
 	n.evidence = slices.DeleteFunc(n.evidence, func(o observation) bool {
 		return o.front == m.config.Self && o.state == Reachable && o.at <= since
 	})
--- a/internal/fleet/health/audit_test.go
+++ b/internal/fleet/health/audit_test.go
@@ -6,7 +6,7 @@
 	"otterturn/scheduler"
 )
 
-// audit looks at each action from outside.
+// audit checks each action against the state of the simulation.
 func (t *trial) audit(f *simFront, a Action) {
 	switch a := a.(type) {
 	case StartProbe:
@@ -21,11 +21,11 @@
 	}
 }
 
-// auditSend holds messages to their bounds.
+// auditSend checks the size of messages and the bytes that a front sends per second.
 func (t *trial) auditSend(f *simFront, a SendMessage) {
 	size := len(a.Message.Encode())
 	if size > MessageLimit || size != a.Message.size() {
-		t.say("front %d sends %d bytes, reckoned as %d", f.number, size, a.Message.size())
+		t.say("front %d sends %d bytes, size() returns %d", f.number, size, a.Message.size())
 	}
 	list := append(t.sent[f.number], sentBytes{t.now, size})
 	for list[0].at < t.now-second {
@@ -39,7 +39,7 @@
 	if sum > smallBytes {
 		t.say("front %d sends %d bytes within a second", f.number, sum)
 	}
-	for _, e := range a.Message.Entries { // whoever hears it may count it
+	for _, e := range a.Message.Entries { // every front that receives it may count it
 		if e.State == Silent {
 			for _, to := range t.fronts {
 				t.silent[sighting{to.number, f.number, e.Node, e.Since}] = t.now - e.Age
@@ -48,7 +48,7 @@
 	}
 }
 
-// auditReport counts the fronts whose probes of this start were not answered lately.
+// auditReport checks that a quorum of fronts has recent unanswered probes of the reported start of the node.
 func (t *trial) auditReport(f *simFront, a ReportSilent) {
 	key, start := NodeKey(a.Node), wireSince(a.StartedAt)
 	origins := 0
@@ -62,10 +62,10 @@
 		}
 	}
 	if origins < f.config.Quorum {
-		t.say("front %d condemns %s by the probes of %d fronts", f.number, a.Node, origins)
+		t.say("front %d reports %s silent with evidence from only %d fronts", f.number, a.Node, origins)
 	}
 	if a.StartedAt != f.known[a.Node] {
-		t.say("front %d condemns a former start", f.number)
+		t.say("front %d reports an earlier start of a node silent", f.number)
 	}
 }
 
@@ -73,7 +73,7 @@
 	for _, f := range t.fronts {
 		for node, at := range f.wanted {
 			if !f.paused && !f.gone && t.now > at+answerWithin {
-				t.say("front %d has owed a probe of %s for %d ms", f.number, node, (t.now-at)/1000)
+				t.say("front %d has not answered a probe request for %s for %d ms", f.number, node, (t.now-at)/1000)
 			}
 		}
 	}
@@ -95,19 +95,19 @@
 		}
 		switch {
 		case n.dead && len(avoid) < living:
-			t.say("%s is silent, and only fronts %v avoid it", n.name, avoid)
+			t.say("%s is silent, but only fronts %v avoid it", n.name, avoid)
 		case !n.dead && len(avoid) > 0:
-			t.say("%s runs, and fronts %v avoid it", n.name, avoid)
+			t.say("%s is running, but fronts %v avoid it", n.name, avoid)
 		}
 	}
 }
 
-// checkSuccess has a success checked: nothing older may count against it.
+// checkSuccess checks that evidence older than a success does not make the front avoid the node.
 func (t *trial) checkSuccess(f *simFront, node string) {
 	n := f.monitor.byName[node]
 	if n.running() && n.investigation != nil && n.avoided && !slices.ContainsFunc(n.evidence, func(o observation) bool {
 		return o.state == Silent && o.at > t.now-1
 	}) {
-		t.say("front %d avoids %s though it was just answered", f.number, node)
+		t.say("front %d avoids %s, which has just answered it", f.number, node)
 	}
 }
--- a/internal/fleet/health/breaks_test.go
+++ b/internal/fleet/health/breaks_test.go
@@ -6,16 +6,16 @@
 	"otterturn/scheduler"
 )
 
-// breaks are faults made on purpose: the schedules must find each of them.
+// breaks are deliberate faults in the code under test, by name. The random schedules must detect each of them.
 var breaks = map[string]func(m *Monitor){
-	"no quorum":             func(m *Monitor) { m.config.Quorum = 1 },
-	"no takeover":           func(m *Monitor) { m.checks.round = func(_, _ scheduler.Micros) int { return 0 } },
-	"a former start counts": func(m *Monitor) { m.checks.sameStart = func(_, _ scheduler.Micros) bool { return true } },
-	"a front counts twice":  func(m *Monitor) { m.checks.add = func(e *evidence, o observation) { *e = append(*e, o) } },
-	"evidence never fades":  func(m *Monitor) { m.config.EvidenceLifetime = 1000 * second },
+	"no quorum":               func(m *Monitor) { m.config.Quorum = 1 },
+	"no takeover":             func(m *Monitor) { m.checks.round = func(_, _ scheduler.Micros) int { return 0 } },
+	"an earlier start counts": func(m *Monitor) { m.checks.sameStart = func(_, _ scheduler.Micros) bool { return true } },
+	"a front counts twice":    func(m *Monitor) { m.checks.add = func(e *evidence, o observation) { *e = append(*e, o) } },
+	"evidence never expires":  func(m *Monitor) { m.config.EvidenceLifetime = 1000 * second },
 }
 
-// tries is how many schedules a break may take to be found.
+// tries is the maximum number of schedules to detect one fault.
 const tries = 3000
 
 func TestSchedulesFindBreaksMadeOnPurpose(t *testing.T) {
@@ -31,12 +31,12 @@
 					continue
 				}
 				for _, whole := range newTrial(uint64(i), fronts, nodes, nil).play(moves) {
-					t.Errorf("schedule %d %v finds the whole program wrong: %s", i, moves, whole)
+					t.Errorf("schedule %d %v also fails without the fault: %s", i, moves, whole)
 				}
-				t.Logf("found by schedule %d %v: %s", i, moves, wrong[0])
+				t.Logf("detected by schedule %d %v: %s", i, moves, wrong[0])
 				return
 			}
-			t.Errorf("not found by %d schedules", tries)
+			t.Errorf("not detected by %d schedules", tries)
 		})
 	}
 }
--- a/internal/fleet/health/codec.go
+++ b/internal/fleet/health/codec.go
@@ -8,15 +8,16 @@
 	"otterturn/scheduler"
 )
 
-// The form of a message: mark, version, run (7 bytes, big-endian), sequence (unsigned varint), the sender's clock in
-// milliseconds since its run (signed varint), then entries. An entry is the key (5 bytes), the node's start in
-// milliseconds (3 bytes, modulo 2^24), and two bytes with the state in the upper 3 bits and the age in milliseconds below.
+// Message format: magic byte, version byte, incarnation (7 bytes, big-endian), sequence number (unsigned varint), the
+// sender's clock in milliseconds since its incarnation began (signed varint), then entries. An entry has 10 bytes: the
+// node's key (5 bytes), the node's start in milliseconds (3 bytes, modulo 2^24), and 2 bytes with the state in the upper
+// 3 bits and the age in milliseconds in the lower 13 bits.
 const (
-	MessageLimit = 256 // bytes of a message at most
+	MessageLimit = 256 // maximum bytes of a message
 
 	messageMark    = 0xF1
 	messageVersion = 1
-	fixedBytes     = 9 // mark, version and run
+	fixedBytes     = 9 // magic byte, version and incarnation
 	longestHeader  = fixedBytes + 2*binary.MaxVarintLen64
 	entryBytes     = 10
 	keyBits        = 40
@@ -27,23 +28,23 @@
 	longestAge     = (1<<ageBits - 1) * milli
 )
 
-// entriesPerMessage fit into a message whatever its header takes.
+// entriesPerMessage is the number of entries that fit into a message with a header of maximum size.
 const entriesPerMessage = (MessageLimit - longestHeader) / entryBytes
 
-// Why Decode may refuse a message. Errors wrap one of these.
+// Errors that Decode wraps.
 var (
 	ErrNotMessage = errors.New("not a health message")
-	ErrVersion    = errors.New("health message of another version")
-	ErrCut        = errors.New("health message is cut")
+	ErrVersion    = errors.New("unsupported version of a health message")
+	ErrCut        = errors.New("health message is truncated")
 	ErrTooLong    = errors.New("health message is too long")
-	ErrState      = errors.New("health message has an impossible state")
-	ErrHeader     = errors.New("health message has an impossible header")
+	ErrState      = errors.New("health message has an invalid state")
+	ErrHeader     = errors.New("health message has an invalid header")
 )
 
-// IsMessage tells a health message, of whichever version, from the other datagrams between fronts.
+// IsMessage reports whether a datagram between fronts is a health message, of any version.
 func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == messageMark }
 
-// Encode returns the message's bytes. What does not fit into MessageLimit is left out, the last entries first.
+// Encode returns the encoded message. Entries beyond MessageLimit bytes are omitted, starting from the last.
 func (m Message) Encode() []byte {
 	out := make([]byte, 0, MessageLimit)
 	out = append(out, messageMark, messageVersion)
@@ -59,7 +60,7 @@
 	return out
 }
 
-// size is how many bytes Encode returns.
+// size returns the number of bytes that Encode returns.
 func (m Message) size() int {
 	var scratch [binary.MaxVarintLen64]byte
 	header := fixedBytes + binary.PutUvarint(scratch[:], uint64(m.Sequence))
@@ -70,7 +71,7 @@
 func (e Entry) append(out []byte) []byte {
 	out = appendBits(out, e.Node, keyBits)
 	out = appendBits(out, uint64(e.Since/milli), sinceBits)
-	state := uint16(0) // Decode refuses it
+	state := uint16(0) // Decode rejects it
 	if e.State <= StillSilent {
 		state = uint16(e.State)
 	}
@@ -78,7 +79,7 @@
 	return binary.BigEndian.AppendUint16(out, state<<ageBits|age)
 }
 
-// Decode reads a message.
+// Decode decodes a message.
 func Decode(data []byte) (Message, error) {
 	switch {
 	case !IsMessage(data):
@@ -132,7 +133,8 @@
 	return e, nil
 }
 
-// varintError tells why a number of n bytes can't be: cut where n is 0, outside its bounds where told so or below 0.
+// varintError returns the error of decoding a varint, nil for none. n is the length that binary.Uvarint returned: 0 for
+// truncated input, negative for overflow. outside is set if the value is out of its range.
 func varintError(n int, outside bool) error {
 	switch {
 	case n == 0:
@@ -143,7 +145,7 @@
 	return nil
 }
 
-// appendBits appends the lower bits of a number, big-endian; bits is a multiple of 8.
+// appendBits appends the lowest bits of v in big-endian order; bits must be a multiple of 8.
 func appendBits(out []byte, v uint64, bits int) []byte {
 	for shift := bits - 8; shift >= 0; shift -= 8 {
 		out = append(out, byte(v>>shift))
@@ -151,7 +153,7 @@
 	return out
 }
 
-// bits reads a big-endian number.
+// bits decodes a big-endian unsigned integer.
 func bits(data []byte) uint64 {
 	v := uint64(0)
 	for _, b := range data {
@@ -160,7 +162,7 @@
 	return v
 }
 
-// floorMillis is a time in whole milliseconds, rounded down.
+// floorMillis converts a time to whole milliseconds, rounded down.
 func floorMillis(t scheduler.Micros) int64 {
 	ms := int64(t / milli)
 	if t < 0 && t%milli != 0 {
@@ -169,12 +171,12 @@
 	return ms
 }
 
-// wireSince is a node's start as entries carry it.
+// wireSince returns a node's start in the encoding of entries: whole milliseconds, modulo 2^24 ms.
 func wireSince(since scheduler.Micros) scheduler.Micros {
 	return scheduler.Micros(uint64(floorMillis(since))&(1<<sinceBits-1)) * milli
 }
 
-// startedLater tells whether a start, as entries carry it, is later than another one, by the shorter way round.
+// startedLater reports whether encoded start a is later than b. The encoding wraps around, so the shorter distance counts.
 func startedLater(a, b scheduler.Micros) bool {
 	ahead := uint64(a/milli-b/milli) & (1<<sinceBits - 1)
 	return ahead > 0 && ahead < 1<<(sinceBits-1)
--- a/internal/fleet/health/codec_test.go
+++ b/internal/fleet/health/codec_test.go
@@ -28,16 +28,16 @@
 		m := randomMessage(random, i%(entriesPerMessage+1))
 		data := m.Encode()
 		if len(data) > MessageLimit || len(data) != m.size() || !IsMessage(data) {
-			t.Fatalf("%d bytes, reckoned as %d", len(data), m.size())
+			t.Fatalf("encoded %d bytes, size() returns %d", len(data), m.size())
 		}
 		back, err := Decode(data)
 		if err != nil || !reflect.DeepEqual(back, m) {
-			t.Fatalf("%v: %+v, not %+v", err, back, m)
+			t.Fatalf("error %v, decoded %+v, want %+v", err, back, m)
 		}
 	}
 }
 
-// What a Monitor sends is the same behind Decode: what it can't say to the millisecond it does not say.
+// Messages that a Monitor sends are unchanged by encoding and decoding: it rounds all times to milliseconds itself.
 func TestWhatIsSentComesThroughWhole(t *testing.T) {
 	w := newWorld(1, zonesOf(1, 5), 30, nil)
 	sent := 0
@@ -46,7 +46,7 @@
 			sent++
 			back, err := Decode(s.Message.Encode())
 			if err != nil || !reflect.DeepEqual(back, s.Message) {
-				t.Fatalf("%v: %+v, not %+v", err, back, s.Message)
+				t.Fatalf("error %v, decoded %+v, want %+v", err, back, s.Message)
 			}
 		}
 	}
@@ -54,25 +54,25 @@
 	w.at(w.now+second+333, func() { w.setAll(true) })
 	w.run(w.now + 4*second)
 	if sent == 0 {
-		t.Error("nothing was sent")
+		t.Error("no message was sent")
 	}
 }
 
-// A message with more entries than fit has as many as do; one with a state that can't be is refused.
+// Encode omits entries that do not fit and limits ages to their range. Decode rejects the encoding of an invalid state.
 func TestEncodeKeepsToItsBounds(t *testing.T) {
 	m := randomMessage(newRandom(2), 200)
 	m.Entries[0].Age, m.Entries[1].Age = 10*longestAge, -5
 	data := m.Encode()
 	if len(data) > MessageLimit || len(data) != m.size() {
-		t.Errorf("%d bytes", len(data))
+		t.Errorf("encoded %d bytes, size() returns %d", len(data), m.size())
 	}
 	back, err := Decode(data)
 	if err != nil || back.Entries[0].Age != longestAge || back.Entries[1].Age != 0 {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, or ages out of range are not limited", err)
 	}
 	m.Entries = []Entry{{State: 9}}
 	if _, err := Decode(m.Encode()); !errors.Is(err, ErrState) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want %v", err, ErrState)
 	}
 }
 
@@ -88,29 +88,29 @@
 		want error
 	}{
 		"empty":              {nil, ErrNotMessage},
-		"a note":             {[]byte("ask 1"), ErrNotMessage},
-		"mark alone":         {good[:1], ErrCut},
-		"cut in its run":     {good[:5], ErrCut},
-		"cut in an entry":    {good[:len(good)-1], ErrCut},
+		"other datagram":     {[]byte("ask 1"), ErrNotMessage},
+		"magic byte only":    {good[:1], ErrCut},
+		"cut in incarnation": {good[:5], ErrCut},
+		"cut in entry":       {good[:len(good)-1], ErrCut},
 		"another version":    {change(1, 2), ErrVersion},
 		"oversized":          {append(bytes.Clone(good), make([]byte, MessageLimit)...), ErrTooLong},
-		"no state":           {change(len(good)-2, 0), ErrState},
+		"invalid state":      {change(len(good)-2, 0), ErrState},
 		"sequence too large": {append(bytes.Clone(good[:fixedBytes]), 0xff, 0xff, 0xff, 0xff, 0xff, 0x01, 0), ErrHeader},
 		"clock too large":    {append(bytes.Clone(good[:fixedBytes]), 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f), ErrHeader},
-		"endless sequence":   {append(bytes.Clone(good[:fixedBytes]), bytes.Repeat([]byte{0xff}, 11)...), ErrHeader},
+		"unending sequence":  {append(bytes.Clone(good[:fixedBytes]), bytes.Repeat([]byte{0xff}, 11)...), ErrHeader},
 	} {
 		if _, err := Decode(c.data); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, not %v", name, err, c.want)
+			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 	}
-	for cut := range good { // between entries it is a shorter message; anywhere else an error
+	for cut := range good { // truncation between entries yields a shorter valid message, elsewhere an error
 		if _, err := Decode(good[:cut]); err == nil && (len(good)-cut)%entryBytes != 0 {
-			t.Errorf("cut to %d of %d bytes: no error", cut, len(good))
+			t.Errorf("truncated to %d of %d bytes: no error", cut, len(good))
 		}
 	}
 }
 
-// FuzzDecode looks whether any datagram does harm, at Decode or at a Monitor behind it.
+// FuzzDecode checks that no datagram makes Decode panic, or makes a Monitor that receives it avoid nodes for too long.
 func FuzzDecode(f *testing.F) {
 	random := newRandom(4)
 	for entries := range 4 {
@@ -128,21 +128,21 @@
 		return
 	}
 	if again, err := Decode(message.Encode()); err != nil || !reflect.DeepEqual(again, message) {
-		t.Fatalf("%v: %+v, not %+v", err, again, message)
+		t.Fatalf("error %v, decoded %+v, want %+v", err, again, message)
 	}
 	for from := range 4 {
 		m.Step(10*second+scheduler.Micros(from), []Event{MessageReceived{from, message}})
 	}
 	if m.avoids("a") && len(message.Entries) == 0 {
-		t.Error("condemned by nothing")
+		t.Error("node avoided because of a message without entries")
 	}
 	m.Step(30*second, []Event{TimerFired{}})
 	if m.avoids("a") || m.avoids("b") {
-		t.Error("still avoided 20 s later")
+		t.Error("node still avoided 20 s later")
 	}
 }
 
-// Datagrams changed at random do no harm.
+// Randomly corrupted and truncated datagrams are handled like those of FuzzDecode.
 func TestChangedMessagesDoNoHarm(t *testing.T) {
 	random := newRandom(5)
 	for range 20_000 {
--- a/internal/fleet/health/config.go
+++ b/internal/fleet/health/config.go
@@ -8,7 +8,7 @@
 	"otterturn/scheduler"
 )
 
-// Figures of Defaults. Times are microseconds.
+// Values that Defaults returns. Times are in microseconds.
 const (
 	DefaultProbers       = 3
 	DefaultQuorum        = 2
@@ -20,10 +20,10 @@
 	DefaultMessageBytes  = 8192
 )
 
-// MaxEvidenceLife bounds Config.EvidenceLife: the age of an entry has 13 bits of milliseconds.
+// MaxEvidenceLife is the maximum of Config.EvidenceLifetime: the age of an entry is encoded in 13 bits of milliseconds.
 const MaxEvidenceLife scheduler.Micros = 8_000_000
 
-// Defaults returns the usual figures for a front of a fleet whose fronts stand in the given zones.
+// Defaults returns the default configuration of front number self in a fleet with the given zone of each front.
 func Defaults(self int, run int64, zones []int) Config {
 	return Config{
 		Self: self, Incarnation: run, Zones: zones,
@@ -34,7 +34,7 @@
 	}
 }
 
-// Validate names every field that can't be, by its name in an operator's file.
+// Validate returns an error that names every invalid field, by its name in the operator's configuration file.
 func (c Config) Validate() error {
 	var wrong []error
 	check := func(bad bool, format string, args ...any) {
@@ -45,10 +45,10 @@
 	check(len(c.Zones) == 0, "zones: must not be empty")
 	check(c.Self < 0 || c.Self >= len(c.Zones), "self: %d, but there are %d fronts", c.Self, len(c.Zones))
 	for front, zone := range c.Zones {
-		check(zone < 0, "zones: front %d has zone %d, below 0", front, zone)
+		check(zone < 0, "zones: front %d has zone %d, must be at least 0", front, zone)
 	}
-	check(c.Probers < 1, "probers: %d, must be 1 at least", c.Probers)
-	check(c.Quorum < 2, "quorum: %d, must be 2 at least", c.Quorum)
+	check(c.Probers < 1, "probers: %d, must be at least 1", c.Probers)
+	check(c.Quorum < 2, "quorum: %d, must be at least 2", c.Quorum)
 	check(c.Quorum > c.Probers, "quorum: %d, but there are %d probers", c.Quorum, c.Probers)
 	if zone, fronts := c.smallestZone(); fronts > 0 {
 		check(c.Probers > fronts, "probers: %d, but zone %d has %d fronts", c.Probers, zone, fronts)
@@ -56,19 +56,19 @@
 	check(c.SuspectAfter <= 0, "suspect_after: must be above 0")
 	check(c.ProbeTimeout <= 0, "probe_late: must be above 0")
 	check(c.EvidenceLifetime <= 0, "evidence_life: must be above 0")
-	check(c.EvidenceLifetime > MaxEvidenceLife, "evidence_life: %d ms, must be %d ms at most", c.EvidenceLifetime/1000, MaxEvidenceLife/1000)
+	check(c.EvidenceLifetime > MaxEvidenceLife, "evidence_life: %d ms, must be at most %d ms", c.EvidenceLifetime/1000, MaxEvidenceLife/1000)
 	check(c.TakeoverAfter <= 0, "takeover_after: must be above 0")
 	check(!(c.ProbesPerNode > 0), "probes_per_node: must be above 0")
 	if c.Probers > 0 && c.ProbesPerNode > 0 && c.EvidenceLifetime > 0 {
 		least := float64(c.probersOfAllZones()) / seconds(c.slowestProbe())
-		check(c.ProbesPerNode < least, "probes_per_node: %g, but the %d probers of a node need %.3g for evidence to last",
+		check(c.ProbesPerNode < least, "probes_per_node: %g, but the %d probers of a node need at least %.3g to keep evidence fresh",
 			c.ProbesPerNode, c.probersOfAllZones(), least)
 	}
-	check(!(c.MessageRate >= MessageLimit), "message_bytes: must be %d at least", MessageLimit)
+	check(!(c.MessageRate >= MessageLimit), "message_bytes: must be at least %d", MessageLimit)
 	return errors.Join(wrong...)
 }
 
-// smallestZone returns the zone with the fewest fronts, and their number: 0 where there is no front.
+// smallestZone returns the zone with the fewest fronts and the number of its fronts, 0 if there are no fronts.
 func (c Config) smallestZone() (zone, fronts int) {
 	count := map[int]int{}
 	for _, z := range c.Zones {
@@ -82,7 +82,7 @@
 	return zone, fronts
 }
 
-// zoneFronts returns the fronts of this front's zone in order, itself included.
+// zoneFronts returns the fronts of this front's zone in ascending order, including this front.
 func (c Config) zoneFronts() []int {
 	var out []int
 	for front, zone := range c.Zones {
@@ -93,19 +93,19 @@
 	return out
 }
 
-// probersOfAllZones is how many fronts probe one node at most.
+// probersOfAllZones returns the maximum number of fronts that probe one node.
 func (c Config) probersOfAllZones() int {
 	zones := slices.Compact(slices.Sorted(slices.Values(c.Zones)))
 	return len(zones) * c.Probers
 }
 
-// slowestProbe is the longest time between two probes of a node that a front is to watch: what it shows must come to all
-// fronts before what the last one showed is too old.
+// slowestProbe is the maximum time between two probes of a node by one of its probers: the result of a probe must reach
+// all fronts before the result of the last one expires.
 func (c Config) slowestProbe() scheduler.Micros {
 	return min(slowestProbe, c.EvidenceLifetime/repeatsPerLifetime)
 }
 
-// probePace is the time between two probes that ProbesPerNode leaves to each prober.
+// probePace is the time between two probes of one prober that keeps the total rate of all probers at ProbesPerNode.
 func (c Config) probePace() scheduler.Micros {
 	return scheduler.Micros(float64(c.probersOfAllZones()) / c.ProbesPerNode * microsPerSecond)
 }
--- a/internal/fleet/health/cost_test.go
+++ b/internal/fleet/health/cost_test.go
@@ -8,7 +8,7 @@
 	"otterturn/scheduler"
 )
 
-// atFullSize is a Monitor of one front of 1,200 before 1,800 nodes.
+// atFullSize returns a Monitor in a fleet of 1,200 fronts and 1,800 nodes, and the names of the nodes.
 func atFullSize(t testing.TB) (*Monitor, []string) {
 	m, err := New(Defaults(0, 1, zonesOf(10, 120)))
 	if err != nil {
@@ -31,7 +31,7 @@
 	return s.HeapAlloc
 }
 
-// A Monitor that knows 1,800 healthy nodes and has requests at all of them takes well under 1 MB.
+// A Monitor with 1,800 healthy nodes and requests to all of them must use at most 700,000 bytes.
 func TestMemoryOfHealthyNodes(t *testing.T) {
 	before := heapBytes()
 	m, names := atFullSize(t)
@@ -43,19 +43,19 @@
 		m.Step(now+1000, []Event{AttemptEnded{Node: names[i%1800], ID: id, Result: scheduler.OK}})
 	}
 	took := int64(heapBytes()) - int64(before)
-	t.Logf("%d bytes, names included", took)
+	t.Logf("%d bytes of heap, including node names", took)
 	if took > 700_000 {
-		t.Errorf("%d bytes", took)
+		t.Errorf("%d bytes of heap, want at most 700000", took)
 	}
 	for _, n := range m.byName {
 		if n.investigation != nil {
-			t.Fatal("trouble is kept of a healthy node")
+			t.Fatal("a healthy node has an investigation")
 		}
 	}
 	runtime.KeepAlive(m)
 }
 
-// What is kept of trouble goes with it.
+// After silent nodes have returned, their investigations and all pending work are discarded.
 func TestTroubleIsForgotten(t *testing.T) {
 	w := newWorld(1, zonesOf(1, 6), 10, nil)
 	w.load(3, w.nodes, w.now+20*second)
@@ -70,15 +70,15 @@
 			}
 		}
 		if kept > 0 {
-			t.Errorf("front %d keeps trouble of %d nodes", f.number, kept)
+			t.Errorf("front %d keeps investigations of %d nodes", f.number, kept)
 		}
 		if len(f.monitor.attempts) > 0 || len(f.monitor.due) > 0 || len(f.monitor.outbox.rounds) > 0 {
-			t.Errorf("front %d keeps %d attempts, %d due", f.number, len(f.monitor.attempts), len(f.monitor.due))
+			t.Errorf("front %d keeps %d attempts and %d nodes due for review, or unfinished broadcasts", f.number, len(f.monitor.attempts), len(f.monitor.due))
 		}
 	}
 }
 
-// BenchmarkStepHealthy is an attempt's start and end at one of 1,800 healthy nodes, 35 others being out.
+// BenchmarkStepHealthy measures the start and end of an attempt at one of 1,800 healthy nodes, with 35 attempts outstanding.
 func BenchmarkStepHealthy(b *testing.B) {
 	m, names := atFullSize(b)
 	now := 2 * second
@@ -96,7 +96,7 @@
 	}
 }
 
-// BenchmarkStepTrouble is a message of two fronts about 20 of 180 silent nodes, and what follows from it.
+// BenchmarkStepTrouble measures the processing of a message from each of two fronts about 20 of 180 silent nodes.
 func BenchmarkStepTrouble(b *testing.B) {
 	m, names := atFullSize(b)
 	now := 2 * second
--- a/internal/fleet/health/doubt.go
+++ b/internal/fleet/health/doubt.go
@@ -1,7 +1,8 @@
 package health
 
-// discountPause looks whether this front was paused: its alarm is late. Then probes that are out and attempts that stall say
-// nothing, as it was this front that did not look. Lifeguard (Dadgar, Phillips and Currey 2017) doubts itself alike.
+// discountPause detects from a late timer that this front was paused. Running probes and stalled attempts are then no
+// evidence of a silent node, because this front may not have read the answers yet. Lifeguard (Dadgar, Phillips and Currey
+// 2017) takes its own delays into account in a similar way.
 func (m *Monitor) discountPause() {
 	if m.timerAt >= forever || m.now-m.timerAt <= m.config.pausedAfter() {
 		return
@@ -14,7 +15,7 @@
 			n.probe.inconclusive = true
 		}
 	}
-	for _, n := range m.due { // those whose times have changed
+	for _, n := range m.due { // the loop above changed their times
 		m.scheduleReview(n)
 	}
 }
--- a/internal/fleet/health/due.go
+++ b/internal/fleet/health/due.go
@@ -6,7 +6,7 @@
 	"otterturn/scheduler"
 )
 
-// dueQueue holds the nodes that have something to be looked at, by time.
+// dueQueue is a heap of the nodes with a scheduled review, ordered by its time.
 type dueQueue []*node
 
 func (q dueQueue) Len() int           { return len(q) }
@@ -16,14 +16,14 @@
 	q[i].heapIndex, q[j].heapIndex = i+1, j+1
 }
 
-// Push is for container/heap alone.
+// Push implements heap.Interface; only container/heap calls it.
 func (q *dueQueue) Push(x any) {
 	n := x.(*node)
 	*q = append(*q, n)
 	n.heapIndex = len(*q)
 }
 
-// Pop is for container/heap alone.
+// Pop implements heap.Interface; only container/heap calls it.
 func (q *dueQueue) Pop() any {
 	last := len(*q) - 1
 	n := (*q)[last]
@@ -32,7 +32,7 @@
 	return n
 }
 
-// set puts a node where its time belongs, in the place of an earlier one.
+// set schedules the review of a node and replaces an earlier time.
 func (q *dueQueue) set(n *node, at scheduler.Micros) {
 	if n.heapIndex > 0 && n.due == at {
 		return
@@ -45,14 +45,14 @@
 	heap.Push(q, n)
 }
 
-// remove takes a node out, if it is in.
+// remove removes a node if the queue contains it.
 func (q *dueQueue) remove(n *node) {
 	if n.heapIndex > 0 {
 		heap.Remove(q, n.heapIndex-1)
 	}
 }
 
-// take removes and returns a node whose time has come, nil if there is none.
+// take removes and returns a node whose review is due, nil if there is none.
 func (q *dueQueue) take(now scheduler.Micros) *node {
 	if len(*q) == 0 || (*q)[0].due > now {
 		return nil
--- a/internal/fleet/health/evidence.go
+++ b/internal/fleet/health/evidence.go
@@ -7,23 +7,23 @@
 	"otterturn/scheduler"
 )
 
-// never is earlier than any time, and forever later.
+// never is earlier than any time, and forever is later than any time.
 const (
 	never   scheduler.Micros = math.MinInt64 / 4
 	forever scheduler.Micros = math.MaxInt64 / 4
 )
 
-// observation is the latest that one front saw of a node.
+// observation is the latest result that one front has observed at a node.
 type observation struct {
 	front int
 	state State            // Reachable or Silent
-	at    scheduler.Micros // of the answer, or when the probe that was not answered was sent
+	at    scheduler.Micros // time of the answer, or the time at which the unanswered probe was sent
 }
 
-// evidence holds one observation of each front that told any.
+// evidence holds the observations of one node, at most one per front.
 type evidence []observation
 
-// add takes in an observation. Of a front's the latest counts, so neither order nor repetition matters.
+// add adds an observation. Only the latest of each front is kept, so order and duplicates do not matter.
 func (e *evidence) add(o observation) {
 	i := e.find(o.front)
 	switch {
@@ -38,7 +38,7 @@
 	return slices.IndexFunc(e, func(o observation) bool { return o.front == front })
 }
 
-// of returns a front's observation, if there is one.
+// of returns the observation of a front, if there is one.
 func (e evidence) of(front int) (observation, bool) {
 	if i := e.find(front); i >= 0 {
 		return e[i], true
@@ -46,12 +46,13 @@
 	return observation{}, false
 }
 
-// prune forgets what is not younger than a time.
+// prune removes observations made at or before the given time.
 func (e *evidence) prune(after scheduler.Micros) {
 	*e = slices.DeleteFunc(*e, func(o observation) bool { return o.at <= after })
 }
 
-// count tells how many fronts saw a state after a time; keep may leave some out.
+// count returns the number of fronts that observed a state after the given time. If keep is not nil, only fronts for
+// which it returns true count.
 func (e evidence) count(state State, after scheduler.Micros, keep func(front int) bool) int {
 	n := 0
 	for _, o := range e {
@@ -62,7 +63,7 @@
 	return n
 }
 
-// oldest is the time of the oldest observation, and whether there is any.
+// oldest returns the time of the oldest observation; ok is false if there is none.
 func (e evidence) oldest() (at scheduler.Micros, ok bool) {
 	for _, o := range e {
 		if !ok || o.at < at {
@@ -72,8 +73,8 @@
 	return at, ok
 }
 
-// verdict tells whether a node is to be avoided: at least quorum fronts saw it silent, later than this front was
-// answered, and more than saw it reachable. Then at is the time since which so many did.
+// verdict reports whether to avoid a node: at least quorum fronts found it silent after its last answer to this front, and
+// more fronts than found it reachable. Then at is the time of the oldest of the quorum latest silent observations.
 func (e evidence) verdict(quorum int, answered scheduler.Micros) (avoid bool, at scheduler.Micros) {
 	var silent []scheduler.Micros
 	reachable := 0
--- a/internal/fleet/health/exhaustive_test.go
+++ b/internal/fleet/health/exhaustive_test.go
@@ -8,7 +8,7 @@
 	"otterturn/scheduler"
 )
 
-// allMoves are all moves of a world with so many fronts and nodes.
+// allMoves returns all possible moves in a simulation with the given numbers of fronts and nodes.
 func allMoves(fronts, nodes int, wait scheduler.Micros) (moves []move) {
 	for f := range faults {
 		places := 1
@@ -25,8 +25,8 @@
 	return moves
 }
 
-// Every order of faults in small worlds, at three speeds: within the life of a probe, of a message held back, and of
-// evidence.
+// Plays every sequence of faults in small simulations, with up to three waits after each fault: during a probe (30 ms),
+// after a delayed announcement (150 ms), and after a takeover (1.1 s).
 func TestEveryInterleavingOfSmallCases(t *testing.T) {
 	const millisecond scheduler.Micros = 1000
 	for _, c := range []struct {
@@ -54,7 +54,7 @@
 	}
 }
 
-// each calls do with every sequence of a length.
+// each calls do with every sequence of moves of the given length.
 func each(moves []move, length int, do func(list []move)) {
 	if length == 0 {
 		do(nil)
@@ -65,7 +65,7 @@
 	}
 }
 
-// told is evidence as it comes to a front: from whom, in which message.
+// told is an observation received from another front in the message with the given sequence number.
 type told struct {
 	from     int
 	sequence uint32
@@ -73,7 +73,7 @@
 	at       scheduler.Micros
 }
 
-// Whatever the order in which messages come, and whichever come twice, a front holds the same in the end.
+// The order and duplication of messages must not change the final evidence and verdict of a front.
 func TestOrderAndRepetitionChangeNoVerdict(t *testing.T) {
 	const now = 100 * second
 	all := []told{
@@ -97,7 +97,7 @@
 				list = append(list, order[repeated])
 			}
 			m := front(t, 0, zonesOf(1, 4), now)
-			for from := 1; from < 4; from++ { // clocks are known
+			for from := 1; from < 4; from++ { // establish the clock offsets
 				m.Step(now, []Event{MessageReceived{from, Message{Incarnation: 1, Sequence: 1, Sent: now}}})
 			}
 			for _, e := range list {
@@ -113,18 +113,18 @@
 				first = &is
 			}
 			if is != *first {
-				t.Fatalf("%v: %v, and else %v", list, is, *first)
+				t.Fatalf("messages %v lead to %v, other orders to %v", list, is, *first)
 			}
 			played++
 		}
 	})
 	if !first.avoided {
-		t.Error("two of three found the node silent, and it is not avoided")
+		t.Error("two of three fronts found the node silent, but it is not avoided")
 	}
-	t.Logf("%d orders", played)
+	t.Logf("%d sequences", played)
 }
 
-// permute calls do with every order of a list.
+// permute calls do with every permutation of a list.
 func permute(list []told, do func([]told)) {
 	if len(list) <= 1 {
 		do(list)
--- a/internal/fleet/health/faults_test.go
+++ b/internal/fleet/health/faults_test.go
@@ -6,7 +6,7 @@
 	"otterturn/scheduler"
 )
 
-// avoiding counts the fronts that avoid the first node.
+// avoiding returns the number of pairs of a front and a node that it avoids.
 func (w *world) avoiding() (count int) {
 	for _, f := range w.fronts {
 		count += f.monitor.Counters().Avoided
@@ -14,7 +14,7 @@
 	return count
 }
 
-// A front that was paused takes nothing for silent that it did not look at meanwhile.
+// A front that was paused must not suspect nodes or find them silent because it read their answers late.
 func TestPausedFrontCondemnsNothing(t *testing.T) {
 	w := newWorld(2, zonesOf(1, 4), 3, nil)
 	begin := w.now
@@ -35,11 +35,11 @@
 	}
 	w.run(begin + 10*second)
 	if told > 0 || w.avoiding() > 0 {
-		t.Errorf("%d entries told against nodes, %d avoided", told, w.avoiding())
+		t.Errorf("%d entries sent that report nodes silent or suspected, %d nodes avoided", told, w.avoiding())
 	}
 }
 
-// When probers die, are paused or can't be heard the next in rank follow, and all fronts avoid the node.
+// When probers crash, are paused or are disconnected, the next fronts by rank take over, and all fronts avoid the node.
 func TestOthersTakeOverFromProbers(t *testing.T) {
 	for name, fail := range map[string]func(w *world, f *simFront){
 		"dead":   func(_ *world, f *simFront) { f.life++ },
@@ -68,7 +68,7 @@
 			w.run(begin + 4*second)
 			for _, f := range w.fronts {
 				if c := f.monitor.Counters(); c.Avoided == 0 && f.number != failed[0] && f.number != failed[1] && f.number != failed[2] {
-					t.Errorf("front %d sends to a silent node 3 s later", f.number)
+					t.Errorf("front %d does not avoid a node that has been silent for 3 s", f.number)
 				}
 			}
 		})
--- a/internal/fleet/health/front_test.go
+++ b/internal/fleet/health/front_test.go
@@ -12,15 +12,15 @@
 	config  Config
 	monitor *Monitor
 	life    int // counts restarts
-	alarm   int // of the last SetAlarm
+	alarm   int // number of the last SetTimer
 	paused  bool
 	gone    bool
-	late    []simEvent // what came while paused
+	late    []simEvent // events that arrived while paused
 	mute    map[string]bool
-	known   map[string]scheduler.Micros // starts, by the list
-	wanted  map[string]scheduler.Micros // ProbeWanted without an answer
-	failed  map[string]int              // requests
-	bytes   []sentBytes                 // sent and received
+	known   map[string]scheduler.Micros // start of each node according to the endpoint list
+	wanted  map[string]scheduler.Micros // time of each unanswered ProbeRequested
+	failed  map[string]int              // failed requests by node
+	bytes   []sentBytes                 // messages sent and received
 }
 
 type sentBytes struct {
@@ -33,14 +33,14 @@
 	index  int
 	start  scheduler.Micros
 	dead   bool
-	refuse bool // a dead one refuses instead of being silent
+	refuse bool // refuses connections while dead instead of not answering
 	probes []scheduler.Micros
 }
 
 type simEvent struct {
 	at    scheduler.Micros
 	order int
-	front int // -1 for the world's own
+	front int // -1 for events of the simulation itself
 	life  int
 	run   func()
 	event Event
@@ -60,14 +60,14 @@
 	return e
 }
 
-// setAll lets all nodes fall silent, or return.
+// setAll makes all nodes silent, or lets them return.
 func (w *world) setAll(dead bool) {
 	for _, n := range w.nodes {
 		n.dead = dead
 	}
 }
 
-// mostBytes is how many bytes a front sent and received within any second.
+// mostBytes returns the maximum number of bytes that a front sent and received within one second.
 func (f *simFront) mostBytes() int {
 	slices.SortStableFunc(f.bytes, func(a, b sentBytes) int { return cmp.Compare(a.at, b.at) })
 	worst, sum, from := 0, 0, 0
--- a/internal/fleet/health/fullsize_test.go
+++ b/internal/fleet/health/fullsize_test.go
@@ -9,7 +9,7 @@
 
 const second scheduler.Micros = 1_000_000
 
-// zonesOf are so many zones with so many fronts each.
+// zonesOf returns the zone of each front for the given number of zones and fronts per zone.
 func zonesOf(zones, fronts int) []int {
 	var out []int
 	for zone := range zones {
@@ -18,7 +18,7 @@
 	return out
 }
 
-// most is how many times lie within one span at most.
+// most returns the maximum number of times within one span.
 func most(times []scheduler.Micros, span scheduler.Micros) int {
 	slices.Sort(times)
 	worst, from := 0, 0
@@ -31,8 +31,8 @@
 	return worst
 }
 
-// One zone of 120 fronts before its 180 nodes, which fall silent together and return 10 s later, each sent 47 requests a
-// second by the zone. The fleet has nine zones more, whose fronts count in the pace of probes.
+// The 180 nodes of a zone with 120 fronts become silent together and return 10 s later. The zone sends each node 47 requests
+// per second. The other nine zones of the fleet are not simulated, but count in the probe rate of each front.
 func TestZoneOfNodesFallsSilentAndReturns(t *testing.T) {
 	const fronts, perPair = 120, 0.39
 	nodes := 180
@@ -63,7 +63,7 @@
 	w.run(back)
 	for _, f := range w.fronts {
 		if c := f.monitor.Counters(); c.Avoided != nodes {
-			t.Errorf("front %d avoids %d nodes of %d", f.number, c.Avoided, nodes)
+			t.Errorf("front %d avoids %d of %d silent nodes", f.number, c.Avoided, nodes)
 		}
 	}
 	failed := 0
@@ -75,17 +75,17 @@
 	w.run(begin + 20*second)
 	for _, f := range w.fronts {
 		if c := f.monitor.Counters(); c.Avoided != 0 || len(f.wanted) > 0 {
-			t.Errorf("front %d avoids %d nodes that are back and owes %d probes", f.number, c.Avoided, len(f.wanted))
+			t.Errorf("front %d avoids %d nodes that have returned and has %d unanswered probe requests", f.number, c.Avoided, len(f.wanted))
 		}
 	}
 	for _, n := range w.nodes {
 		if reports[n.name] != fronts {
-			t.Errorf("%s: %d reports at %d fronts", n.name, reports[n.name], fronts)
+			t.Errorf("%s: %d silent reports at %d fronts", n.name, reports[n.name], fronts)
 		}
 	}
 	slices.Sort(told)
 	if last := told[len(told)-1]; last > 2*second {
-		t.Errorf("the last front heard after %d ms", last/1000)
+		t.Errorf("the last report came after %d ms, want at most 2000 ms", last/1000)
 	}
 	sum := scheduler.Micros(0)
 	for _, at := range told {
@@ -99,18 +99,18 @@
 	for _, times := range sent {
 		worst = max(worst, most(times, second))
 	}
-	// What a zone would pay where each front found out for itself is one request for each front.
+	// Without sharing, each front would lose at least one request to find out that a node is silent.
 	if failed*10 > fronts*nodes {
-		t.Errorf("%d requests failed at %d nodes, over a tenth of %d", failed, nodes, fronts*nodes)
+		t.Errorf("%d requests failed at %d nodes, more than a tenth of %d", failed, nodes, fronts*nodes)
 	}
 	if received > 16<<10 {
-		t.Errorf("a front sent and received %d bytes in a second", received)
+		t.Errorf("a front sent and received %d bytes in one second, want at most 16384", received)
 	}
-	t.Logf("heard: mean %d ms, half %d, nine in ten %d, last %d; failed requests a node %.1f; probes in a second %d at most; bytes %d at most",
+	t.Logf("time to report: mean %d ms, median %d, 90th percentile %d, max %d; failed requests per node %.1f; max probes per second %d; max bytes per second %d",
 		mean/1000, told[len(told)/2]/1000, told[len(told)*9/10]/1000, told[len(told)-1]/1000, float64(failed)/float64(nodes), worst, received)
 }
 
-// One node before the whole fleet: probes at it go by zones, not by fronts.
+// A silent node receives at most 50 probes per second from a fleet of 1,200 fronts: only the probers of each zone probe it.
 func TestProbesOfASilentNodeStayWithinTheirBound(t *testing.T) {
 	seeds := 5
 	if underRace {
@@ -130,8 +130,8 @@
 		}
 		worst := most(silent, second)
 		if worst > 50 {
-			t.Errorf("seed %d: %d probes in a second", seed, worst)
+			t.Errorf("seed %d: %d probes in one second, want at most 50", seed, worst)
 		}
-		t.Logf("seed %d: %d probes in 28 s, %d in a second at most", seed, len(silent), worst)
+		t.Logf("seed %d: %d probes in 28 s, at most %d in one second", seed, len(silent), worst)
 	}
 }
--- a/internal/fleet/health/golden_test.go
+++ b/internal/fleet/health/golden_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// goldenMessage is a message with an entry of each state, as the build of 2026-12-02 sent it.
+// goldenMessage is a message with an entry of each state, as encoded by the build of 2026-12-02.
 const goldenMessage = "f10106651728988000ac02f2c0015e5c6b16a5001388200774695e118800000045dc5340fc7a340000106000123456789a0000009f40"
 
-// TestMessageKeepsItsBytes holds the messages to those of the fronts that run already: during a rollout both versions
-// send them to each other.
+// The encoding must stay compatible with running fronts, because old and new versions exchange messages during a
+// rollout.
 func TestMessageKeepsItsBytes(t *testing.T) {
 	const run = 1_800_000_000_000_000
 	message := Message{Incarnation: run, Sequence: 300, Sent: run + 12_345_000, Entries: []Entry{
@@ -20,13 +20,13 @@
 		{Node: 0x12_3456_789a, Since: 0, State: StillSilent, Age: 8_000_000},
 	}}
 	if got := hex.EncodeToString(message.Encode()); got != goldenMessage {
-		t.Errorf("sent %s, want %s", got, goldenMessage)
+		t.Errorf("encoded %s, want %s", got, goldenMessage)
 	}
 	text, err := hex.DecodeString(goldenMessage)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := Decode(text); err != nil || !reflect.DeepEqual(got, message) {
-		t.Errorf("received %+v, %v", got, err)
+		t.Errorf("decoded %+v, error %v", got, err)
 	}
 }
--- a/internal/fleet/health/held.go
+++ b/internal/fleet/health/held.go
@@ -2,8 +2,8 @@
 
 import "otterturn/scheduler"
 
-// probeRequested holds back what the scheduler wants of a node that is suspected or avoided; any other probe goes out at
-// once.
+// probeRequested handles the scheduler's request for a probe. It defers the probe of a node that is suspected or avoided;
+// any other probe starts immediately.
 func (m *Monitor) probeRequested(e ProbeRequested) {
 	n := m.byName[e.Node]
 	if n == nil || !n.running() {
@@ -21,15 +21,17 @@
 	m.scheduleReview(n)
 }
 
-// Queues that ProbeAnswered tells of a node that was not probed by this front.
+// Queue lengths that AnswerProbe reports for a node that this front did not probe itself.
 const (
 	unknownQueue = -1
-	// A node that was silent and answers probers again has served nobody of this zone meanwhile. The scheduler took its
-	// silence for latency, and with no word of the queue would find all requests too late for it.
+	// A node that answers probers again after it was silent has served no front of this zone in the meantime, so its
+	// queue is empty. The scheduler counted the silence as latency; without a queue length it would estimate that every
+	// request misses its deadline at this node.
 	returnedQueue = 0
 )
 
-// returnedRecently tells whether the zone found a node reachable again not long ago: what it saw answers this front too.
+// returnedRecently reports whether the zone recently found a node reachable again. Its evidence then answers the probe
+// that the scheduler requested.
 func (m *Monitor) returnedRecently(n *node) bool {
 	return n.returnAt == 0 && !n.suspecting && m.now < n.avoidedUntil+m.config.EvidenceLifetime && m.countOthers(n, Reachable) >= m.config.Quorum
 }
@@ -39,7 +41,7 @@
 	m.actions = append(m.actions, AnswerProbe{result})
 }
 
-// serveScheduler answers the probe that the scheduler waits for, or starts it, as soon as may be.
+// serveScheduler answers or starts the probe that the scheduler waits for as soon as the state of the node permits.
 func (m *Monitor) serveScheduler(n *node) (next scheduler.Micros) {
 	returned := n.returnAt > 0 && m.now >= n.returnAt
 	if returned {
@@ -51,7 +53,7 @@
 	unknown := scheduler.HealthChecked{Node: n.name, Queue: unknownQueue}
 	reached := scheduler.HealthChecked{Node: n.name, OK: true, Queue: returnedQueue}
 	switch until := m.waitUntil(n); {
-	case n.avoided && m.now >= n.schedulerWaitsSince+m.config.EvidenceLifetime: // it asks again
+	case n.avoided && m.now >= n.schedulerWaitsSince+m.config.EvidenceLifetime: // the scheduler requests another probe afterwards
 		m.answerProbe(n, unknown)
 	case n.avoided:
 		return n.schedulerWaitsSince + m.config.EvidenceLifetime
@@ -65,7 +67,7 @@
 		}
 		n.probe.forScheduler = true
 	case n.probe.running:
-		return forever // its end is awaited, then it starts anew
+		return forever // wait for its end, then start another one
 	case m.now < until:
 		return until
 	default:
@@ -76,8 +78,8 @@
 	return forever
 }
 
-// waitUntil is when this front stops waiting for others and probes for its scheduler: at once where there is nothing
-// to be waited for, else the later the lower it ranks.
+// waitUntil is the time at which this front stops waiting for other fronts and probes for its scheduler: immediately if it
+// expects no evidence from others, otherwise the later the lower its rank.
 func (m *Monitor) waitUntil(n *node) scheduler.Micros {
 	turn := (float64(min(n.rank/m.config.Probers, maxRequestRounds)) + share(m.config.Self, n.key)) * float64(m.config.TakeoverAfter)
 	until := never
@@ -87,7 +89,7 @@
 	if n.suspecting || m.countOthers(n, Silent) > 0 {
 		until = max(until, n.schedulerWaitsSince+m.config.TakeoverAfter+scheduler.Micros(turn))
 	}
-	if n.avoidedUntil > n.schedulerWaitsSince { // the evidence on which it was avoided has faded for all fronts
+	if n.avoidedUntil > n.schedulerWaitsSince { // the evidence for avoiding the node has expired at all fronts
 		until = max(until, n.avoidedUntil+scheduler.Micros(turn))
 	}
 	return until
--- a/internal/fleet/health/held_test.go
+++ b/internal/fleet/health/held_test.go
@@ -7,24 +7,25 @@
 	"otterturn/scheduler"
 )
 
-// Wanted probes of nodes that nobody suspects, or that aren't on the list, go out at once and are answered by their end.
+// A requested probe of a node that no front suspects, or that is not on the endpoint list, starts immediately, and its
+// result is the answer.
 func TestProbesOfHealthyNodesPass(t *testing.T) {
 	const now = 10 * second
 	m := front(t, 0, zonesOf(1, 4), now)
 	for _, node := range []string{"a", "unknown"} {
 		for _, ok := range []bool{true, false} {
 			if started := of[StartProbe](m.Step(now, []Event{ProbeRequested{node}})); len(started) != 1 || started[0].Node != node {
-				t.Fatalf("%s: %v", node, started)
+				t.Fatalf("%s: started probes %v", node, started)
 			}
 			result := scheduler.HealthChecked{Node: node, OK: ok, Queue: 3}
 			if answers := of[AnswerProbe](m.Step(now+1000, []Event{ProbeEnded{result}})); len(answers) != 1 || answers[0].HealthChecked != result {
-				t.Errorf("%s: %v", node, answers)
+				t.Errorf("%s: answers %v, want %v", node, answers, result)
 			}
 		}
 	}
 }
 
-// Fronts come back to a node over a second, each at a time of its own.
+// Fronts resume sending to a returned node at different times, spread over one second, so that it is not overloaded.
 func TestFrontsReturnOneByOne(t *testing.T) {
 	const now = 10 * second
 	const fronts = 50
@@ -33,7 +34,7 @@
 		m := front(t, self, zonesOf(1, fronts), now)
 		m.Step(now, []Event{MessageReceived{1, tells(1, now, Silent, 0)}, MessageReceived{2, tells(1, now, Silent, 0)}, ProbeRequested{"a"}})
 		if !m.avoids("a") {
-			t.Fatal("not avoided")
+			t.Fatal("node not avoided")
 		}
 		alarms := of[SetTimer](m.Step(now+second, []Event{MessageReceived{1, tells(2, now+second, Reachable, 0)}}))
 		for len(alarms) > 0 {
@@ -41,7 +42,7 @@
 			actions := m.Step(next, []Event{TimerFired{}})
 			if answers := of[AnswerProbe](actions); len(answers) > 0 {
 				if !answers[0].OK {
-					t.Error("answered as silent")
+					t.Error("probe answered as failed")
 				}
 				at = append(at, next-now-second)
 				break
@@ -51,15 +52,15 @@
 	}
 	slices.Sort(at)
 	if len(at) != fronts-5 || at[0] > second/5 || at[len(at)-1] < second*4/5 || at[len(at)-1] > second+10 {
-		t.Errorf("%v", at)
+		t.Errorf("fronts return at %v, want times spread over one second", at)
 	}
 	if worst := most(at, second/10); worst > fronts/3 {
-		t.Errorf("%d of %d within a tenth of a second", worst, fronts)
+		t.Errorf("%d of %d fronts return within 0.1 s", worst, fronts)
 	}
 }
 
-// What the zone found of a node that is back answers a front's probes too: it comes with an empty queue, as the
-// scheduler has taken the silence for latency, and no further probe is sent while the evidence lives.
+// Evidence of other fronts that a node has returned answers the scheduler's probe requests. The answer reports an empty
+// queue, because the scheduler counted the silence as latency. No own probe starts while the evidence is valid.
 func TestZonesWordOnAReturnAnswersProbes(t *testing.T) {
 	const now = 10 * second
 	m := front(t, 5, zonesOf(1, 50), now)
@@ -69,14 +70,14 @@
 	spread := back + returnSpread + 1000
 	answers := of[AnswerProbe](m.Step(spread, []Event{TimerFired{}}))
 	if want := (scheduler.HealthChecked{Node: "a", OK: true, Queue: returnedQueue}); len(answers) != 1 || answers[0].HealthChecked != want {
-		t.Fatalf("%v, want %v", answers, want)
+		t.Fatalf("answers %v, want %v", answers, want)
 	}
 	actions := m.Step(spread+second, []Event{ProbeRequested{"a"}})
 	if started, answers := of[StartProbe](actions), of[AnswerProbe](actions); len(started) != 0 || len(answers) != 1 || !answers[0].OK {
-		t.Errorf("within the evidence's life: %d probes, answers %v", len(started), answers)
+		t.Errorf("before the evidence expires: %d probes, answers %v; want the answer without a probe", len(started), answers)
 	}
 	old := spread + m.config.EvidenceLifetime
 	if started := of[StartProbe](m.Step(old, []Event{ProbeRequested{"a"}})); len(started) != 1 {
-		t.Errorf("behind the evidence's life: %d probes, want one of this front's own", len(started))
+		t.Errorf("after the evidence has expired: %d probes, want one of this front", len(started))
 	}
 }
--- a/internal/fleet/health/inbox.go
+++ b/internal/fleet/health/inbox.go
@@ -3,21 +3,21 @@
 import "otterturn/scheduler"
 
 const (
-	driftDivisor = 5000 // two clocks differ by one in so many parts of time more, 200 ppm
-	replayWindow = 64   // a message that comes so many later than one behind it counts as repeated
+	driftDivisor = 5000 // reciprocal of the assumed clock drift between two fronts, 200 ppm
+	replayWindow = 64   // a message that is this many sequence numbers older than the newest counts as repeated
 )
 
-// peer is what is kept of a front that sent messages.
+// peer is the state kept for a front that has sent messages.
 type peer struct {
 	run    int64
-	newest uint32           // sequence
-	seen   uint64           // bit i: newest - i came
-	offset scheduler.Micros // least difference of both clocks
-	at     scheduler.Micros // when that was seen last
+	newest uint32           // highest sequence number received
+	seen   uint64           // bit i is set if sequence number newest-i was received
+	offset scheduler.Micros // minimum difference between this clock and the time of sending, corrected for drift
+	at     scheduler.Micros // time of the last update of offset, never before the first message
 }
 
-// repeated tells whether a message of the run came before, or can't be told from one that did. It counts as come from
-// then on.
+// repeated reports whether a message of the incarnation was received before, or is too old to know. It marks the message
+// as received.
 func (p *peer) repeated(sequence uint32) bool {
 	if sequence > p.newest || p.seen == 0 {
 		p.seen = p.seen<<(sequence-p.newest) | 1
@@ -32,8 +32,8 @@
 	return false
 }
 
-// delay is for how long a message was under way: by how much more both clocks differ than they did at the quickest
-// message of the run. The first of a run counts as quick.
+// delay estimates the transit time of a message: the clock difference minus the minimum difference over the messages of
+// the incarnation. The first message of an incarnation has a delay of 0.
 func (p *peer) delay(now, sent scheduler.Micros) scheduler.Micros {
 	difference := now - sent
 	if p.at == never {
@@ -44,7 +44,7 @@
 	return difference - p.offset
 }
 
-// received takes in a message of another front.
+// received handles a message from another front.
 func (m *Monitor) received(e MessageReceived) {
 	m.receivedBytes.Add(m.now, float64(e.Message.size()))
 	if !m.inZone(e.From) {
@@ -73,13 +73,13 @@
 	}
 }
 
-// inZone tells whether a front is another one of this front's zone.
+// inZone reports whether a front is another front of this front's zone.
 func (m *Monitor) inZone(front int) bool {
 	zones := m.config.Zones
 	return front >= 0 && front < len(zones) && front != m.config.Self && zones[front] == zones[m.config.Self]
 }
 
-// receiveEntry takes in what a front tells of a node, or tells why not.
+// receiveEntry handles an entry of a message. It returns the reason if the entry is dropped, else an empty string.
 func (m *Monitor) receiveEntry(from int, e Entry, delay scheduler.Micros) Drop {
 	if e.State == StillSilent {
 		return m.receiveStillSilent(from, e, delay)
@@ -99,7 +99,7 @@
 	case e.Age+delay >= m.config.EvidenceLifetime:
 		return DropExpired
 	case !n.running():
-		return "" // the list counts for more
+		return "" // the endpoint list overrides evidence
 	}
 	at := m.now - delay - e.Age
 	if e.State == Suspected {
@@ -112,7 +112,7 @@
 	return ""
 }
 
-// addObservation takes in another front's observation.
+// addObservation adds an observation of another front. If it contradicts this front's own, it records the time.
 func (m *Monitor) addObservation(n *node, o observation) {
 	former, known := n.evidence.of(o.front)
 	own, seen := n.evidence.of(m.config.Self)
--- a/internal/fleet/health/list.go
+++ b/internal/fleet/health/list.go
@@ -6,7 +6,7 @@
 	"otterturn/scheduler"
 )
 
-// endpointsChanged takes in news of the node list. It counts for more than all evidence.
+// endpointsChanged handles a change of the endpoint list. The list overrides all evidence.
 func (m *Monitor) endpointsChanged(e EndpointsChanged) {
 	named := map[string]bool{}
 	for _, l := range e.Nodes {
@@ -67,7 +67,7 @@
 	m.byKey[n.key] = n
 }
 
-// rekey finds nodes by their keys anew: of two with the same one may have gone.
+// rekey rebuilds the index of nodes by key if keys collide: one of the colliding nodes may have been removed.
 func (m *Monitor) rekey() {
 	if len(m.byKey) == len(m.byName) {
 		return
@@ -90,7 +90,7 @@
 
 func (m *Monitor) remove(n *node) {
 	m.dropInvestigation(n)
-	if n.investigation != nil && n.probe.running { // its end finds no node
+	if n.investigation != nil && n.probe.running { // ProbeEnded will find no node
 		n.investigation = nil
 	}
 	m.due.remove(n)
@@ -100,8 +100,8 @@
 	}
 }
 
-// dropInvestigation forgets what was found out about a node. A probe that the scheduler waits for is answered as failed: what the
-// list says has come to the scheduler as well.
+// dropInvestigation discards all evidence about a node. It answers a probe that the scheduler waits for as failed: the
+// scheduler receives the same endpoint list. A running probe is kept, and its failure ignored.
 func (m *Monitor) dropInvestigation(n *node) {
 	if n.investigation == nil {
 		return
--- a/internal/fleet/health/monitor.go
+++ b/internal/fleet/health/monitor.go
@@ -9,7 +9,7 @@
 	"otterturn/scheduler/window"
 )
 
-// Monitor is the core of one front. It belongs to one goroutine.
+// Monitor is the health core of one front. It is not safe for concurrent use.
 type Monitor struct {
 	config  Config
 	zone    []int // fronts of this front's zone
@@ -20,22 +20,22 @@
 	byKey         map[uint64]*node
 	attempts      map[attemptID]attempt
 	due           dueQueue
-	pendingReview []*node                         // to be looked at in this step
+	pendingReview []*node                         // nodes to review in this step
 	unknownProbes map[string]bool                 // probes of unknown nodes that the scheduler waits for
-	peers         map[int]*peer                   // those that sent a message
-	outbox        outbox                          // what is to be told
-	sentBytes     window.Window[scheduler.Micros] // sent in the last second,
-	requestBytes  window.Window[scheduler.Micros] // of these, requests and answers to them
-	receivedBytes window.Window[scheduler.Micros] // received in the last second
-
-	usualProbeTime scheduler.Micros // mean time of a probe's answer of late
-	timerAt        scheduler.Micros // the last SetAlarm that has not come, forever for none
+	peers         map[int]*peer                   // fronts that have sent a message
+	outbox        outbox                          // entries to send
+	sentBytes     window.Window[scheduler.Micros] // bytes sent in the last second
+	requestBytes  window.Window[scheduler.Micros] // the part of them for requests and answers to requests
+	receivedBytes window.Window[scheduler.Micros] // bytes received in the last second
+
+	usualProbeTime scheduler.Micros // moving average of the time until a probe is answered
+	timerAt        scheduler.Micros // time of the pending SetTimer, forever if there is none
 	counts         Counters
 	avoidedNodes   int
 	checks         inputChecks
 }
 
-// inputChecks are the checks of what comes in, which tests break on purpose.
+// inputChecks are the functions that tests replace with faulty ones.
 type inputChecks struct {
 	repeated  func(p *peer, sequence uint32) bool
 	sameStart func(told, listed scheduler.Micros) bool
@@ -43,7 +43,7 @@
 	round     func(lacked, takeoverAfter scheduler.Micros) int
 }
 
-// New returns a Monitor that knows no node.
+// New returns a Monitor without nodes.
 func New(c Config) (*Monitor, error) {
 	if err := c.Validate(); err != nil {
 		return nil, err
@@ -59,8 +59,8 @@
 	}, nil
 }
 
-// Reconfigure takes another Config, whole or not at all, and keeps what still holds: evidence of fronts that stay in
-// this front's zone, and what is owed to the scheduler.
+// Reconfigure replaces the configuration, or returns an error and changes nothing. It keeps the evidence of fronts that
+// stay in this front's zone, and the probes that the scheduler waits for.
 func (m *Monitor) Reconfigure(c Config) error {
 	if err := c.Validate(); err != nil {
 		return err
@@ -87,19 +87,20 @@
 
 func byName(a, b *node) int { return strings.Compare(a.name, b.name) }
 
-// Counters returns what was done since the start.
+// Counters returns the counters since the start.
 func (m *Monitor) Counters() Counters {
 	out := m.counts
 	out.Dropped, out.Avoided = maps.Clone(m.counts.Dropped), m.avoidedNodes
 	return out
 }
 
-// Unreadable counts a datagram that Decode refused.
+// Unreadable counts a datagram that Decode rejected.
 func (m *Monitor) Unreadable() { m.drop(DropUnreadable) }
 
 func (m *Monitor) drop(why Drop) { m.counts.Dropped[why]++ }
 
-// Step takes events in and returns what is to be done. Times do not go back; one that does counts as the last one.
+// Step processes events and returns the resulting actions. A time before that of the last step counts as the time of the
+// last step.
 func (m *Monitor) Step(now scheduler.Micros, events []Event) []Action {
 	m.now, m.actions = max(m.now, now), nil
 	m.discountPause()
@@ -133,11 +134,11 @@
 		m.probeEnded(e)
 	case MessageReceived:
 		m.received(e)
-	case TimerFired: // any step looks at what is due
+	case TimerFired: // every step reviews the nodes that are due
 	}
 }
 
-// scheduleReview has a node looked at at the end of this step.
+// scheduleReview schedules the review of a node for the end of this step.
 func (m *Monitor) scheduleReview(n *node) {
 	if !n.reviewPending {
 		n.reviewPending = true
@@ -145,14 +146,14 @@
 	}
 }
 
-// reviewBy has a node looked at at a time at the latest.
+// reviewBy schedules the review of a node for the given time at the latest.
 func (m *Monitor) reviewBy(n *node, at scheduler.Micros) {
 	if at < forever && (n.heapIndex == 0 || at < n.due) {
 		m.due.set(n, at)
 	}
 }
 
-// review brings a node to what follows from all that is known of it now, and sets when it is to be looked at again.
+// review updates a node's state from all current information and schedules the next review.
 func (m *Monitor) review(n *node) {
 	n.reviewPending = false
 	if m.byName[n.name] != n {
@@ -170,7 +171,7 @@
 	m.due.set(n, max(next, m.now+1))
 }
 
-// reviewSuspect reviews a node in trouble.
+// reviewSuspect reviews a node under investigation.
 func (m *Monitor) reviewSuspect(n *node) (next scheduler.Micros) {
 	if !n.running() {
 		if !n.probe.running {
@@ -189,13 +190,13 @@
 	return next
 }
 
-// idle tells whether nothing of a node's trouble needs to be kept.
+// idle reports whether the investigation of a node holds no information and can be discarded.
 func (n *node) idle() bool {
 	return !n.avoided && !n.suspecting && !n.schedulerWaits && !n.probe.running && n.returnAt == 0 &&
 		len(n.evidence) == 0 && len(n.requesters) == 0 && !n.announced.queued
 }
 
-// rank orders the zone's fronts for a node.
+// rank computes the ranking of the zone's fronts for a node.
 func (m *Monitor) rank(n *node) {
 	if n.ranked == nil {
 		n.ranked = rankFronts(m.zone, n.key)
@@ -211,7 +212,7 @@
 	if m.timerAt <= m.now {
 		m.timerAt = forever
 	}
-	if next < m.timerAt { // one that comes too early does no harm
+	if next < m.timerAt { // a pending timer that fires too early is harmless
 		m.timerAt = next
 		m.actions = append(m.actions, SetTimer{At: next})
 	}
--- a/internal/fleet/health/monitor_test.go
+++ b/internal/fleet/health/monitor_test.go
@@ -8,7 +8,7 @@
 	"otterturn/scheduler"
 )
 
-// front is a Monitor that knows the running nodes a and b, which started at 1 s and 2 s.
+// front returns a Monitor with the running nodes a and b, which started at 1 s and 2 s.
 func front(t testing.TB, self int, zones []int, now scheduler.Micros) *Monitor {
 	t.Helper()
 	m, err := New(Defaults(self, 1, zones))
@@ -21,7 +21,7 @@
 
 func sprint(v any) string { return fmt.Sprintf("%v", v) }
 
-// tells is a message of one entry about node a.
+// tells returns a message with one entry about node a.
 func tells(sequence uint32, sent scheduler.Micros, state State, age scheduler.Micros) Message {
 	return Message{Incarnation: 1, Sequence: sequence, Sent: sent, Entries: []Entry{{NodeKey("a"), wireSince(second), state, age}}}
 }
@@ -31,7 +31,7 @@
 	return n != nil && n.investigation != nil && n.avoided
 }
 
-// of returns the actions of a kind.
+// of returns the actions of type A.
 func of[A Action](actions []Action) (out []A) {
 	for _, a := range actions {
 		if a, ok := a.(A); ok {
@@ -49,21 +49,21 @@
 		m.Step(now, []Event{MessageReceived{front, tells(1, now, Silent, 0)}})
 	}
 	if m.avoids("a") || m.Counters().Dropped[DropForeign] != 3 {
-		t.Errorf("words of another zone count: %+v", m.Counters())
+		t.Errorf("evidence from another zone counts: %+v", m.Counters())
 	}
 	for sequence := range uint32(5) {
 		m.Step(now+scheduler.Micros(sequence), []Event{MessageReceived{1, tells(sequence+1, now, Silent, 0)}})
 	}
 	if m.avoids("a") {
-		t.Error("one front's word condemns")
+		t.Error("node avoided on the evidence of one front")
 	}
 	actions := m.Step(now+10, []Event{MessageReceived{2, tells(1, now+10, Silent, 0)}})
 	reports := of[ReportSilent](actions)
 	if !m.avoids("a") || len(reports) != 1 || reports[0].StartedAt != second || reports[0].Node != "a" {
-		t.Errorf("two fronts' words: %v", actions)
+		t.Errorf("evidence of two fronts leads to %v, want one silent report", actions)
 	}
 	if m.Step(now+20, []Event{MessageReceived{3, tells(1, now+20, Silent, 0)}}); m.Counters().Avoided != 1 {
-		t.Errorf("%+v", m.Counters())
+		t.Errorf("counters %+v, want 1 avoided node", m.Counters())
 	}
 }
 
@@ -72,23 +72,23 @@
 	m := front(t, 0, zonesOf(1, 4), now)
 	m.Step(now, []Event{MessageReceived{1, tells(1, now, Silent, 0)}, MessageReceived{2, tells(1, now, Silent, 0)}})
 	if !m.avoids("a") {
-		t.Fatal("not avoided")
+		t.Fatal("node not avoided")
 	}
 	m.Step(now+second, []Event{AttemptEnded{Node: "a", ID: "x", Result: scheduler.OK}})
 	if m.avoids("a") {
-		t.Error("avoided though it was just answered")
+		t.Error("node avoided right after it answered")
 	}
 	for front := 1; front < 3; front++ { // older than the success
 		m.Step(now+second+1, []Event{MessageReceived{front, tells(2, now+second, Silent, second/2)}})
 	}
 	if m.avoids("a") {
-		t.Error("avoided by what is older than the answer")
+		t.Error("node avoided because of evidence older than its answer")
 	}
 	for front := 1; front < 3; front++ {
 		m.Step(now+3*second, []Event{MessageReceived{front, tells(3, now+3*second, Silent, second)}})
 	}
 	if !m.avoids("a") {
-		t.Error("not avoided by what is younger than the answer")
+		t.Error("node not avoided despite evidence newer than its answer")
 	}
 }
 
@@ -101,11 +101,11 @@
 		m.Step(now, []Event{MessageReceived{1, tells(1, now, Silent, 0)}, MessageReceived{2, tells(1, now, Silent, 0)}, ProbeRequested{"a"}})
 		actions := m.Step(now+1, []Event{EndpointsChanged{Nodes: []scheduler.Endpoint{l}}})
 		if answers := of[AnswerProbe](actions); m.avoids("a") || m.Counters().Avoided != 0 || len(answers) != 1 || answers[0].OK {
-			t.Errorf("%s: avoids %v, %v", name, m.avoids("a"), actions)
+			t.Errorf("%s: avoided %v, actions %v, want one failed answer", name, m.avoids("a"), actions)
 		}
 		m.Step(now+2, []Event{MessageReceived{3, tells(1, now, Silent, 0)}})
 		if m.avoids("a") {
-			t.Errorf("%s: avoided again", name)
+			t.Errorf("%s: node avoided again", name)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 		receive(from, entry(good))
 	}
 	sequence--
-	receive(1, entry(good)) // counted as come before only at the front that it came from
+	receive(1, entry(good)) // number 11 was received only from front 1<<40 before, so it is not repeated
 	sequence--
 	receive(1, entry(good))
 	receive(1, Message{Incarnation: 4, Sent: now, Entries: []Entry{good}})
@@ -144,53 +144,54 @@
 	m.Unreadable()
 	want := map[Drop]int64{DropFuture: 2, DropOutdated: 1, DropUnknown: 1, DropUnreadable: 2, DropExpired: 2, DropForeign: 5, DropRepeated: 2}
 	if got := m.Counters().Dropped; sprint(got) != sprint(want) {
-		t.Errorf("%v, not %v", got, want)
+		t.Errorf("dropped %v, want %v", got, want)
 	}
 	if n := m.byName["a"]; n.investigation == nil || len(n.evidence) != 1 {
-		t.Error("the one good entry was not taken in alone")
+		t.Error("the evidence is not exactly the one valid entry")
 	}
 }
 
-// Messages that come late make evidence as old as it is.
+// The transit time of a delayed message counts as age of its evidence, whatever the offset between both clocks.
 func TestDelayCountsAsAge(t *testing.T) {
 	const now = 100 * second
 	m := front(t, 0, zonesOf(1, 4), now)
-	const ahead = 37 * second // the other's clock
+	const ahead = 37 * second // offset of the sender's clock
 	m.Step(now, []Event{MessageReceived{1, Message{Incarnation: 1, Sequence: 1, Sent: now + ahead - 400}}})
 	m.Step(now+5*second, []Event{MessageReceived{1, tells(2, now+ahead+2*second, Silent, second)}})
 	own, ok := m.byName["a"].evidence.of(1)
 	if want := now + 1*second; !ok || own.at < want || own.at > want+3000 {
-		t.Errorf("%v of %d", own, want)
+		t.Errorf("observation %v, want its time at %d", own, want)
 	}
 }
 
-// A front whose requests stall asks the node's probers, and condemns nothing.
+// A front whose requests stall at a node requests evidence from the node's probers and does not avoid the node yet.
 func TestStalledAttemptsAskProbers(t *testing.T) {
 	const now = 10 * second
 	m := front(t, 0, zonesOf(1, 8), now)
 	probers := rankFronts(m.zone, NodeKey("a"))[:DefaultProbers]
 	alarm := of[SetTimer](m.Step(now, []Event{AttemptStarted{Node: "a", ID: "x"}, AttemptStarted{Node: "b", ID: "y"}}))
 	if len(alarm) != 1 || alarm[0].At != now+DefaultSuspectAfter {
-		t.Fatalf("%v", alarm)
+		t.Fatalf("timers %v, want one at %d", alarm, now+DefaultSuspectAfter)
 	}
 	m.Step(now+5000, []Event{AttemptEnded{Node: "b", ID: "y", Result: scheduler.OK}})
 	var to []int
 	for _, s := range of[SendMessage](m.Step(alarm[0].At, []Event{TimerFired{}})) {
 		if len(s.Message.Entries) != 1 || s.Message.Entries[0].State != Suspected || s.Message.Entries[0].Node != NodeKey("a") {
-			t.Errorf("%v", s)
+			t.Errorf("sent %v, want one suspected entry about node a", s)
 		}
 		to = append(to, s.To)
 	}
 	probers = slices.DeleteFunc(probers, func(front int) bool { return front == 0 })
 	if slices.Sort(to); sprint(to) != sprint(slices.Sorted(slices.Values(probers))) {
-		t.Errorf("told %v, not %v", to, probers)
+		t.Errorf("sent to %v, want %v", to, probers)
 	}
 	if m.avoids("a") || m.avoids("b") {
-		t.Error("condemned")
+		t.Error("node avoided without evidence of a quorum")
 	}
 }
 
-// A prober that has just been answered tells so at once, without a probe.
+// A prober that the node has just answered replies to a request immediately, without a probe. A request for newer
+// evidence makes it probe.
 func TestProberAnswersFromItsOwnSuccess(t *testing.T) {
 	const now = 10 * second
 	prober := rankFronts(zonesOfFronts(4), NodeKey("a"))[0]
@@ -201,11 +202,11 @@
 	actions := m.Step(now+4000, []Event{MessageReceived{other, tells(1, now, Suspected, second)}})
 	sends := of[SendMessage](actions)
 	if len(sends) != 1 || sends[0].To != other || sends[0].Message.Entries[0].State != Reachable || len(of[StartProbe](actions)) > 0 {
-		t.Errorf("%v", actions)
+		t.Errorf("actions %v, want one reachable entry and no probe", actions)
 	}
 	actions = m.Step(now+second, []Event{MessageReceived{other, tells(2, now+second, Suspected, second/2)}})
 	if len(of[StartProbe](actions)) != 1 || len(of[SendMessage](actions)) > 0 {
-		t.Errorf("a younger suspicion: %v", actions)
+		t.Errorf("actions after a request for newer evidence: %v, want one probe", actions)
 	}
 }
 
--- a/internal/fleet/health/node.go
+++ b/internal/fleet/health/node.go
@@ -2,81 +2,81 @@
 
 import "otterturn/scheduler"
 
-// node is what is kept of every node on the list.
+// node is the state of a node on the endpoint list.
 type node struct {
 	name         string
 	key          uint64
-	start        scheduler.Micros // as the list has it
-	encodedStart scheduler.Micros // the same as entries carry it
+	start        scheduler.Micros // start of the node according to the endpoint list
+	encodedStart scheduler.Micros // start in the encoding of entries
 	state        scheduler.NodeState
-	keyCollision bool // another node has the same key: nothing is shared of either
+	keyCollision bool // another node has the same key: no evidence about either is exchanged
 
-	answered      scheduler.Micros // this front's latest success
-	usualLatency  scheduler.Micros // mean latency of late
-	outstanding   int              // attempts without an end
-	owingSince    scheduler.Micros // since when it owes an answer, while any is out
-	lastSuspected scheduler.Micros // when this front suspected it last
+	answered      scheduler.Micros // time of the latest answer to this front
+	usualLatency  scheduler.Micros // moving average of the latency, 0 before the first answer
+	outstanding   int              // number of attempts without a result
+	owingSince    scheduler.Micros // time since which the node has answered nothing; valid while attempts are outstanding
+	lastSuspected scheduler.Micros // time of the last suspicion by this front
 
-	due           scheduler.Micros // when it is to be looked at
-	heapIndex     int              // in the queue, from 1; 0 while nothing is due
-	reviewPending bool             // it is to be looked at in this step
+	due           scheduler.Micros // time of the next review
+	heapIndex     int              // position in the queue of reviews, from 1; 0 if the node is not in it
+	reviewPending bool             // a review in this step is pending
 	*investigation
 }
 
-// investigation is what is kept of a node that is suspected, told of, probed or waited for.
+// investigation is the state of a node that is suspected or probed, has evidence, or has a waiting requester.
 type investigation struct {
-	ranked []int // fronts of the zone, first the probers
-	rank   int   // of this front
+	ranked []int // fronts of the zone by descending rank; the first Probers fronts are the probers
+	rank   int   // index of this front in the ranking; 0 is the highest rank
 
 	evidence     evidence
 	avoided      bool
-	avoidedUntil scheduler.Micros // when it was avoided last
-	returnAt     scheduler.Micros // when a held probe is answered after a return, 0 for none
+	avoidedUntil scheduler.Micros // time at which this front last stopped avoiding the node
+	returnAt     scheduler.Micros // time at which the scheduler's deferred probe is answered after the node returned, 0 for none
 
 	suspecting     bool
-	suspectedSince scheduler.Micros // since when the node has owed this front an answer
-	lacking        bool             // sufficient evidence is missing,
-	lackingSince   scheduler.Micros // since then
-	round          int              // of asking for it
-	takeover       bool             // this front looks for want of others
+	suspectedSince scheduler.Micros // time since which requests of this front have stalled or failed
+	lacking        bool             // sufficient evidence is missing
+	lackingSince   scheduler.Micros // time since which it is missing
+	round          int              // number of the current round of evidence requests
+	takeover       bool             // this front probes because other fronts provided no evidence
 
 	requesters    []requester
-	probedForZone bool // this front probed for the zone, whatever its rank
+	probedForZone bool // this front has probed for the zone, as a prober or instead of one
 	probe         probe
-	silentSince   scheduler.Micros // first of the unanswered probes in a row, never where the last was answered
+	silentSince   scheduler.Micros // time of the first of the consecutive unanswered probes, never if the last one was answered
 
 	announced    announcement
-	contradicted scheduler.Micros // when another front was first heard to reach the node since this one did not
+	contradicted scheduler.Micros // time at which another front first reported the node reachable after this front's probe failed
 
-	schedulerWaits      bool // a ProbeWanted waits for its answer,
+	schedulerWaits      bool // a ProbeRequested has not been answered
 	schedulerWaitsSince scheduler.Micros
 }
 
-// requester is a front that wants to be told what a node's probers see.
+// requester is a front that requested evidence about a node.
 type requester struct {
 	front int
-	at    scheduler.Micros // it wants news younger than this
+	at    scheduler.Micros // it requested evidence newer than this
 }
 
-// probe is the probe that is out, or when the next may start.
+// probe is the state of the running probe, or the earliest start of the next.
 type probe struct {
 	running       bool
 	sentAt        scheduler.Micros
-	countedFailed bool             // it counted as failed already
-	inconclusive  bool             // a failure says nothing: this front was paused, or the node has started anew
-	forScheduler  bool             // sent for the scheduler: it is answered whatever comes of it
-	notBefore     scheduler.Micros // when the next may start
+	countedFailed bool             // its timeout has already been counted as a failure
+	inconclusive  bool             // its failure is ignored: this front was paused, or the node's start or state on the endpoint list changed
+	forScheduler  bool             // the scheduler is answered with its result, whatever it is
+	notBefore     scheduler.Micros // earliest start of the next probe
 }
 
-// announcement is what this front told its zone last.
+// announcement is the last announcement of this front to its zone.
 type announcement struct {
 	state        State
-	at           scheduler.Micros // the observation
-	pendingSince scheduler.Micros // when it had something new to tell, never while it has not
+	at           scheduler.Micros // time of the announced observation
+	pendingSince scheduler.Micros // time since which a newer observation is to be announced, never if there is none
 	queued       bool
 }
 
-// investigate returns a node's trouble, made if there is none.
+// investigate returns the investigation of a node and starts one if there is none.
 func (n *node) investigate() *investigation {
 	if n.investigation == nil {
 		n.investigation = &investigation{
@@ -87,5 +87,5 @@
 	return n.investigation
 }
 
-// running tells whether the list lets requests go to the node.
+// running reports whether the endpoint list permits requests to the node and its key is unique.
 func (n *node) running() bool { return n.state == scheduler.Running && !n.keyCollision }
--- a/internal/fleet/health/outbox.go
+++ b/internal/fleet/health/outbox.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	batchDelay         scheduler.Micros = 20_000    // news waits for so long for others,
-	maxBatchDelay      scheduler.Micros = 50_000    // for so long while probes are out that may make some,
-	batchGap           scheduler.Micros = 100_000   // and for so long since the last went out
-	retryInterval      scheduler.Micros = 50_000    // what finds no room is tried again
-	rateSpan           scheduler.Micros = 1_000_000 // of Config.MessageBytes
-	repeatsPerLifetime                  = 3         // evidence is repeated after one in so many parts of its life
+	batchDelay         scheduler.Micros = 20_000    // an update waits this long for others to share a message
+	maxBatchDelay      scheduler.Micros = 50_000    // and this long while running probes may fail soon
+	batchGap           scheduler.Micros = 100_000   // minimum time between two batches of updates
+	retryInterval      scheduler.Micros = 50_000    // time between attempts to send what exceeds the rate limit
+	rateSpan           scheduler.Micros = 1_000_000 // window over which Config.MessageRate is enforced
+	repeatsPerLifetime                  = 3         // evidence is repeated this many times per EvidenceLifetime
 )
 
-// urgency orders what is told; the lowest is shed first.
+// urgency is the priority of an update; the lowest is shed first.
 type urgency int
 
 const (
 	repeated urgency = iota
-	standby          // first of a prober that stands by
-	request          // and answers to them
+	standby          // first silent observation of a prober that ranks beyond the quorum
+	request          // requests for evidence and answers to them
 	firstSilent
 	reachable
 )
 
-// rateShare is the part of the bytes of a second up to which something may be sent.
+// rateShare is the fraction of Config.MessageRate that may be in use for an update of a priority to be sent.
 var rateShare = [...]float64{repeated: 0.7, standby: 0.95, request: 0.8, firstSilent: 0.95, reachable: 1}
 
-// requestRateShare is the part of the bytes of a second that requests and answers to them may take themselves.
+// requestRateShare is the maximum fraction of Config.MessageRate for requests and answers to them.
 const requestRateShare = 0.1
 
-// bidirectionalRateFactor bounds what is sent and received within a second together, in parts of Config.MessageBytes.
+// bidirectionalRateFactor is the maximum of the bytes sent and received per second together, as a multiple of
+// Config.MessageRate.
 const bidirectionalRateFactor = 1.9
 
-// update is an Entry with its time in the place of an age.
+// update is an Entry with the time of the observation instead of its age.
 type update struct {
 	node  uint64
 	since scheduler.Micros
@@ -50,26 +51,26 @@
 	return firstSilent
 }
 
-// outbox is what is to be told.
+// outbox holds the updates to send.
 type outbox struct {
-	to       map[int][]update // to single fronts
-	order    []int            // of these, as they came
-	news     []*node          // to the zone,
-	newsAt   scheduler.Micros // at this time,
-	newsMost scheduler.Micros // or until this one while probes are out
-	repeats  []*node          // to the zone, with the next repetition
+	to       map[int][]update // updates to single fronts, by recipient
+	order    []int            // recipients of these, in order of arrival
+	news     []*node          // nodes with updates to broadcast to the zone
+	newsAt   scheduler.Micros // time of the next broadcast
+	newsMost scheduler.Micros // latest time of it, used while running probes may fail soon
+	repeats  []*node          // nodes whose evidence the next repetition broadcasts
 	repeatAt scheduler.Micros
-	sentAt   scheduler.Micros // when news went out last
-	rounds   []*broadcast     // under way
+	sentAt   scheduler.Micros // time of the last broadcast of updates
+	rounds   []*broadcast     // broadcasts in progress
 	retryAt  scheduler.Micros
-	sequence map[int]uint32 // of the last message to each front
+	sequence map[int]uint32 // sequence number of the last message to each front
 }
 
 func newOutbox() outbox {
 	return outbox{to: map[int][]update{}, newsAt: forever, repeatAt: never, sentAt: never, sequence: map[int]uint32{}}
 }
 
-// sendTo puts news to a single front; it goes out with this step.
+// sendTo queues an update to a single front. It is sent at the end of this step.
 func (o *outbox) sendTo(to int, n update) {
 	if len(o.to[to]) == 0 {
 		o.order = append(o.order, to)
@@ -77,7 +78,7 @@
 	o.to[to] = append(o.to[to], n)
 }
 
-// queue puts a node whose news the zone is to be told.
+// queue queues a node whose observation is to be broadcast to the zone.
 func (o *outbox) queue(n *node, u urgency, now scheduler.Micros) {
 	if u == repeated {
 		o.repeats = append(o.repeats, n)
@@ -89,7 +90,8 @@
 	o.news = append(o.news, n)
 }
 
-// retainFronts drops fronts that don't stay, and numbers messages anew where the front counts as another one.
+// retainFronts removes recipients for which stays returns false. same is false if this front has another number or
+// incarnation, so that sequence numbers start again.
 func (o *outbox) retainFronts(stays func(front int) bool, same bool) {
 	for _, r := range o.rounds {
 		r.to = slices.DeleteFunc(r.to, func(front int) bool { return !stays(front) })
@@ -99,14 +101,14 @@
 	}
 }
 
-// outboxDue is when something is to be sent.
+// outboxDue returns the time at which the outbox has something to send.
 func (m *Monitor) outboxDue() scheduler.Micros {
 	o, next := &m.outbox, forever
 	switch {
 	case len(o.news) == 0:
 	case m.now < o.newsAt:
 		next = o.newsAt
-	default: // a probe's end may be earlier
+	default: // the end of the running probes may permit it earlier
 		next = o.newsMost
 	}
 	if len(o.repeats) > 0 {
@@ -118,14 +120,14 @@
 	return next
 }
 
-// expectsUpdates tells whether a probe is out that may be taken for failed soon.
+// expectsUpdates reports whether a running probe may time out soon.
 func (m *Monitor) expectsUpdates() bool {
 	return slices.ContainsFunc(m.due, func(n *node) bool {
 		return n.investigation != nil && n.probedForZone && n.probe.running && !n.probe.countedFailed && !n.probe.inconclusive
 	})
 }
 
-// flush sends what is due and finds room.
+// flush sends what is due, as far as the rate limit permits.
 func (m *Monitor) flush() {
 	m.flushDirect()
 	o := &m.outbox
@@ -163,7 +165,7 @@
 	o.order = o.order[:0]
 }
 
-// entries are news with their ages.
+// entries converts updates to entries with their current ages.
 func (m *Monitor) entries(all []update) []Entry {
 	out := make([]Entry, len(all))
 	for i, n := range all {
@@ -173,7 +175,7 @@
 	return out
 }
 
-// send sends a message, if there is room for it.
+// send sends a message if the rate limits permit it, and reports whether it did.
 func (m *Monitor) send(to int, entries []Entry, u urgency) bool {
 	run := scheduler.Micros(m.config.Incarnation)
 	message := Message{
--- a/internal/fleet/health/probing.go
+++ b/internal/fleet/health/probing.go
@@ -3,19 +3,19 @@
 import "otterturn/scheduler"
 
 const (
-	fastestProbe     scheduler.Micros = 200_000   // between two probes of a node
-	slowestProbe     scheduler.Micros = 2_000_000 // between two probes of a node that a front is to watch
-	silenceDivisor                    = 8         // a silent node is probed after one in so many parts of its silence
-	lateFactor                        = 4         // a probe that is out for so many times the usual may count as failed
-	maxTimeoutFactor                  = 4         // times ProbeLate, within which it counts as failed whatever is usual
-	pausedAfter      scheduler.Micros = 500_000   // an alarm that is later means that this front was paused
+	fastestProbe     scheduler.Micros = 200_000   // minimum time between two probes of a node
+	slowestProbe     scheduler.Micros = 2_000_000 // maximum time between two probes of a node by one of its probers
+	silenceDivisor                    = 8         // the interval between probes grows to the duration of the silence divided by this
+	lateFactor                        = 4         // a probe may count as failed after this multiple of the mean probe time
+	maxTimeoutFactor                  = 4         // a probe counts as failed at the latest after this multiple of ProbeTimeout
+	pausedAfter      scheduler.Micros = 500_000   // a timer that fires later than this indicates that this front was paused
 )
 
-// pausedAfter is how late an alarm is at a front that was paused: half of the time that a probe has, as a pause of that
-// length would take an answer that waits to be read for none.
+// pausedAfter is the delay of a timer above which this front counts as paused. It is at most half of ProbeTimeout, because
+// during a longer pause a probe could time out although its answer is waiting to be read.
 func (c Config) pausedAfter() scheduler.Micros { return min(pausedAfter, c.ProbeTimeout/2) }
 
-// onDuty tells whether this front is to probe a node for its zone.
+// onDuty reports whether this front must probe a node for its zone.
 func (m *Monitor) onDuty(n *node) bool {
 	own, seen := n.evidence.of(m.config.Self)
 	silent := seen && own.state == Silent
@@ -30,14 +30,14 @@
 	return n.takeover || n.probedForZone && silent && !m.covered(n, never)
 }
 
-// covered tells whether a quorum of fronts of lower rank saw the node after a time, and not long ago.
+// covered reports whether a quorum of higher-ranked fronts has fresh observations of the node from after the given time.
 func (m *Monitor) covered(n *node, after scheduler.Micros) bool {
 	after = max(after, m.now-m.config.freshEvidenceAge())
 	ahead := func(front int) bool { return m.ranksHigher(n, front) }
 	return n.evidence.count(Silent, after, ahead)+n.evidence.count(Reachable, after, ahead) >= m.config.Quorum
 }
 
-// runProbes probes a node that this front is to probe, and takes a probe that is out for too long for failed.
+// runProbes starts the probes of a node that this front must probe, and handles the timeout of a running probe.
 func (m *Monitor) runProbes(n *node) (next scheduler.Micros) {
 	if n.probe.running {
 		return m.expireProbe(n)
@@ -74,10 +74,10 @@
 	return forever
 }
 
-// probeFailed takes a probe for failed.
+// probeFailed records the failure of a probe.
 func (m *Monitor) probeFailed(n *node) {
 	n.probe.countedFailed = true
-	if n.probe.sentAt < n.answered { // an attempt was answered meanwhile
+	if n.probe.sentAt < n.answered { // an attempt was answered after the probe was sent
 		return
 	}
 	first := n.silentSince == never
@@ -87,7 +87,7 @@
 	n.evidence.add(observation{m.config.Self, Silent, n.probe.sentAt})
 	n.probe.notBefore = n.probe.sentAt + m.probeInterval(n)
 	if first {
-		// All probers begin together: from their second probe on they are spread over an interval.
+		// All probers start at the same time, so their second probes are spread over one interval.
 		n.probe.notBefore += scheduler.Micros(share(m.config.Self, n.key) * float64(m.probeInterval(n)))
 	}
 	if !n.probedForZone {
@@ -96,15 +96,15 @@
 	m.scheduleReview(n)
 }
 
-// probeInterval is the time between two probes of a silent node.
+// probeInterval returns the time between two probes of a silent node by this front.
 func (m *Monitor) probeInterval(n *node) scheduler.Micros {
 	pace := max(m.config.probePace(), (m.now-n.silentSince)/silenceDivisor, fastestProbe)
 	slowest := max(m.config.slowestProbe(), fastestProbe)
 	switch {
-	case n.rank >= m.config.Probers: // any number of fronts may do so, where they don't hear each other
+	case n.rank >= m.config.Probers: // fronts that do not receive each other's messages may all probe
 		all := float64(len(m.config.Zones)) / m.config.ProbesPerNode * microsPerSecond
 		return min(pace, max(scheduler.Micros(all), slowest))
-	case n.rank >= m.config.Quorum && m.countHigherRanked(n, Silent) >= m.config.Quorum: // stands by
+	case n.rank >= m.config.Quorum && m.countHigherRanked(n, Silent) >= m.config.Quorum: // standby: other probers provide the evidence
 		return slowest
 	}
 	return min(pace, slowest)
@@ -136,7 +136,7 @@
 	m.scheduleReview(n)
 }
 
-// reached takes in that this front reached a node in trouble, by a probe or an attempt.
+// reached records that a probe or an attempt of this front reached a node under investigation.
 func (m *Monitor) reached(n *node) {
 	n.silentSince = never
 	if n.evidence.count(Silent, never, nil) > 0 || len(n.requesters) > 0 || n.suspecting {
--- a/internal/fleet/health/race_test.go
+++ b/internal/fleet/health/race_test.go
@@ -2,5 +2,5 @@
 
 package health
 
-// underRace tells that the race detector makes everything some ten times slower: long tests play a part of their cases.
+// underRace is true under the race detector. It makes tests about ten times slower, so long tests then run fewer cases.
 const underRace = true
--- a/internal/fleet/health/random_test.go
+++ b/internal/fleet/health/random_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// schedules is how many random schedules are played: all of them without the race detector.
+// schedules returns the number of random schedules to play: 10,000, or 2,000 under the race detector.
 func schedules() int {
 	if underRace {
 		return 2000
@@ -27,7 +27,7 @@
 	}
 }
 
-// playRandom draws and plays one schedule.
+// playRandom draws one schedule, plays it and returns the violations.
 func playRandom(t *rapid.T, broken func(m *Monitor)) []string {
 	fronts := rapid.IntRange(2, 5).Draw(t, "fronts")
 	nodes := rapid.IntRange(1, 2).Draw(t, "nodes")
--- a/internal/fleet/health/ranking.go
+++ b/internal/fleet/health/ranking.go
@@ -8,11 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// NodeKey is the name of a node in messages: 40 bits of its hash. Among 2,000 nodes two have the same with a chance of
-// 2 in a million; nothing is shared of such nodes then.
+// NodeKey returns the key of a node in messages: 40 bits of the hash of its name. Among 2,000 nodes, two have the same key
+// with a probability of 2 in a million; no evidence about such nodes is exchanged.
 func NodeKey(name string) uint64 { return xxhash.Sum64String(name) & (1<<keyBits - 1) }
 
-// weight is what fronts are ranked by for a node: rendezvous hashing, Thaler and Ravishankar 1998.
+// weight returns the weight of a front for a node in rendezvous hashing (Thaler and Ravishankar 1998).
 func weight(front int, key uint64) uint64 {
 	var both [16]byte
 	binary.BigEndian.PutUint64(both[:8], uint64(front))
@@ -20,7 +20,7 @@
 	return xxhash.Sum64(both[:])
 }
 
-// rankFronts orders fronts for a node. When one leaves or comes the order of the others stays.
+// rankFronts orders fronts for a node by descending weight. Adding or removing a front does not reorder the others.
 func rankFronts(fronts []int, key uint64) []int {
 	type ranked struct {
 		front  int
@@ -40,7 +40,7 @@
 	return out
 }
 
-// share is a fixed number in [0, 1) of a front and a node, for delays that are to differ between fronts.
+// share returns a number in [0, 1) that depends only on a front and a node. It spreads delays over the fronts.
 func share(front int, key uint64) float64 {
 	return float64(weight(front, ^key)>>11) / (1 << 53)
 }
--- a/internal/fleet/health/region_test.go
+++ b/internal/fleet/health/region_test.go
@@ -6,15 +6,17 @@
 	"otterturn/scheduler"
 )
 
-// A zone of fronts is cut off from the other region's 900 nodes. There is more to tell than room for it, so it takes seconds
-// until all know; from then on verdicts hold, though their repetitions don't fit, and they end as the cut does.
+// A zone of fronts loses its connection to the 900 nodes of another region (here half of the zone's fronts and of the
+// nodes, and less under the race detector). The updates about its nodes exceed the rate limit, so it takes
+// seconds until all fronts avoid the nodes. From then on the verdicts must last, although not every repetition is sent, and
+// they must end when the connection returns.
 func TestRegionIsCutOffAndHeals(t *testing.T) {
 	fronts, nodes, perPair := 60, 450, 0.78
 	if underRace {
 		fronts, nodes, perPair = 40, 200, 1
 	}
 	pairs := fronts * nodes
-	w := newWorld(1, zonesOf(10, fronts), nodes, func(c *Config) { // as many bytes for each front and node
+	w := newWorld(1, zonesOf(10, fronts), nodes, func(c *Config) { // same message rate per pair of front and node as at full size
 		c.MessageRate = DefaultMessageBytes * float64(fronts) / 120
 	})
 	w.fronts = w.fronts[:fronts]
@@ -40,30 +42,30 @@
 			least = min(least, w.avoiding())
 		}
 	}
-	// Some pairs may just have lost their evidence and ask for it; without Standing half of them had.
+	// In some pairs the evidence may just have expired and been requested again; without StillSilent entries half had.
 	if least < pairs*97/100 || reports > pairs*103/100 {
-		t.Errorf("%d of %d pairs avoided at the least, %d reports", least, pairs, reports)
+		t.Errorf("at least %d of %d pairs avoided, %d silent reports", least, pairs, reports)
 	}
 	busiest, worst := 0, 0
 	for _, times := range probes {
 		busiest = max(busiest, most(times, second))
 	}
-	if busiest > 15 { // the bound of the fleet is 50, and this is one of ten zones; asked by many, more look
-		t.Errorf("%d probes of a node in a second", busiest)
+	if busiest > 15 { // the limit of the whole fleet is 50, this is one of ten zones; many requests make further fronts probe
+		t.Errorf("%d probes of a node in one second, want at most 15", busiest)
 	}
 	w.setAll(false)
 	w.run(cut + 18*second)
 	if left := w.avoiding(); left > 0 {
-		t.Errorf("%d pairs avoided 14 s after the cut", left)
+		t.Errorf("%d pairs still avoided 8 s after the connection returned", left)
 	}
 	for _, f := range w.fronts {
 		worst = max(worst, f.mostBytes())
 		for node, at := range f.wanted {
 			if w.now > at+DefaultEvidenceLife+(maxRequestRounds+3)*DefaultTakeoverAfter+second {
-				t.Errorf("front %d has owed a probe of %s for %d ms", f.number, node, (w.now-at)/1000)
+				t.Errorf("front %d has not answered a probe request for %s for %d ms", f.number, node, (w.now-at)/1000)
 			}
 		}
 	}
-	t.Logf("%d of %d pairs avoided at the least from 6 s on, %d reports, %d probes of a node in a second, %d bytes both ways at most",
+	t.Logf("at least %d of %d pairs avoided after 6 s, %d silent reports, at most %d probes of a node and %d bytes in both directions per second",
 		least, pairs, reports, busiest, worst)
 }
--- a/internal/fleet/health/rounds.go
+++ b/internal/fleet/health/rounds.go
@@ -4,14 +4,14 @@
 	"slices"
 )
 
-// broadcast is news on its way to all fronts of the zone.
+// broadcast is a set of updates in transmission to all fronts of the zone.
 type broadcast struct {
 	urgency urgency
 	news    []update
-	to      []int // still to be told
+	to      []int // remaining recipients
 }
 
-// startBroadcasts turns what this front saw of nodes into rounds to its zone.
+// startBroadcasts creates broadcasts of this front's observations of nodes to its zone.
 func (m *Monitor) startBroadcasts(nodes []*node, repeats bool) {
 	var all, stoodIn []update
 	for _, n := range nodes {
@@ -49,7 +49,7 @@
 	m.outbox.rounds = append(m.outbox.rounds, &broadcast{u, part, slices.Clone(to)})
 }
 
-// broadcastStillSilent says of many nodes at once that they are still silent.
+// broadcastStillSilent announces with one entry that many nodes are still silent.
 func (m *Monitor) broadcastStillSilent() {
 	all, ok := m.stillSilentUpdate()
 	if !ok {
@@ -65,9 +65,10 @@
 	m.outbox.rounds = append(m.outbox.rounds, &broadcast{firstSilent, []update{all}, to})
 }
 
-// recipients are the zone's other fronts in the order in which they are told: from this front's place on. Probers that
-// stand by come last: where there is no room for them they tell the others in this front's place. They begin with
-// those that a prober which they have not heard comes to last.
+// recipients returns the other fronts of the zone in order of transmission. The order starts after this front's position,
+// so that each sender reaches other fronts first. Standby probers of the nodes come last: if the rate limit delays their
+// copy they broadcast in place of this front. A standby prober that replaces a missing prober uses the reverse of that
+// prober's order, and so starts with the fronts that the missing prober reaches last.
 func (m *Monitor) recipients(nodes []*node) []int {
 	place := func(front int) int { return slices.Index(m.zone, front) }
 	self := place(m.config.Self)
@@ -98,7 +99,7 @@
 	return order
 }
 
-// missingProber is the first prober of a node that this front stands in for.
+// missingProber returns the highest-ranked prober without an observation that this standby prober replaces.
 func (m *Monitor) missingProber(n *node) (front int, ok bool) {
 	if n.investigation == nil || n.ranked == nil || n.rank < m.config.Quorum {
 		return 0, false
@@ -111,7 +112,7 @@
 	return 0, false
 }
 
-// advance sends a round on to as many fronts as there is room for. What is too old is shed.
+// advance sends a broadcast to as many recipients as the rate limit permits. Updates that are no longer fresh are shed.
 func (m *Monitor) advance(r *broadcast) {
 	for i := range r.news {
 		m.renew(&r.news[i])
@@ -133,7 +134,7 @@
 	}
 }
 
-// shedRepeats drops what is left of earlier repetitions as new ones begin.
+// shedRepeats discards unfinished broadcasts of earlier repetitions before new ones start.
 func (m *Monitor) shedRepeats() {
 	m.outbox.rounds = slices.DeleteFunc(m.outbox.rounds, func(r *broadcast) bool {
 		if r.urgency == repeated {
@@ -143,7 +144,7 @@
 	})
 }
 
-// renew brings news that waited up to what this front saw since.
+// renew updates the time of a waiting update to this front's latest observation of the same state.
 func (m *Monitor) renew(n *update) {
 	about := m.byKey[n.node]
 	if n.state == StillSilent || about == nil || about.investigation == nil {
@@ -154,7 +155,7 @@
 	}
 }
 
-// alreadyAnnounced tells whether those for whom this front stands in have told the news.
+// alreadyAnnounced reports whether a quorum of higher-ranked fronts has announced the state.
 func (m *Monitor) alreadyAnnounced(n update) bool {
 	about := m.byKey[n.node]
 	return about != nil && about.investigation != nil && m.countHigherRanked(about, n.state) >= m.config.Quorum
--- a/internal/fleet/health/schedule_test.go
+++ b/internal/fleet/health/schedule_test.go
@@ -7,24 +7,24 @@
 	"otterturn/scheduler"
 )
 
-// fault is one thing that goes wrong, or right again.
+// fault is a kind of fault or recovery in the simulation.
 type fault int
 
 const (
 	nodeDies fault = iota
 	nodeReturns
-	nodeRestarts // with a new start on the list
+	nodeRestarts // with a new start on the endpoint list
 	nodeDrains
-	nodeRuns // again, by the list
+	nodeRuns // running again according to the endpoint list
 	frontCrashes
-	frontLeaves // for good, while enough stay for a quorum
+	frontLeaves // permanently, if at least a quorum remains
 	frontPauses
-	linkCut   // from one front to the next one alone
-	reachCut  // from a front to the node
-	loseSome  // all messages for a while
-	copySome  // the messages of a while arrive three times
-	delaySome // the messages of a while arrive late, behind others
-	faults    // how many there are
+	linkCut   // toggles: from one front to the next one, in this direction only
+	reachCut  // toggles: from a front to all nodes
+	loseSome  // all messages of a period are lost
+	copySome  // the messages of a period arrive three times
+	delaySome // the messages of a period arrive late, after newer ones
+	faults    // number of faults
 )
 
 func (f fault) String() string {
@@ -34,7 +34,7 @@
 	}[f]
 }
 
-// move is a fault at a front, or a node, and a wait.
+// move is a fault at a front or a node, followed by a wait.
 type move struct {
 	fault fault
 	at    int
@@ -43,39 +43,40 @@
 
 func (m move) String() string { return fmt.Sprintf("%v at %d, %d ms", m.fault, m.at, m.wait/1000) }
 
-// trial plays moves before small worlds and audits them.
+// trial plays a schedule of moves in a small simulation and audits all actions.
 type trial struct {
 	*world
 	wrong    []string
 	cutLinks map[[2]int]bool
 	cutReach map[int]bool
-	lose     scheduler.Micros // until then
+	lose     scheduler.Micros // messages are lost until this time; copies and delay likewise
 	copies   scheduler.Micros
 	delay    scheduler.Micros
-	silent   map[sighting]scheduler.Micros // what a front was told, or saw itself, last
+	silent   map[sighting]scheduler.Micros // time of the last silent observation that a front received or made
 	sent     map[int][]sentBytes
-	asked    map[int]map[string]scheduler.Micros // probes started last
-	broken   func(m *Monitor)                    // breaks each Monitor on purpose
+	asked    map[int]map[string]scheduler.Micros // time of the last probe by front and node
+	broken   func(m *Monitor)                    // puts a deliberate fault into each Monitor
 }
 
-// sighting is a silent probe of a node's start, as a front knows it of another or of itself.
+// sighting identifies an observation that a start of a node is silent, made by front origin and known to front front.
 type sighting struct {
 	front, origin int
 	node          uint64
 	start         scheduler.Micros
 }
 
-// Figures of small worlds: shorter times than the usual ones, in the same order.
+// Settings of small simulations: the times are shorter than the defaults, in the same order.
 const (
 	smallLife     = 3 * second
 	smallTakeover = second / 2
 	smallBytes    = 2048
 	smallLoad     = 4.0
-	faultFor      = 400_000 // that messages are lost, copied or late
-	// agreement is how long all fronts may take to agree once links are whole and the node stays as it is: what is
-	// too old fades, and those who lost what came after it ask the next in rank.
+	faultFor      = 400_000 // duration of loss, duplication and delay of messages
+	// agreement is the time within which all fronts agree after all links work and the nodes no longer change: old evidence
+	// expires, and fronts that lost newer evidence request it from the next fronts by rank.
 	agreement = smallLife + 4*smallTakeover
-	// answerWithin is how long a ProbeWanted may wait: for evidence, then for this front's turn, then for its probe.
+	// answerWithin is the maximum time to answer a ProbeRequested: waiting for evidence, for this front's turn by rank and
+	// for its probe.
 	answerWithin = smallLife + (maxRequestRounds+3)*smallTakeover + second
 )
 
@@ -90,7 +91,9 @@
 	})
 	t.encoded, t.link, t.reaches, t.each = true, t.fate, t.reach, t.audit
 	t.succeeded = t.checkSuccess
-	t.against = func(f *simFront, node string) { t.say("front %d avoids %s against the list", f.number, node) }
+	t.against = func(f *simFront, node string) {
+		t.say("front %d avoids %s, which is not running according to the endpoint list", f.number, node)
+	}
 	if broken != nil {
 		for _, f := range t.fronts {
 			broken(f.monitor)
@@ -120,7 +123,7 @@
 	t.wrong = append(t.wrong, fmt.Sprintf("%d ms: ", (t.now-1_000_000_000)/1000)+fmt.Sprintf(format, args...))
 }
 
-// apply carries a move out.
+// apply applies the fault of a move.
 func (t *trial) apply(m move) {
 	node, front := t.nodes[m.at%len(t.nodes)], t.fronts[m.at%len(t.fronts)]
 	switch m.fault {
@@ -158,7 +161,7 @@
 	}
 }
 
-// leave ends a front for good.
+// leave ends a front permanently, if at least a quorum remains.
 func (t *trial) leave(f *simFront) {
 	living := 0
 	for _, other := range t.fronts {
@@ -179,7 +182,7 @@
 	}
 }
 
-// listAll tells each front of news of the list, 3 ms apart.
+// listAll delivers a change of the endpoint list to the fronts, one every 3 ms.
 func (t *trial) listAll(l EndpointsChanged) {
 	for i, f := range t.fronts {
 		t.at(t.now+scheduler.Micros(i)*3000, func() {
@@ -192,7 +195,7 @@
 	}
 }
 
-// heal makes links whole and lets fronts run.
+// heal repairs all links and resumes paused fronts.
 func (t *trial) heal() {
 	clear(t.cutLinks)
 	clear(t.cutReach)
@@ -205,7 +208,7 @@
 	t.listAll(t.list())
 }
 
-// play plays moves, heals the world, and tells what was wrong.
+// play applies moves, heals the simulation and returns the violations.
 func (t *trial) play(moves []move) []string {
 	begin := t.now
 	total := second/4 + agreement
@@ -228,12 +231,12 @@
 
 func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 3)) }
 
-// lateNews are moves by which words of a node's former start come after it has started anew.
+// lateNews returns moves after which evidence about an earlier start of a node arrives after its restart.
 func lateNews(node int) []move {
 	return []move{{nodeDies, node, 20_000}, {delaySome, 0, 300_000}, {nodeRestarts, node, 120_000}, {nodeDies, node, 1_100_000}}
 }
 
-// randomMoves draws a schedule; a quarter of them begin with lateNews.
+// randomMoves returns a random schedule; one in four begins with lateNews.
 func randomMoves(random *rand.Rand) (moves []move) {
 	if random.IntN(4) == 0 {
 		moves = lateNews(random.IntN(2))
--- a/internal/fleet/health/seek.go
+++ b/internal/fleet/health/seek.go
@@ -6,15 +6,17 @@
 	"otterturn/scheduler"
 )
 
-// maxRequestRounds bounds for how many times TakeoverAfter a front asks others before it looks for itself.
+// maxRequestRounds is the maximum number of rounds, of TakeoverAfter each, in which a front requests evidence before it
+// probes itself.
 const maxRequestRounds = 8
 
-// busyRounds is for how many times TakeoverAfter probers that live are waited for before others are asked.
+// busyRounds is the number of rounds, of TakeoverAfter each, to wait for probers that are alive before other fronts are
+// asked.
 const busyRounds = 4
 
-// seekEvidence asks for evidence while this front needs it and has none that suffices: the node's probers first, and with
-// each TakeoverAfter the next ones in rank beside them. A front in that rank looks itself, as does one that has asked for
-// mostRounds. So when probers die, are paused or cut off the next follow.
+// seekEvidence requests evidence while this front needs it and has too little. It asks the node's probers first, and after
+// each TakeoverAfter also the next group of fronts by rank. A front probes itself when its own group is reached, or after
+// maxRequestRounds. So the next fronts take over when probers crash, are paused or are disconnected.
 func (m *Monitor) seekEvidence(n *node) (next scheduler.Micros) {
 	from := m.now - m.requestAge(n)
 	if n.suspecting {
@@ -44,8 +46,9 @@
 	return m.now + m.config.TakeoverAfter - lacked%m.config.TakeoverAfter
 }
 
-// probersAlive tells whether a quorum of a node's probers live, by any message of theirs of late: they may have too much to tell, as
-// when a region can't be seen, and others would only add to it.
+// probersAlive reports whether this front has recently received any message from a quorum of the node's probers. They may
+// have more updates than the rate limit permits, for example when a region is unreachable; asking further fronts would
+// only add traffic.
 func (m *Monitor) probersAlive(n *node) bool {
 	heard := 0
 	for _, front := range n.ranked[:m.config.Probers] {
@@ -56,21 +59,23 @@
 	return heard >= m.config.Quorum
 }
 
-// roundOf is the round of asking after evidence has been missing for so long.
+// roundOf returns the number of the request round after evidence has been missing for the given time.
 func roundOf(lacked, takeoverAfter scheduler.Micros) int { return int(lacked / takeoverAfter) }
 
-// requestAge is the age at which evidence no longer suffices: another one at each front, as all would ask at once.
+// requestAge is the age above which evidence is no longer sufficient. It differs between fronts, so that they do not all
+// send requests at the same time.
 func (m *Monitor) requestAge(n *node) scheduler.Micros {
 	spread := float64(m.config.EvidenceLifetime-m.config.freshEvidenceAge()) / 2
 	return m.config.freshEvidenceAge() + scheduler.Micros(share(m.config.Self, n.key)*spread)
 }
 
-// isBroadcastSoon tells whether the whole zone is told soon what this front saw, for the first time.
+// isBroadcastSoon reports whether this front will soon announce its observation to the whole zone for the first time.
 func (m *Monitor) isBroadcastSoon(n *node, own observation) bool {
 	return m.shouldAnnounce(n, own) && own.at > n.announced.at && m.urgency(n, own) != repeated
 }
 
-// hasSufficientEvidence tells whether a quorum of fronts, whatever they saw, did so after a time, and until when it stays so.
+// hasSufficientEvidence reports whether a quorum of fronts has observations, of any state, from after the given time, and
+// until when this remains true.
 func (m *Monitor) hasSufficientEvidence(n *node, from scheduler.Micros) (enough bool, until scheduler.Micros) {
 	var times []scheduler.Micros
 	for _, o := range n.evidence {
@@ -85,7 +90,8 @@
 	return true, times[len(times)-m.config.Quorum] + m.requestAge(n)
 }
 
-// requestEvidence tells the probers, and those of a later group, that this front wants news of a node younger than a time.
+// requestEvidence asks the probers, and the fronts of the given group, for evidence about a node newer than the given
+// time.
 func (m *Monitor) requestEvidence(n *node, group int, from scheduler.Micros) {
 	probers := m.config.Probers
 	first := group * probers % len(n.ranked)
@@ -96,7 +102,7 @@
 	}
 }
 
-// evidenceRequested takes in that another front wants news of a node.
+// evidenceRequested records that another front requests evidence about a node.
 func (m *Monitor) evidenceRequested(n *node, from int, at scheduler.Micros) {
 	n.investigate()
 	if i := slices.IndexFunc(n.requesters, func(a requester) bool { return a.front == from }); i >= 0 {
@@ -107,8 +113,8 @@
 	m.scheduleReview(n)
 }
 
-// answerRequesters answers those who asked, as soon as there is something younger than they want. What the whole zone is told they
-// hear with it.
+// answerRequesters answers the requesters for which this front has evidence that is new enough. Observations that are about
+// to be broadcast to the zone need no separate answer.
 func (m *Monitor) answerRequesters(n *node) (next scheduler.Micros) {
 	if len(n.requesters) == 0 {
 		return forever
@@ -118,7 +124,7 @@
 		seen = observation{m.config.Self, Reachable, n.answered}
 	}
 	to := seen.at
-	if seen.state == Silent { // all the while the probe was out
+	if seen.state == Silent { // the node was silent until the probe timed out
 		to += m.config.ProbeTimeout
 	}
 	waiting := n.requesters[:0]
--- a/internal/fleet/health/standing.go
+++ b/internal/fleet/health/standing.go
@@ -8,11 +8,11 @@
 	"otterturn/scheduler"
 )
 
-// maxSingleRepeats is up to how many silent nodes a front repeats one by one. Of more, as when a region can't be seen, it also
-// says in one entry that all of them still are; the list of them goes out as there is room.
+// maxSingleRepeats is the maximum number of silent nodes that a front repeats only one by one. With more, for example when
+// a region is unreachable, it also sends one entry for all of them; the single entries follow as the rate limit permits.
 const maxSingleRepeats = 8
 
-// setKey is what a node adds to the key of a set of silent nodes: the exclusive or of all of them.
+// setKey returns the node's part of the key of a set of silent nodes: that key is the exclusive or of all parts.
 func (n *node) setKey() uint64 {
 	var both [16]byte
 	copy(both[:8], appendBits(nil, n.key, 64))
@@ -20,8 +20,9 @@
 	return xxhash.Sum64(both[:]) & (1<<keyBits - 1)
 }
 
-// stillSilentUpdate is news that all nodes that this front told as silent still are, of those that it is among the first to tell
-// of; ok is false where that can't be said or is not worth it. Where a front is still to be told of some the sets differ.
+// stillSilentUpdate returns an update that all nodes that this front announced as silent still are, limited to nodes for
+// which it ranks within the quorum. ok is false if one of them is no longer silent, or if they are too few for a common
+// entry. A recipient that has not yet received all announcements has a different set and drops the entry.
 func (m *Monitor) stillSilentUpdate() (out update, ok bool) {
 	out = update{state: StillSilent, at: m.now}
 	count := 0
@@ -30,7 +31,7 @@
 			continue
 		}
 		own, seen := n.evidence.of(m.config.Self)
-		if !seen || own.state != Silent { // to be taken back soon
+		if !seen || own.state != Silent { // this front is about to announce that it is reachable
 			return update{}, false
 		}
 		out.node ^= n.setKey()
@@ -40,7 +41,8 @@
 	return out, count > maxSingleRepeats
 }
 
-// receiveStillSilent takes in that a front still finds all nodes silent that it told of, where these are those that this one heard of.
+// receiveStillSilent handles the entry that all nodes that a front announced as silent still are. It refreshes the
+// evidence only if the set equals the announcements that this front received.
 func (m *Monitor) receiveStillSilent(from int, e Entry, delay scheduler.Micros) Drop {
 	if e.Age < 0 {
 		return DropFuture
--- a/internal/fleet/health/telling.go
+++ b/internal/fleet/health/telling.go
@@ -2,10 +2,11 @@
 
 import "otterturn/scheduler"
 
-// standbyDelay is for how long a prober beyond the quorum waits before it tells what it saw: the others tell it.
+// standbyDelay is the time that a prober ranked beyond the quorum waits for the announcements of the others before it
+// announces its own observation.
 const standbyDelay scheduler.Micros = 60_000
 
-// announce tells the zone what this front saw of a node, where that is its part and news.
+// announce queues the announcement of a new observation of a node if this front is responsible for it.
 func (m *Monitor) announce(n *node) (next scheduler.Micros) {
 	own, seen := n.evidence.of(m.config.Self)
 	if !seen || own.at <= n.announced.at && own.state == n.announced.state {
@@ -26,7 +27,7 @@
 	return forever
 }
 
-// shouldAnnounce tells whether it is this front's part to tell its zone what it saw.
+// shouldAnnounce reports whether this front is responsible for announcing its observation to the zone.
 func (m *Monitor) shouldAnnounce(n *node, own observation) bool {
 	if !n.probedForZone || own.state == Reachable && !m.zoneMayHoldSilent(n) || m.contradictedSince(n, own) {
 		return false
@@ -35,18 +36,18 @@
 	return contradicted || m.countHigherRanked(n, own.state) < m.config.Quorum
 }
 
-// contradictedSince tells whether this front heard, after it sent the probe that was not answered, that another one reached the
-// node: then it looks again before it says anything. What it sees then it tells whatever others say.
+// contradictedSince reports whether another front reported the node reachable after this front sent its unanswered probe.
+// This front then probes again before it announces anything, and announces the result of that probe in any case.
 func (m *Monitor) contradictedSince(n *node, own observation) bool {
 	return own.state == Silent && n.contradicted > own.at && m.countOthers(n, Reachable) > 0
 }
 
-// zoneMayHoldSilent tells whether the zone may hold a node for silent.
+// zoneMayHoldSilent reports whether fronts of the zone may consider the node silent.
 func (m *Monitor) zoneMayHoldSilent(n *node) bool {
 	return n.avoided || m.announcedState(n) == Silent || m.countOthers(n, Silent) > 0
 }
 
-// announcedState is what the zone heard of this front and may still believe, 0 for nothing.
+// announcedState returns the state in the last announcement of this front that has not expired, 0 if there is none.
 func (m *Monitor) announcedState(n *node) State {
 	if n.announced.at <= m.now-m.config.EvidenceLifetime {
 		return 0
@@ -54,7 +55,8 @@
 	return n.announced.state
 }
 
-// announceDelay is how long this front waits for others before it tells: not where it is to take back what it told.
+// announceDelay returns the time to wait for announcements of others. It is 0 for a front that corrects or repeats its own
+// announcement.
 func (m *Monitor) announceDelay(n *node) scheduler.Micros {
 	if n.rank < m.config.Quorum || m.announcedState(n) != 0 {
 		return 0
@@ -62,7 +64,8 @@
 	return standbyDelay
 }
 
-// urgency tells news from what only keeps older news fresh, or takes back what makes no difference any more.
+// urgency returns the priority of an announcement. Announcements that only refresh evidence, or withdraw evidence that no
+// longer makes the zone avoid the node, have the lowest one.
 func (m *Monitor) urgency(n *node, own observation) urgency {
 	switch {
 	case m.announcedState(n) == own.state:
@@ -75,7 +78,7 @@
 	return repeated
 }
 
-// zoneAvoids tells whether the zone's other fronts avoid a node, by what they have heard.
+// zoneAvoids reports whether the zone's other fronts avoid a node, judging by the announcements they received.
 func (m *Monitor) zoneAvoids(n *node) bool {
 	silent, back := m.countOthers(n, Silent), m.countOthers(n, Reachable)
 	switch m.announcedState(n) {
--- a/internal/fleet/health/traffic_test.go
+++ b/internal/fleet/health/traffic_test.go
@@ -6,7 +6,7 @@
 	"otterturn/scheduler"
 )
 
-// probe ends at once where the node answers or refuses, and late where it is silent.
+// probe simulates a probe: it ends soon if the node answers or refuses, and by timeout if the node is silent.
 func (w *world) probe(f *simFront, n *simNode) {
 	n.probes = append(n.probes, w.now)
 	ended := func(after scheduler.Micros, ok bool) {
@@ -24,7 +24,7 @@
 	}
 }
 
-// request sends one request, unless the front's scheduler holds the node for silent. A silent node is given up on after
+// request sends one request unless the front's scheduler avoids the node. A request to a silent node times out after
 // 400 ms.
 func (w *world) request(f *simFront, n *simNode, id string) {
 	if f.paused || f.gone || f.mute[n.name] {
@@ -60,7 +60,7 @@
 	}
 }
 
-// load sends requests at random, so many a second from each front to each node, until a time.
+// load sends requests as a Poisson process from each front to each node, at the given rate per pair, until a time.
 func (w *world) load(perSecond float64, nodes []*simNode, until scheduler.Micros) {
 	for _, f := range w.fronts {
 		for _, n := range nodes {
--- a/internal/fleet/health/verdict.go
+++ b/internal/fleet/health/verdict.go
@@ -2,10 +2,10 @@
 
 import "otterturn/scheduler"
 
-// returnSpread is the time over which the fronts of a fleet come back to a node.
+// returnSpread is the period over which the fronts of a zone resume sending to a node that returned.
 const returnSpread scheduler.Micros = 1_000_000
 
-// applyVerdict brings what this front holds of a node up to its evidence.
+// applyVerdict updates whether this front suspects and avoids a node, according to the evidence.
 func (m *Monitor) applyVerdict(n *node) {
 	avoid, at := n.evidence.verdict(m.config.Quorum, n.answered)
 	if n.suspecting && (avoid || m.suspicionOver(n)) {
@@ -27,24 +27,24 @@
 	}
 }
 
-// returnTime is when this front comes back to a node, if it does now.
+// returnTime returns the time at which this front resumes sending to a node that returned now.
 func (m *Monitor) returnTime(n *node) scheduler.Micros {
 	return m.now + 1 + scheduler.Micros(share(m.config.Self, n.key)*float64(returnSpread))
 }
 
-// verdictExpired tells whether a verdict ended for want of evidence, and a probe still waits for news.
+// verdictExpired reports whether the node is no longer avoided and the scheduler has waited for a probe since before then.
 func (n *node) verdictExpired() bool {
 	return n.schedulerWaits && !n.avoided && n.avoidedUntil > n.schedulerWaitsSince
 }
 
-// suspicionOver tells whether a suspicion of this front's is over: the node has answered it or a prober since, or nothing
-// came of it for as long as evidence lives.
+// suspicionOver reports whether this front's suspicion has ended: the node has answered this front or a prober since, or
+// the suspicion has had no result within EvidenceLifetime.
 func (m *Monitor) suspicionOver(n *node) bool {
 	return n.answered > n.suspectedSince || n.evidence.count(Reachable, n.suspectedSince, nil) > 0 ||
 		m.now >= n.lastSuspected+m.config.EvidenceLifetime
 }
 
-// nextExpiry is when the next thing known of a node is too old.
+// nextExpiry returns the time at which the next observation or suspicion expires or the return of a node takes effect.
 func (m *Monitor) nextExpiry(n *node) scheduler.Micros {
 	next := forever
 	if at, ok := n.evidence.oldest(); ok {
@@ -59,15 +59,16 @@
 	return next
 }
 
-// freshEvidenceAge is the age up to which evidence is sufficient; beyond it this front asks for more, before it fades.
+// freshEvidenceAge is the age up to which evidence is fresh. A front requests newer evidence after that, before the old
+// evidence expires.
 func (c Config) freshEvidenceAge() scheduler.Micros { return c.EvidenceLifetime * 3 / 4 }
 
-// countOthers counts the other fronts that saw a state of late.
+// countOthers returns the number of other fronts whose evidence shows a state.
 func (m *Monitor) countOthers(n *node, state State) int {
 	return n.evidence.count(state, never, func(front int) bool { return front != m.config.Self })
 }
 
-// countHigherRanked counts the fronts of a lower rank than this one's that saw a state not too long ago.
+// countHigherRanked returns the number of higher-ranked fronts whose fresh evidence shows a state.
 func (m *Monitor) countHigherRanked(n *node, state State) int {
 	return n.evidence.count(state, m.now-m.config.freshEvidenceAge(), func(front int) bool { return m.ranksHigher(n, front) })
 }
--- a/internal/fleet/health/world_test.go
+++ b/internal/fleet/health/world_test.go
@@ -8,9 +8,9 @@
 	"otterturn/scheduler"
 )
 
-// world plays fronts before nodes in virtual time: what their Monitors do, a network between them, and of each
-// scheduler what matters here: it sends nothing to a node that it was told is silent, or that failed it, until a probe
-// of it is answered.
+// world simulates fronts and nodes in virtual time: the Monitors of the fronts, the network between them, and a minimal
+// scheduler for each front, which sends no request to a node that was reported silent or failed a request until a probe
+// of the node is answered.
 type world struct {
 	fronts    []*simFront
 	nodes     []*simNode
@@ -19,16 +19,16 @@
 	events    simQueue
 	order     int
 	random    *rand.Rand
-	link      func(from, to int) (delays []scheduler.Micros) // of each copy that arrives; none where it is lost
+	link      func(from, to int) (delays []scheduler.Micros) // delay of each copy that arrives; none if the message is lost
 	reaches   func(front int, node *simNode) bool
-	each      func(front *simFront, action Action) // sees all actions
-	succeeded func(front *simFront, node string)   // sees each request that was answered
-	against   func(front *simFront, node string)   // sees each node that is avoided though the list bars it
-	shell     scheduler.Micros                     // a probe ends as failed after this
-	encoded   bool                                 // messages pass Encode and Decode
+	each      func(front *simFront, action Action) // called for every action
+	succeeded func(front *simFront, node string)   // called for every answered request
+	against   func(front *simFront, node string)   // called for every avoided node that is not running according to the endpoint list
+	shell     scheduler.Micros                     // time after which an unanswered probe ends as failed
+	encoded   bool                                 // messages are encoded and decoded in transit
 }
 
-// newWorld makes fronts by their zones, all in the same state, with a network of half a millisecond.
+// newWorld returns a simulation with one front per element of zones. The network delay is 0.5 ms.
 func newWorld(seed uint64, zones []int, nodes int, change func(*Config)) *world {
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, 28)), shell: 500_000, now: 1_000_000_000, byName: map[string]*simNode{},
@@ -52,7 +52,7 @@
 	return w
 }
 
-// boot starts a front, or starts it anew.
+// boot starts or restarts a front.
 func (w *world) boot(f *simFront) {
 	f.config.Incarnation = int64(w.now)
 	monitor, err := New(f.config)
@@ -84,12 +84,12 @@
 
 func (w *world) at(at scheduler.Micros, run func()) { w.push(simEvent{at: at, front: -1, run: run}) }
 
-// to has a front learn of an event at a time, if it still lives its present life.
+// to delivers an event to a front at a time, unless the front restarts before.
 func (w *world) to(f *simFront, at scheduler.Micros, e Event) {
 	w.push(simEvent{at: at, front: f.number, life: f.life, event: e})
 }
 
-// run plays until a time.
+// run runs the simulation until a time.
 func (w *world) run(until scheduler.Micros) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(*simEvent)
@@ -110,7 +110,7 @@
 	w.now = until
 }
 
-// arrive hands an event over, unless it is an alarm that another one took the place of.
+// arrive runs an event of a front or passes it to its Monitor.
 func (w *world) arrive(f *simFront, e simEvent) {
 	if e.run != nil {
 		e.run()
@@ -143,7 +143,7 @@
 	}
 }
 
-// listed has a front's scheduler forget what it held of a former start.
+// listed makes a front's scheduler use nodes that restarted, and reports avoided nodes that are not running.
 func (w *world) listed(f *simFront, l EndpointsChanged) {
 	for _, listed := range l.Nodes {
 		if f.known[listed.Node] != listed.StartedAt {
@@ -185,7 +185,7 @@
 	}
 }
 
-// want is the scheduler's wish for a probe.
+// want makes the scheduler request a probe after the given delay.
 func (w *world) want(f *simFront, node string, in scheduler.Micros) {
 	w.push(simEvent{at: w.now + in, front: f.number, life: f.life, run: func() {
 		if _, waits := f.wanted[node]; !waits && f.mute[node] {
--- a/internal/fleet/health/wrong_test.go
+++ b/internal/fleet/health/wrong_test.go
@@ -8,8 +8,8 @@
 	"otterturn/scheduler"
 )
 
-// None avoids a node that it can reach because of one wrong front: one that is cut off from all nodes, from other
-// fronts one way or both, slow, paused again and again, or one that says the worst of all nodes.
+// One faulty front must not make others avoid a node that they can reach. The front is disconnected from all nodes (also
+// without receiving or sending messages), has slow links, is paused repeatedly, or reports all nodes silent.
 func TestOneWrongFrontCondemnsNothing(t *testing.T) {
 	const fronts, nodes = 8, 20
 	wrongs := map[string]func(w *world, f *simFront){
@@ -47,7 +47,7 @@
 				f := w.fronts[number]
 				w.each = func(at *simFront, a Action) {
 					if r, ok := a.(ReportSilent); ok && at != f {
-						t.Errorf("front %d avoids %s, which it can reach", at.number, r.Node)
+						t.Errorf("front %d avoids %s, although it can reach it", at.number, r.Node)
 					}
 				}
 				w.load(2, w.nodes, w.now+12*second)
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// lie has a front say the same of all nodes, ten times a second, to all fronts.
+// lie makes a front send the same state for all nodes to all fronts, ten times per second.
 func lie(w *world, f *simFront, state State) {
 	sequence := uint32(1 << 20)
 	var again func()
@@ -85,7 +85,7 @@
 	again()
 }
 
-// A front that says that all nodes are well keeps nobody from avoiding a silent one.
+// A front that reports all nodes reachable must not keep other fronts from avoiding silent nodes.
 func TestOneFrontCannotCallASilentNodeWell(t *testing.T) {
 	w := newWorld(1, zonesOf(1, 8), 4, nil)
 	w.load(5, w.nodes, w.now+10*second)
@@ -99,7 +99,7 @@
 	}
 }
 
-// A zone that is cut off from another one's nodes stops using them, and no other zone does. When it heals it comes back.
+// A zone that cannot reach some nodes avoids them, and no other zone does. It uses them again when it can reach them.
 func TestZoneThatCannotSeeAnotherCondemnsForItselfAlone(t *testing.T) {
 	const fronts = 6
 	w := newWorld(1, zonesOf(3, fronts), 10, nil)
@@ -114,12 +114,12 @@
 			want = 5
 		}
 		if c := f.monitor.Counters(); c.Avoided != want {
-			t.Errorf("front %d avoids %d nodes, not %d", f.number, c.Avoided, want)
+			t.Errorf("front %d avoids %d nodes, want %d", f.number, c.Avoided, want)
 		}
 	}
 	w.at(w.now+second, func() { cut = false })
 	w.run(w.now + 8*second)
 	if avoided := w.avoiding(); avoided > 0 {
-		t.Errorf("%d avoided after the cut", avoided)
+		t.Errorf("%d nodes still avoided after the connection returned", avoided)
 	}
 }
--- a/internal/fleet/monitor/counters.go
+++ b/internal/fleet/monitor/counters.go
@@ -8,20 +8,20 @@
 	"otterturn/internal/fleet/health"
 )
 
-// Kinds of health.Drop that the shell finds, before the monitor gets to see a message.
+// Values of health.Drop for datagrams that are dropped before the monitor core processes them.
 const (
-	DropUnknownSender health.Drop = "no peer"    // the sender's address is no front's
-	DropTooLong       health.Drop = "too long"   // it has more bytes than a message may have
-	DropUnknownKind   health.Drop = "of no kind" // it is neither a message nor a note
+	DropUnknownSender health.Drop = "no peer"    // the sender's address belongs to no front
+	DropTooLong       health.Drop = "too long"   // it exceeds the maximum size of a message
+	DropUnknownKind   health.Drop = "of no kind" // it is neither a health message nor a message between limiters
 )
 
-// Counters are those of the monitor, and what its shell counts beside it.
+// Counters contains the counters of the monitor core and of its shell.
 type Counters struct {
 	health.Counters
-	Lost int64 // observations and messages that the inbox had no room for
+	Lost int64 // observations and messages dropped because the inbox was full
 }
 
-// Drops is how many messages or entries were dropped, for whatever reason.
+// Drops returns the number of dropped messages and entries, over all reasons.
 func (c Counters) Drops() (n int64) {
 	for _, d := range c.Dropped {
 		n += d
@@ -29,7 +29,7 @@
 	return n
 }
 
-// Counters tells what was counted so far.
+// Counters returns the current counters.
 func (m *Monitor) Counters(ctx context.Context) (out Counters, err error) {
 	err = m.query(ctx, func() {
 		out.Counters = m.core.Counters()
@@ -39,10 +39,10 @@
 	return out, err
 }
 
-// Drop counts a datagram that was dropped before the monitor could see it. details are for the log.
+// Drop counts a datagram that was dropped before it reached the monitor. details are attributes of the log line.
 func (m *Monitor) Drop(why health.Drop, details ...any) { m.drops.add(why, details...) }
 
-// drops counts what was dropped ahead of the monitor, and logs each reason once, whoever found it.
+// drops counts what the shell dropped. It logs each reason once, also those of the core.
 type drops struct {
 	log    *slog.Logger
 	mu     sync.Mutex
@@ -60,7 +60,7 @@
 	d.logOnce(why, details...)
 }
 
-// logNew takes in what the monitor itself dropped so far.
+// logNew logs the reasons that the core has counted and that have not been logged before.
 func (d *drops) logNew(counts map[health.Drop]int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// logOnce logs a reason the first time. The lock is held.
+// logOnce logs a reason the first time. The caller holds the lock.
 func (d *drops) logOnce(why health.Drop, details ...any) {
 	if d.logged[why] {
 		return
@@ -84,7 +84,7 @@
 		append([]any{"why", string(why)}, details...)...)
 }
 
-// addTo adds what was counted here to the monitor's own counts.
+// addTo returns the sum of the shell's counts and the core's own.
 func (d *drops) addTo(own map[health.Drop]int64) map[health.Drop]int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fleet/monitor/inbox.go
+++ b/internal/fleet/monitor/inbox.go
@@ -6,27 +6,27 @@
 	"otterturn/internal/fleet/health"
 )
 
-// entry is an event on its way to the monitor, or a function that it is to run.
+// entry is an event for the monitor core, or a function to run between its steps.
 type entry struct {
 	event health.Event
 	query func()
 }
 
-// inbox is a queue that never blocks those who put something into it. What others may send without end is offered, and
-// dropped where the queue is full. What is put is bounded by its cause: ends of attempts by those that were started,
-// ends of probes by those that were wanted, and so on.
+// inbox is a queue whose senders never block. Inputs without a bound on their number use offer, which drops them if the
+// queue is full. Inputs of put are bounded by their causes: ends of attempts by the accepted starts, ends of probes by the
+// requested probes, and so on.
 type inbox struct {
 	room    int
-	waiting chan struct{} // holds one while there may be entries
+	waiting chan struct{} // holds one element while there may be entries
 
 	mu      sync.Mutex
 	entries []entry
-	dropped int64 // offered without room
+	dropped int64 // number of offered events that were dropped
 }
 
 func newInbox(room int) *inbox { return &inbox{room: room, waiting: make(chan struct{}, 1)} }
 
-// put adds an event, also where the queue is full.
+// put adds an event, even if the queue is full.
 func (b *inbox) put(e health.Event) { b.add(entry{event: e}) }
 
 func (b *inbox) add(e entry) {
@@ -36,7 +36,7 @@
 	b.wake()
 }
 
-// offer adds an event, or counts it as lost and returns false where the queue is full.
+// offer adds an event and returns true. If the queue is full, it counts the event as dropped and returns false.
 func (b *inbox) offer(e health.Event) bool {
 	b.mu.Lock()
 	full := len(b.entries) >= b.room
@@ -57,7 +57,7 @@
 	}
 }
 
-// drain empties the queue.
+// drain removes and returns all entries.
 func (b *inbox) drain() []entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -66,7 +66,7 @@
 	return out
 }
 
-// droppedCount tells how many events found no room.
+// droppedCount returns the number of dropped events.
 func (b *inbox) droppedCount() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/fleet/monitor/monitor.go
+++ b/internal/fleet/monitor/monitor.go
@@ -1,5 +1,5 @@
-// Package monitor is the shell around health.Monitor: one goroutine owns it, feeds it from a bounded inbox and a timer,
-// and performs its actions. What it decides stands in package health.
+// Package monitor is the shell of health.Monitor: one goroutine owns the core, passes it events from a bounded inbox and a
+// timer, and performs its actions. All decisions are made in package health.
 package monitor
 
 import (
@@ -14,27 +14,27 @@
 	"otterturn/scheduler"
 )
 
-// ErrStopped tells that the monitor has ended.
-var ErrStopped = errors.New("the monitor of the zone's health has stopped")
+// ErrStopped means that the monitor has ended.
+var ErrStopped = errors.New("health monitor has stopped")
 
-// Hooks are what a Monitor acts through. All must be set.
+// Hooks are the functions through which a Monitor acts. All must be set.
 type Hooks struct {
 	Now    func() scheduler.Micros                   // the scheduler's clock
-	Probe  func(node string) scheduler.HealthChecked // asks a node itself, and returns within a bounded time
-	Report func(scheduler.Event)                     // tells the scheduler
-	Send   func(to int, message []byte)              // sends a datagram to the front of a number, without waiting
+	Probe  func(node string) scheduler.HealthChecked // probes a node and returns within a bounded time
+	Report func(scheduler.Event)                     // delivers an event to the scheduler
+	Send   func(to int, message []byte)              // sends a datagram to the front with number to, without blocking
 	Log    *slog.Logger
 }
 
-// Bounds of a Monitor.
+// Bounds are the limits of a Monitor.
 type Bounds struct {
-	Inbox        int           // observations and messages that may wait; more are dropped and counted
-	MaxProbeWait time.Duration // a probe that the scheduler wants is answered within this, as failed at the latest
+	Inbox        int           // maximum queued observations and messages; further ones are dropped and counted
+	MaxProbeWait time.Duration // a probe that the scheduler requests is answered as failed after this time
 }
 
 // Monitor runs a health.Monitor. Its methods may be called from any goroutine.
 type Monitor struct {
-	core         *health.Monitor // of Run's goroutine
+	core         *health.Monitor // accessed only by the goroutine of Run
 	hooks        Hooks
 	maxProbeWait time.Duration
 	inbox        *inbox
@@ -43,7 +43,7 @@
 	stopped      chan struct{} // closed once Run has ended
 }
 
-// New returns a Monitor that does not run yet. The error names the field of the configuration that is wrong.
+// New returns a Monitor that is not running yet. The error names every invalid field of the configuration.
 func New(c health.Config, b Bounds, h Hooks) (*Monitor, error) {
 	core, err := health.New(c)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return m, nil
 }
 
-// Run has the monitor decide until ctx ends: events that wait go into one step together.
+// Run runs the monitor until ctx is done. It passes all queued events to the core in one step.
 func (m *Monitor) Run(ctx context.Context) {
 	defer close(m.stopped)
 	alarm := time.NewTimer(time.Hour)
@@ -74,7 +74,7 @@
 				events = append(events, e.event)
 				continue
 			}
-			m.step(events, alarm) // what came ahead of the question has to be known
+			m.step(events, alarm) // the core processes earlier events before the query
 			events = nil
 			e.query()
 		}
@@ -95,7 +95,7 @@
 	}
 }
 
-// received tells whether an event is a message, of which something may have been dropped.
+// received reports whether an event is a message; the core may have dropped it or some of its entries.
 func received(e health.Event) bool {
 	_, ok := e.(health.MessageReceived)
 	return ok
@@ -117,8 +117,8 @@
 	}
 }
 
-// Probe has a node probed for the scheduler: by this front, or by others of its zone. It returns within the bound, and
-// at the monitor's end.
+// Probe probes a node for the scheduler, or answers from evidence of other fronts of the zone. It returns after
+// Bounds.MaxProbeWait at the latest, or when the monitor ends.
 func (m *Monitor) Probe(node string) scheduler.HealthChecked {
 	failed := scheduler.HealthChecked{Node: node, Queue: -1}
 	answer := m.waiters.enter(node)
@@ -135,22 +135,22 @@
 	return failed
 }
 
-// UpdateEndpoints takes in news of the node list.
+// UpdateEndpoints passes on a change of the endpoint list.
 func (m *Monitor) UpdateEndpoints(news scheduler.EndpointsChanged) {
 	m.inbox.put(health.EndpointsChanged{Full: news.Full, Nodes: news.Endpoints})
 }
 
-// AttemptStarted takes in that an attempt was sent, unless there is no room for it.
+// AttemptStarted records that an attempt was sent. It returns false if the inbox is full.
 func (m *Monitor) AttemptStarted(node, id string, attempt int) bool {
 	return m.inbox.offer(health.AttemptStarted{Node: node, ID: id, Attempt: attempt})
 }
 
-// AttemptEnded takes in how an attempt ended whose start was taken in. There is room for it.
+// AttemptEnded records the result of an attempt whose start was accepted. It is accepted even if the inbox is full.
 func (m *Monitor) AttemptEnded(node string, e scheduler.AttemptEnded) {
 	m.inbox.put(health.AttemptEnded{Node: node, ID: e.ID, Attempt: e.Attempt, Result: e.Result, Alive: e.Alive})
 }
 
-// Intercept takes in a datagram of the front of a number. False is for one that is no message of a monitor's.
+// Intercept handles a datagram from the front with number from. It returns false if the datagram is no health message.
 func (m *Monitor) Intercept(from int, text []byte) bool {
 	if !health.IsMessage(text) {
 		return false
@@ -164,16 +164,16 @@
 	return true
 }
 
-// Reconfigure has another configuration hold, whole or not at all. The error names the field that is wrong.
+// Reconfigure replaces the configuration, or returns an error that names the invalid fields and changes nothing.
 func (m *Monitor) Reconfigure(ctx context.Context, c health.Config) (err error) {
 	asked := m.query(ctx, func() { err = m.core.Reconfigure(c) })
 	if asked != nil {
-		return fmt.Errorf("the zone's health: %w", asked)
+		return fmt.Errorf("reconfigure health monitor: %w", asked)
 	}
 	return err
 }
 
-// query runs a function between two steps, and waits for its end.
+// query runs f between two steps and waits until it returns.
 func (m *Monitor) query(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	m.inbox.add(entry{query: func() {
--- a/internal/fleet/monitor/monitor_test.go
+++ b/internal/fleet/monitor/monitor_test.go
@@ -24,16 +24,16 @@
 
 var testBounds = Bounds{Inbox: 16, MaxProbeWait: standin.Patience}
 
-// zone is two fronts' monitors that hear each other, with what they act through.
+// zone contains the monitors of two fronts that exchange messages, and the channels behind their hooks.
 type zone struct {
 	monitors [2]*Monitor
 	reports  [2]chan scheduler.Event
 	probes   chan string
-	answers  atomic.Bool // whether the nodes do
+	answers  atomic.Bool // whether nodes answer probes
 	lines    chan string
 }
 
-// newZone starts two monitors that know the node "a".
+// newZone starts two monitors with the node "a".
 func newZone(t *testing.T, b Bounds) *zone {
 	z := &zone{probes: make(chan string, 1024), lines: make(chan string, 1024)}
 	z.answers.Store(true)
@@ -62,29 +62,29 @@
 	return z
 }
 
-// A probe of a node that nobody suspects goes to the node at once.
+// A requested probe of a node that no front suspects starts immediately.
 func TestProbeOfANodeThatNobodySuspects(t *testing.T) {
 	z := newZone(t, testBounds)
 	if p := z.monitors[0].Probe("a"); !p.OK || p.Node != "a" {
-		t.Errorf("%+v", p)
+		t.Errorf("probe result %+v, want success", p)
 	}
 	if node := standin.Await(t, "a probe", z.probes); node != "a" {
 		t.Errorf("probed %q", node)
 	}
 }
 
-// An attempt that failed at one front has both probe and both avoid the node; the scheduler's probe is held back until
-// it answers again.
+// After a failed attempt at one front, both fronts probe and avoid the node. The scheduler's probe is deferred until the
+// node answers again.
 func TestZoneFindsANodeSilentAndBack(t *testing.T) {
 	z := newZone(t, testBounds)
 	z.answers.Store(false)
 	if !z.monitors[0].AttemptStarted("a", "x", 0) {
-		t.Fatal("no room")
+		t.Fatal("attempt was not accepted")
 	}
 	z.monitors[0].AttemptEnded("a", scheduler.AttemptEnded{ID: "x", Result: scheduler.Unreachable})
 	for _, reports := range z.reports {
 		if e := standin.Await(t, "a report", reports); e.(scheduler.NodeSilent).Node != "a" {
-			t.Errorf("reported %+v", e)
+			t.Errorf("reported %+v, want node a silent", e)
 		}
 	}
 	answered := make(chan scheduler.HealthChecked, 1)
@@ -92,20 +92,20 @@
 	standin.Until(t, "further probes", func() bool { return len(z.probes) > 4 })
 	select {
 	case p := <-answered:
-		t.Errorf("answered %+v while the node is silent", p)
+		t.Errorf("probe answered with %+v while the node is silent", p)
 	default:
 	}
 	z.answers.Store(true)
 	if p := standin.Await(t, "the answer", answered); !p.OK {
-		t.Errorf("%+v", p)
+		t.Errorf("probe result %+v, want success", p)
 	}
 	c, err := z.monitors[0].Counters(t.Context())
 	if err != nil || c.Avoided != 0 || c.Probes == 0 || c.Sent == 0 || c.SentBytes < c.Sent || c.Received == 0 || c.Drops() != 0 {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("counters %+v, error %v", c, err)
 	}
 }
 
-// Whoever waits for a probe is answered within the bound, and at the monitor's end.
+// A call of Probe returns as failed after MaxProbeWait, and when the monitor ends, even if the probe hook blocks forever.
 func TestProbeEnds(t *testing.T) {
 	blocked := Hooks{Now: func() scheduler.Micros { return 1 }, Probe: func(string) scheduler.HealthChecked { select {} }, Log: standin.Log(func(string) {})}
 	for what, hold := range map[string]time.Duration{"the bound": time.Millisecond, "the monitor's end": time.Hour} {
@@ -126,22 +126,23 @@
 			end()
 		}
 		if p := standin.Await(t, what, answered); p.OK || p.Node != "a" || p.Queue != -1 {
-			t.Errorf("%s: %+v", what, p)
+			t.Errorf("%s: probe result %+v, want failure", what, p)
 		}
 		end()
 		<-m.stopped
 		m.waiters.mu.Lock()
 		if n := len(m.waiters.byNode); n != 0 {
-			t.Errorf("%s: %d nodes are waited for", what, n)
+			t.Errorf("%s: %d nodes still have waiting calls", what, n)
 		}
 		m.waiters.mu.Unlock()
 		if _, err := m.Counters(t.Context()); !errors.Is(err, ErrStopped) {
-			t.Errorf("%s: counters: %v", what, err)
+			t.Errorf("%s: error of Counters: %v, want ErrStopped", what, err)
 		}
 	}
 }
 
-// Nobody who observes is ever held up: what finds no room is counted, and the end of what found some has room.
+// A full inbox never blocks its senders: it drops and counts starts of attempts and messages, and still accepts the ends
+// of accepted attempts.
 func TestFullInboxHoldsNobodyUp(t *testing.T) {
 	m, err := New(testConfig(0), Bounds{Inbox: 3, MaxProbeWait: time.Hour}, Hooks{Now: func() scheduler.Micros { return 1 }, Log: standin.Log(func(string) {})})
 	if err != nil {
@@ -158,29 +159,29 @@
 	}
 	message := health.Message{Incarnation: 1, Sequence: 1, Sent: 1, Entries: []health.Entry{{Node: 1, State: health.Silent}}}
 	if !m.Intercept(1, message.Encode()) {
-		t.Error("a message was taken for none")
+		t.Error("a health message was not recognized")
 	}
 	if got := m.inbox.droppedCount(); taken != 3 || got != 8 || len(m.inbox.drain()) != 6 {
-		t.Errorf("%d taken, %d lost, want 3 and 8", taken, got)
+		t.Errorf("%d accepted, %d dropped, want 3 and 8", taken, got)
 	}
 }
 
-// What can't be read is counted, and each kind is logged once.
+// Every drop of a datagram or entry is counted, and each reason is logged once.
 func TestDropsAreCountedAndLoggedOnce(t *testing.T) {
 	z := newZone(t, testBounds)
 	m := z.monitors[0]
 	if m.Intercept(1, []byte("grant 1 2 a")) {
-		t.Error("a note was taken for a message")
+		t.Error("a message of another kind was taken for a health message")
 	}
 	good := health.Message{Incarnation: 1, Sequence: 1, Sent: 1, Entries: []health.Entry{{Node: 1, State: health.Silent}}}.Encode()
 	for range 5 {
 		if !m.Intercept(1, good[:5]) {
-			t.Error("a message that is cut was taken for none")
+			t.Error("a truncated health message was not recognized")
 		}
 		m.Drop(DropUnknownSender, "from", "nowhere")
 	}
-	m.Intercept(1, good) // of an unknown node
-	m.Intercept(1, good) // and repeated
+	m.Intercept(1, good) // about an unknown node
+	m.Intercept(1, good) // repeated
 	standin.Until(t, "the counts", func() bool {
 		c, err := m.Counters(t.Context())
 		d := c.Dropped
@@ -199,20 +200,20 @@
 		t.Errorf("logged %v, want each reason once", logged)
 	}
 	if len(z.lines) != 0 {
-		t.Errorf("logged %q", <-z.lines)
+		t.Errorf("logged a further line %q", <-z.lines)
 	}
 }
 
-// A configuration that is wrong is refused with the field's name, at the start and while it runs; then the old one holds.
+// New and Reconfigure reject an invalid configuration with the name of the field.
 func TestWrongConfiguration(t *testing.T) {
 	wrong := testConfig(0)
 	wrong.Quorum = 1
 	if _, err := New(wrong, testBounds, Hooks{}); err == nil || !strings.Contains(err.Error(), "quorum") {
-		t.Errorf("at the start: %v", err)
+		t.Errorf("New: error %v, want one about quorum", err)
 	}
 	z := newZone(t, testBounds)
 	if err := z.monitors[0].Reconfigure(t.Context(), wrong); err == nil || !strings.Contains(err.Error(), "quorum") {
-		t.Errorf("while it runs: %v", err)
+		t.Errorf("Reconfigure: error %v, want one about quorum", err)
 	}
 	if err := z.monitors[0].Reconfigure(t.Context(), testConfig(0)); err != nil {
 		t.Error(err)
--- a/internal/fleet/monitor/waiters.go
+++ b/internal/fleet/monitor/waiters.go
@@ -7,13 +7,13 @@
 	"otterturn/scheduler"
 )
 
-// waiters are the calls of Probe that wait for an answer, by node. Each call leaves by itself.
+// waiters holds the calls of Probe that wait for an answer, by node. A call that gives up removes itself.
 type waiters struct {
 	mu     sync.Mutex
 	byNode map[string][]chan scheduler.HealthChecked
 }
 
-// enter adds a call, which is answered over the channel.
+// enter adds a call and returns the channel for its answer.
 func (w *waiters) enter(node string) chan scheduler.HealthChecked {
 	answer := make(chan scheduler.HealthChecked, 1)
 	w.mu.Lock()
@@ -25,7 +25,7 @@
 	return answer
 }
 
-// answer answers all calls that wait for a node: what was asked again in the meantime is told the same.
+// answer passes a result to all calls that wait for the node.
 func (w *waiters) answer(p scheduler.HealthChecked) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -35,7 +35,7 @@
 	delete(w.byNode, p.Node)
 }
 
-// leave takes a call out that waits no more.
+// leave removes a call that no longer waits.
 func (w *waiters) leave(node string, answer chan scheduler.HealthChecked) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
