--- a/internal/fleet/health/telling.go
+++ b/internal/fleet/health/announce.go
@@ -8,7 +8,7 @@
 
 // announce queues the announcement of a new observation of a node if this front is responsible for it.
 func (m *Monitor) announce(n *node) (next scheduler.Micros) {
-	own, seen := n.evidence.of(m.config.Self)
+	own, seen := n.evidence.observationOf(m.config.Self)
 	if !seen || own.at <= n.announced.at && own.state == n.announced.state {
 		n.announced.pendingSince = never
 		return forever
@@ -19,11 +19,11 @@
 	if n.announced.pendingSince == never {
 		n.announced.pendingSince = m.now
 	}
-	if patience := m.announceDelay(n); m.now < n.announced.pendingSince+patience {
-		return n.announced.pendingSince + patience
+	if delay := m.announceDelay(n); m.now < n.announced.pendingSince+delay {
+		return n.announced.pendingSince + delay
 	}
 	n.announced.queued = true
-	m.outbox.queue(n, m.urgency(n, own), m.now)
+	m.outbox.queue(n, m.priority(n, own), m.now)
 	return forever
 }
 
@@ -39,7 +39,7 @@
 // contradictedSince reports whether another front reported the node reachable after this front sent its unanswered probe.
 // This front then probes again before it announces anything, and announces the result of that probe in any case.
 func (m *Monitor) contradictedSince(n *node, own observation) bool {
-	return own.state == Silent && n.contradicted > own.at && m.countOthers(n, Reachable) > 0
+	return own.state == Silent && n.contradictedAt > own.at && m.countOthers(n, Reachable) > 0
 }
 
 // zoneMayHoldSilent reports whether fronts of the zone may consider the node silent.
@@ -64,9 +64,9 @@
 	return standbyDelay
 }
 
-// urgency returns the priority of an announcement. Announcements that only refresh evidence, or withdraw evidence that no
+// priority returns the priority of an announcement. Announcements that only refresh evidence, or withdraw evidence that no
 // longer makes the zone avoid the node, have the lowest one.
-func (m *Monitor) urgency(n *node, own observation) urgency {
+func (m *Monitor) priority(n *node, own observation) priority {
 	switch {
 	case m.announcedState(n) == own.state:
 		return repeated
@@ -80,12 +80,12 @@
 
 // zoneAvoids reports whether the zone's other fronts avoid a node, judging by the announcements they received.
 func (m *Monitor) zoneAvoids(n *node) bool {
-	silent, back := m.countOthers(n, Silent), m.countOthers(n, Reachable)
+	silent, reached := m.countOthers(n, Silent), m.countOthers(n, Reachable)
 	switch m.announcedState(n) {
 	case Silent:
 		silent++
 	case Reachable:
-		back++
+		reached++
 	}
-	return silent >= m.config.Quorum && silent > back
+	return silent >= m.config.Quorum && silent > reached
 }
--- a/internal/fleet/health/api.go
+++ b/internal/fleet/health/api.go
@@ -113,10 +113,10 @@
 
 // Entry is evidence about one node.
 type Entry struct {
-	Node  uint64           // NodeKey of its name, or the hash of a set of nodes for StillSilent
-	Since scheduler.Micros // start of the node according to the sender's endpoint list, in whole milliseconds
-	State State
-	Age   scheduler.Micros // time since the observation, in whole milliseconds
+	Node      uint64           // NodeKey of its name, or the hash of a set of nodes for StillSilent
+	StartedAt scheduler.Micros // start of the node according to the sender's endpoint list, in whole milliseconds
+	State     State
+	Age       scheduler.Micros // time since the observation, in whole milliseconds
 }
 
 // Message carries evidence from one front to another. The sender is identified by its network address.
--- a/internal/fleet/health/attempts.go
+++ b/internal/fleet/health/attempts.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	stallFactor = 4 // an attempt may be stalled after this many mean latencies
-	latencySpan = 8 // the mean latency is a moving average with weight 1/8 for each new answer
+	stallFactor      = 4 // an attempt may be stalled after this many mean latencies
+	latencySmoothing = 8 // the mean latency is a moving average with weight 1/8 for each new answer
 )
 
 // attemptID identifies an attempt.
@@ -32,8 +32,8 @@
 	m.attempts[attemptID{e.ID, e.Attempt}] = attempt{n, n.start, m.now}
 	n.outstanding++
 	if n.outstanding == 1 {
-		n.owingSince = m.now
-		m.reviewBy(n, m.stallTime(n))
+		n.unansweredSince = m.now
+		m.reviewBy(n, m.stallDeadline(n))
 	}
 }
 
@@ -45,7 +45,7 @@
 	if n == nil || known && (a.node != n || a.start != n.start) {
 		return
 	}
-	owed := n.owingSince
+	stalledSince := n.unansweredSince
 	if known && n.outstanding > 0 {
 		n.outstanding--
 	}
@@ -54,11 +54,11 @@
 		if known && e.Result != scheduler.Reset {
 			n.updateLatency(m.now - a.sent)
 		}
-		m.answeredBy(n)
+		m.recordAnswer(n)
 	case e.Result == scheduler.Unreachable, e.Result == scheduler.Reset:
 		m.suspect(n, m.now)
-	case e.Result == scheduler.TimedOut && known && m.now-owed >= m.stallTimeout(n):
-		m.suspect(n, owed)
+	case e.Result == scheduler.TimedOut && known && m.now-stalledSince >= m.stallTimeout(n):
+		m.suspect(n, stalledSince)
 	}
 	if n.outstanding == 0 && n.investigation == nil {
 		m.due.remove(n)
@@ -76,52 +76,52 @@
 	return false
 }
 
-// answeredBy records an answer that this front received from a node. It overrides older evidence of other fronts.
-func (m *Monitor) answeredBy(n *node) {
-	n.answered, n.owingSince = m.now, m.now
+// recordAnswer records an answer that this front received from a node. It overrides older evidence of other fronts.
+func (m *Monitor) recordAnswer(n *node) {
+	n.answeredAt, n.unansweredSince = m.now, m.now
 	if n.investigation != nil {
-		m.reached(n)
+		m.recordReachable(n)
 		m.scheduleReview(n)
 	}
 }
 
 func (n *node) updateLatency(latency scheduler.Micros) {
-	if n.usualLatency == 0 {
-		n.usualLatency = latency
+	if n.meanLatency == 0 {
+		n.meanLatency = latency
 		return
 	}
-	n.usualLatency += (latency - n.usualLatency) / latencySpan
+	n.meanLatency += (latency - n.meanLatency) / latencySmoothing
 }
 
 // stallTimeout is the time without an answer after which a node with outstanding attempts is suspected.
 func (m *Monitor) stallTimeout(n *node) scheduler.Micros {
-	return max(m.config.SuspectAfter, stallFactor*n.usualLatency)
+	return max(m.config.SuspectAfter, stallFactor*n.meanLatency)
 }
 
-// stallTime is the time at which a node is suspected unless it answers before. It is
+// stallDeadline is the time at which a node is suspected unless it answers before. It is
 // forever if no attempt is outstanding or the node is suspected or avoided already.
-func (m *Monitor) stallTime(n *node) scheduler.Micros {
-	if n.outstanding == 0 || !n.running() || n.investigation != nil && (n.avoided || n.suspecting) {
+func (m *Monitor) stallDeadline(n *node) scheduler.Micros {
+	if n.outstanding == 0 || !n.running() || n.investigation != nil && (n.avoided || n.suspected) {
 		return forever
 	}
-	return max(n.owingSince+m.stallTimeout(n), n.lastSuspected+m.config.TakeoverAfter)
+	return max(n.unansweredSince+m.stallTimeout(n), n.lastSuspected+m.config.TakeoverAfter)
 }
 
-// watchStall suspects a node whose attempts have been unanswered for too long.
-func (m *Monitor) watchStall(n *node) (next scheduler.Micros) {
-	if m.stallTime(n) <= m.now {
-		m.suspect(n, n.owingSince)
+// checkStall suspects a node whose attempts have been unanswered for too long.
+func (m *Monitor) checkStall(n *node) (next scheduler.Micros) {
+	if m.stallDeadline(n) <= m.now {
+		m.suspect(n, n.unansweredSince)
 	}
-	return m.stallTime(n)
+	return m.stallDeadline(n)
 }
 
 // suspect records that requests of this front have stalled or failed at a node since the given time.
 func (m *Monitor) suspect(n *node, since scheduler.Micros) {
-	if !n.running() || n.investigation != nil && (n.avoided || n.suspecting) || m.now < n.lastSuspected+m.config.TakeoverAfter {
+	if !n.running() || n.investigation != nil && (n.avoided || n.suspected) || m.now < n.lastSuspected+m.config.TakeoverAfter {
 		return
 	}
 	n.investigate()
-	n.suspecting, n.suspectedSince, n.lastSuspected = true, since, m.now
+	n.suspected, n.suspectedSince, n.lastSuspected = true, since, m.now
 	// Remove this front's earlier success: it does not contradict fronts that find the node silent now.
 	n.evidence = slices.DeleteFunc(n.evidence, func(o observation) bool {
 		return o.front == m.config.Self && o.state == Reachable && o.at <= since
--- a/internal/fleet/health/audit_test.go
+++ b/internal/fleet/health/audit_test.go
@@ -10,10 +10,10 @@
 func (t *trial) audit(f *simFront, a Action) {
 	switch a := a.(type) {
 	case StartProbe:
-		if t.asked[f.number] == nil {
-			t.asked[f.number] = map[string]scheduler.Micros{}
+		if t.probeStarts[f.number] == nil {
+			t.probeStarts[f.number] = map[string]scheduler.Micros{}
 		}
-		t.asked[f.number][a.Node] = t.now
+		t.probeStarts[f.number][a.Node] = t.now
 	case SendMessage:
 		t.auditSend(f, a)
 	case ReportSilent:
@@ -25,7 +25,7 @@
 func (t *trial) auditSend(f *simFront, a SendMessage) {
 	size := len(a.Message.Encode())
 	if size > MessageLimit || size != a.Message.size() {
-		t.say("front %d sends %d bytes, size() returns %d", f.number, size, a.Message.size())
+		t.addViolation("front %d sends %d bytes, size() returns %d", f.number, size, a.Message.size())
 	}
 	list := append(t.sent[f.number], sentBytes{t.now, size})
 	for list[0].at < t.now-second {
@@ -37,12 +37,12 @@
 		sum += s.bytes
 	}
 	if sum > smallBytes {
-		t.say("front %d sends %d bytes within a second", f.number, sum)
+		t.addViolation("front %d sends %d bytes within a second", f.number, sum)
 	}
 	for _, e := range a.Message.Entries { // every front that receives it may count it
 		if e.State == Silent {
 			for _, to := range t.fronts {
-				t.silent[sighting{to.number, f.number, e.Node, e.Since}] = t.now - e.Age
+				t.silentObservations[silentObservation{to.number, f.number, e.Node, e.StartedAt}] = t.now - e.Age
 			}
 		}
 	}
@@ -50,30 +50,30 @@
 
 // auditReport checks that a quorum of fronts has recent unanswered probes of the reported start of the node.
 func (t *trial) auditReport(f *simFront, a ReportSilent) {
-	key, start := NodeKey(a.Node), wireSince(a.StartedAt)
+	key, start := NodeKey(a.Node), encodeStart(a.StartedAt)
 	origins := 0
 	for _, other := range t.fronts {
-		at, told := t.silent[sighting{f.number, other.number, key, start}]
+		at, told := t.silentObservations[silentObservation{f.number, other.number, key, start}]
 		if other == f {
-			at, told = t.asked[f.number][a.Node]
+			at, told = t.probeStarts[f.number][a.Node]
 		}
-		if told && at > t.now-smallLife-second {
+		if told && at > t.now-smallEvidenceLifetime-second {
 			origins++
 		}
 	}
 	if origins < f.config.Quorum {
-		t.say("front %d reports %s silent with evidence from only %d fronts", f.number, a.Node, origins)
+		t.addViolation("front %d reports %s silent with evidence from only %d fronts", f.number, a.Node, origins)
 	}
-	if a.StartedAt != f.known[a.Node] {
-		t.say("front %d reports an earlier start of a node silent", f.number)
+	if a.StartedAt != f.knownStarts[a.Node] {
+		t.addViolation("front %d reports an earlier start of a node silent", f.number)
 	}
 }
 
-func (t *trial) checkWanted() {
+func (t *trial) checkProbeRequests() {
 	for _, f := range t.fronts {
-		for node, at := range f.wanted {
-			if !f.paused && !f.gone && t.now > at+answerWithin {
-				t.say("front %d has not answered a probe request for %s for %d ms", f.number, node, (t.now-at)/1000)
+		for node, at := range f.probeRequests {
+			if !f.paused && !f.removed && t.now > at+maxAnswerTime {
+				t.addViolation("front %d has not answered a probe request for %s for %d ms", f.number, node, (t.now-at)/1000)
 			}
 		}
 	}
@@ -84,7 +84,7 @@
 		var avoid []int
 		living := 0
 		for _, f := range t.fronts {
-			if f.gone {
+			if f.removed {
 				continue
 			}
 			living++
@@ -95,9 +95,9 @@
 		}
 		switch {
 		case n.dead && len(avoid) < living:
-			t.say("%s is silent, but only fronts %v avoid it", n.name, avoid)
+			t.addViolation("%s is silent, but only fronts %v avoid it", n.name, avoid)
 		case !n.dead && len(avoid) > 0:
-			t.say("%s is running, but fronts %v avoid it", n.name, avoid)
+			t.addViolation("%s is running, but fronts %v avoid it", n.name, avoid)
 		}
 	}
 }
@@ -108,6 +108,6 @@
 	if n.running() && n.investigation != nil && n.avoided && !slices.ContainsFunc(n.evidence, func(o observation) bool {
 		return o.state == Silent && o.at > t.now-1
 	}) {
-		t.say("front %d avoids %s, which has just answered it", f.number, node)
+		t.addViolation("front %d avoids %s, which has just answered it", f.number, node)
 	}
 }
--- a/internal/fleet/health/codec.go
+++ b/internal/fleet/health/codec.go
@@ -15,21 +15,21 @@
 const (
 	MessageLimit = 256 // maximum bytes of a message
 
-	messageMark    = 0xF1
-	messageVersion = 1
-	fixedBytes     = 9 // magic byte, version and incarnation
-	longestHeader  = fixedBytes + 2*binary.MaxVarintLen64
-	entryBytes     = 10
-	keyBits        = 40
-	sinceBits      = 24
-	ageBits        = 13
-	runBits        = 56
-	milli          = scheduler.Micros(1000)
-	longestAge     = (1<<ageBits - 1) * milli
+	messageMagic     = 0xF1
+	messageVersion   = 1
+	fixedHeaderBytes = 9 // magic byte, version and incarnation
+	maxHeaderBytes   = fixedHeaderBytes + 2*binary.MaxVarintLen64
+	entryBytes       = 10
+	keyBits          = 40
+	startBits        = 24
+	ageBits          = 13
+	incarnationBits  = 56
+	milli            = scheduler.Micros(1000)
+	maxAge           = (1<<ageBits - 1) * milli
 )
 
 // entriesPerMessage is the number of entries that fit into a message with a header of maximum size.
-const entriesPerMessage = (MessageLimit - longestHeader) / entryBytes
+const entriesPerMessage = (MessageLimit - maxHeaderBytes) / entryBytes
 
 // Errors that Decode wraps.
 var (
@@ -42,13 +42,13 @@
 )
 
 // IsMessage reports whether a datagram between fronts is a health message, of any version.
-func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == messageMark }
+func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == messageMagic }
 
 // Encode returns the encoded message. Entries beyond MessageLimit bytes are omitted, starting from the last.
 func (m Message) Encode() []byte {
 	out := make([]byte, 0, MessageLimit)
-	out = append(out, messageMark, messageVersion)
-	out = appendBits(out, uint64(m.Incarnation), runBits)
+	out = append(out, messageMagic, messageVersion)
+	out = appendBits(out, uint64(m.Incarnation), incarnationBits)
 	out = binary.AppendUvarint(out, uint64(m.Sequence))
 	out = binary.AppendVarint(out, floorMillis(m.Sent-scheduler.Micros(m.Incarnation)))
 	for _, e := range m.Entries {
@@ -63,19 +63,19 @@
 // size returns the number of bytes that Encode returns.
 func (m Message) size() int {
 	var scratch [binary.MaxVarintLen64]byte
-	header := fixedBytes + binary.PutUvarint(scratch[:], uint64(m.Sequence))
+	header := fixedHeaderBytes + binary.PutUvarint(scratch[:], uint64(m.Sequence))
 	header += binary.PutVarint(scratch[:], floorMillis(m.Sent-scheduler.Micros(m.Incarnation)))
 	return header + entryBytes*min(len(m.Entries), (MessageLimit-header)/entryBytes)
 }
 
 func (e Entry) append(out []byte) []byte {
 	out = appendBits(out, e.Node, keyBits)
-	out = appendBits(out, uint64(e.Since/milli), sinceBits)
+	out = appendBits(out, uint64(e.StartedAt/milli), startBits)
 	state := uint16(0) // Decode rejects it
 	if e.State <= StillSilent {
 		state = uint16(e.State)
 	}
-	age := uint16(min(max(e.Age, 0), longestAge) / milli)
+	age := uint16(min(max(e.Age, 0), maxAge) / milli)
 	return binary.BigEndian.AppendUint16(out, state<<ageBits|age)
 }
 
@@ -90,18 +90,18 @@
 		return Message{}, ErrCut
 	case data[1] != messageVersion:
 		return Message{}, fmt.Errorf("%w: %d", ErrVersion, data[1])
-	case len(data) < fixedBytes:
+	case len(data) < fixedHeaderBytes:
 		return Message{}, ErrCut
 	}
-	out := Message{Incarnation: int64(bits(data[2:fixedBytes]))}
-	rest := data[fixedBytes:]
+	out := Message{Incarnation: int64(bits(data[2:fixedHeaderBytes]))}
+	rest := data[fixedHeaderBytes:]
 	sequence, n := binary.Uvarint(rest)
 	if err := varintError(n, sequence > 1<<32-1); err != nil {
 		return Message{}, fmt.Errorf("sequence: %w", err)
 	}
 	rest = rest[n:]
 	sent, n := binary.Varint(rest)
-	if err := varintError(n, sent > 1<<runBits/1000 || sent < -1<<runBits/1000); err != nil {
+	if err := varintError(n, sent > 1<<incarnationBits/1000 || sent < -1<<incarnationBits/1000); err != nil {
 		return Message{}, fmt.Errorf("clock: %w", err)
 	}
 	rest = rest[n:]
@@ -120,12 +120,12 @@
 }
 
 func decodeEntry(data []byte) (Entry, error) {
-	last := binary.BigEndian.Uint16(data[8:])
+	stateAndAge := binary.BigEndian.Uint16(data[8:])
 	e := Entry{
-		Node:  bits(data[:5]),
-		Since: scheduler.Micros(bits(data[5:8])) * milli,
-		State: State(last >> ageBits),
-		Age:   scheduler.Micros(last&(1<<ageBits-1)) * milli,
+		Node:      bits(data[:5]),
+		StartedAt: scheduler.Micros(bits(data[5:8])) * milli,
+		State:     State(stateAndAge >> ageBits),
+		Age:       scheduler.Micros(stateAndAge&(1<<ageBits-1)) * milli,
 	}
 	if e.State < Reachable || e.State > StillSilent {
 		return Entry{}, fmt.Errorf("%w: %d", ErrState, e.State)
@@ -135,11 +135,11 @@
 
 // varintError returns the error of decoding a varint, nil for none. n is the length that binary.Uvarint returned: 0 for
 // truncated input, negative for overflow. outside is set if the value is out of its range.
-func varintError(n int, outside bool) error {
+func varintError(n int, outOfRange bool) error {
 	switch {
 	case n == 0:
 		return ErrCut
-	case n < 0 || outside:
+	case n < 0 || outOfRange:
 		return ErrHeader
 	}
 	return nil
@@ -171,13 +171,13 @@
 	return ms
 }
 
-// wireSince returns a node's start in the encoding of entries: whole milliseconds, modulo 2^24 ms.
-func wireSince(since scheduler.Micros) scheduler.Micros {
-	return scheduler.Micros(uint64(floorMillis(since))&(1<<sinceBits-1)) * milli
+// encodeStart returns a node's start in the encoding of entries: whole milliseconds, modulo 2^24 ms.
+func encodeStart(start scheduler.Micros) scheduler.Micros {
+	return scheduler.Micros(uint64(floorMillis(start))&(1<<startBits-1)) * milli
 }
 
 // startedLater reports whether encoded start a is later than b. The encoding wraps around, so the shorter distance counts.
 func startedLater(a, b scheduler.Micros) bool {
-	ahead := uint64(a/milli-b/milli) & (1<<sinceBits - 1)
-	return ahead > 0 && ahead < 1<<(sinceBits-1)
+	difference := uint64(a/milli-b/milli) & (1<<startBits - 1)
+	return difference > 0 && difference < 1<<(startBits-1)
 }
--- a/internal/fleet/health/codec_test.go
+++ b/internal/fleet/health/codec_test.go
@@ -15,14 +15,14 @@
 	m.Sent = scheduler.Micros(m.Incarnation) + scheduler.Micros(random.Int64N(1<<40)-1<<30)*milli
 	for range entries {
 		m.Entries = append(m.Entries, Entry{
-			Node: random.Uint64N(1 << keyBits), Since: scheduler.Micros(random.Uint64N(1<<sinceBits)) * milli,
+			Node: random.Uint64N(1 << keyBits), StartedAt: scheduler.Micros(random.Uint64N(1<<startBits)) * milli,
 			State: Reachable + State(random.IntN(3)), Age: scheduler.Micros(random.Uint64N(1<<ageBits)) * milli,
 		})
 	}
 	return m
 }
 
-func TestMessagesComeThroughWhole(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	random := newRandom(1)
 	for i := range 5000 {
 		m := randomMessage(random, i%(entriesPerMessage+1))
@@ -30,23 +30,23 @@
 		if len(data) > MessageLimit || len(data) != m.size() || !IsMessage(data) {
 			t.Fatalf("encoded %d bytes, size() returns %d", len(data), m.size())
 		}
-		back, err := Decode(data)
-		if err != nil || !reflect.DeepEqual(back, m) {
-			t.Fatalf("error %v, decoded %+v, want %+v", err, back, m)
+		decoded, err := Decode(data)
+		if err != nil || !reflect.DeepEqual(decoded, m) {
+			t.Fatalf("error %v, decoded %+v, want %+v", err, decoded, m)
 		}
 	}
 }
 
 // Messages that a Monitor sends are unchanged by encoding and decoding: it rounds all times to milliseconds itself.
-func TestWhatIsSentComesThroughWhole(t *testing.T) {
-	w := newWorld(1, zonesOf(1, 5), 30, nil)
+func TestSentMessagesRoundTrip(t *testing.T) {
+	w := newSimulation(1, zonesOf(1, 5), 30, nil)
 	sent := 0
-	w.each = func(_ *simFront, a Action) {
+	w.onAction = func(_ *simFront, a Action) {
 		if s, ok := a.(SendMessage); ok {
 			sent++
-			back, err := Decode(s.Message.Encode())
-			if err != nil || !reflect.DeepEqual(back, s.Message) {
-				t.Fatalf("error %v, decoded %+v, want %+v", err, back, s.Message)
+			decoded, err := Decode(s.Message.Encode())
+			if err != nil || !reflect.DeepEqual(decoded, s.Message) {
+				t.Fatalf("error %v, decoded %+v, want %+v", err, decoded, s.Message)
 			}
 		}
 	}
@@ -59,15 +59,15 @@
 }
 
 // Encode omits entries that do not fit and limits ages to their range. Decode rejects the encoding of an invalid state.
-func TestEncodeKeepsToItsBounds(t *testing.T) {
+func TestEncodeLimitsSizeAndAges(t *testing.T) {
 	m := randomMessage(newRandom(2), 200)
-	m.Entries[0].Age, m.Entries[1].Age = 10*longestAge, -5
+	m.Entries[0].Age, m.Entries[1].Age = 10*maxAge, -5
 	data := m.Encode()
 	if len(data) > MessageLimit || len(data) != m.size() {
 		t.Errorf("encoded %d bytes, size() returns %d", len(data), m.size())
 	}
-	back, err := Decode(data)
-	if err != nil || back.Entries[0].Age != longestAge || back.Entries[1].Age != 0 {
+	decoded, err := Decode(data)
+	if err != nil || decoded.Entries[0].Age != maxAge || decoded.Entries[1].Age != 0 {
 		t.Errorf("error %v, or ages out of range are not limited", err)
 	}
 	m.Entries = []Entry{{State: 9}}
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestBadMessagesAreRefused(t *testing.T) {
+func TestDecodeRejectsInvalidMessages(t *testing.T) {
 	good := randomMessage(newRandom(3), 3).Encode()
 	change := func(at int, to byte) []byte {
 		out := bytes.Clone(good)
@@ -95,9 +95,9 @@
 		"another version":    {change(1, 2), ErrVersion},
 		"oversized":          {append(bytes.Clone(good), make([]byte, MessageLimit)...), ErrTooLong},
 		"invalid state":      {change(len(good)-2, 0), ErrState},
-		"sequence too large": {append(bytes.Clone(good[:fixedBytes]), 0xff, 0xff, 0xff, 0xff, 0xff, 0x01, 0), ErrHeader},
-		"clock too large":    {append(bytes.Clone(good[:fixedBytes]), 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f), ErrHeader},
-		"unending sequence":  {append(bytes.Clone(good[:fixedBytes]), bytes.Repeat([]byte{0xff}, 11)...), ErrHeader},
+		"sequence too large": {append(bytes.Clone(good[:fixedHeaderBytes]), 0xff, 0xff, 0xff, 0xff, 0xff, 0x01, 0), ErrHeader},
+		"clock too large":    {append(bytes.Clone(good[:fixedHeaderBytes]), 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f), ErrHeader},
+		"unending sequence":  {append(bytes.Clone(good[:fixedHeaderBytes]), bytes.Repeat([]byte{0xff}, 11)...), ErrHeader},
 	} {
 		if _, err := Decode(c.data); !errors.Is(err, c.want) {
 			t.Errorf("%s: error %v, want %v", name, err, c.want)
@@ -116,19 +116,19 @@
 	for entries := range 4 {
 		f.Add(randomMessage(random, entries).Encode())
 	}
-	f.Add(tells(1, 10*second, Silent, 0).Encode())
-	f.Fuzz(func(t *testing.T, data []byte) { feed(t, data) })
+	f.Add(messageAboutA(1, 10*second, Silent, 0).Encode())
+	f.Fuzz(func(t *testing.T, data []byte) { deliverDatagram(t, data) })
 }
 
-func feed(t *testing.T, data []byte) {
-	m := front(t, 0, zonesOf(1, 4), 10*second)
+func deliverDatagram(t *testing.T, data []byte) {
+	m := newTestMonitor(t, 0, zonesOf(1, 4), 10*second)
 	message, err := Decode(data)
 	if err != nil {
 		m.Unreadable()
 		return
 	}
-	if again, err := Decode(message.Encode()); err != nil || !reflect.DeepEqual(again, message) {
-		t.Fatalf("error %v, decoded %+v, want %+v", err, again, message)
+	if decoded, err := Decode(message.Encode()); err != nil || !reflect.DeepEqual(decoded, message) {
+		t.Fatalf("error %v, decoded %+v, want %+v", err, decoded, message)
 	}
 	for from := range 4 {
 		m.Step(10*second+scheduler.Micros(from), []Event{MessageReceived{from, message}})
@@ -143,13 +143,13 @@
 }
 
 // Randomly corrupted and truncated datagrams are handled like those of FuzzDecode.
-func TestChangedMessagesDoNoHarm(t *testing.T) {
+func TestCorruptedMessagesAreHarmless(t *testing.T) {
 	random := newRandom(5)
 	for range 20_000 {
-		data := tells(1, 10*second, Silent, 0).Encode()
+		data := messageAboutA(1, 10*second, Silent, 0).Encode()
 		for range 1 + random.IntN(4) {
 			data[random.IntN(len(data))] = byte(random.Uint32())
 		}
-		feed(t, data[:random.IntN(len(data)+1)])
+		deliverDatagram(t, data[:random.IntN(len(data)+1)])
 	}
 }
--- a/internal/fleet/health/config.go
+++ b/internal/fleet/health/config.go
@@ -10,36 +10,36 @@
 
 // Values that Defaults returns. Times are in microseconds.
 const (
-	DefaultProbers       = 3
-	DefaultQuorum        = 2
-	DefaultSuspectAfter  = 50_000
-	DefaultProbeLate     = 100_000
-	DefaultEvidenceLife  = 6_000_000
-	DefaultTakeoverAfter = 1_000_000
-	DefaultProbesPerNode = 40
-	DefaultMessageBytes  = 8192
+	DefaultProbers          = 3
+	DefaultQuorum           = 2
+	DefaultSuspectAfter     = 50_000
+	DefaultProbeTimeout     = 100_000
+	DefaultEvidenceLifetime = 6_000_000
+	DefaultTakeoverAfter    = 1_000_000
+	DefaultProbesPerNode    = 40
+	DefaultMessageRate      = 8192
 )
 
 // MaxEvidenceLife is the maximum of Config.EvidenceLifetime: the age of an entry is encoded in 13 bits of milliseconds.
 const MaxEvidenceLife scheduler.Micros = 8_000_000
 
 // Defaults returns the default configuration of front number self in a fleet with the given zone of each front.
-func Defaults(self int, run int64, zones []int) Config {
+func Defaults(self int, incarnation int64, zones []int) Config {
 	return Config{
-		Self: self, Incarnation: run, Zones: zones,
+		Self: self, Incarnation: incarnation, Zones: zones,
 		Probers: DefaultProbers, Quorum: DefaultQuorum,
-		SuspectAfter: DefaultSuspectAfter, ProbeTimeout: DefaultProbeLate,
-		EvidenceLifetime: DefaultEvidenceLife, TakeoverAfter: DefaultTakeoverAfter,
-		ProbesPerNode: DefaultProbesPerNode, MessageRate: DefaultMessageBytes,
+		SuspectAfter: DefaultSuspectAfter, ProbeTimeout: DefaultProbeTimeout,
+		EvidenceLifetime: DefaultEvidenceLifetime, TakeoverAfter: DefaultTakeoverAfter,
+		ProbesPerNode: DefaultProbesPerNode, MessageRate: DefaultMessageRate,
 	}
 }
 
 // Validate returns an error that names every invalid field, by its name in the operator's configuration file.
 func (c Config) Validate() error {
-	var wrong []error
+	var problems []error
 	check := func(bad bool, format string, args ...any) {
 		if bad {
-			wrong = append(wrong, fmt.Errorf(format, args...))
+			problems = append(problems, fmt.Errorf(format, args...))
 		}
 	}
 	check(len(c.Zones) == 0, "zones: must not be empty")
@@ -60,12 +60,12 @@
 	check(c.TakeoverAfter <= 0, "takeover_after: must be above 0")
 	check(!(c.ProbesPerNode > 0), "probes_per_node: must be above 0")
 	if c.Probers > 0 && c.ProbesPerNode > 0 && c.EvidenceLifetime > 0 {
-		least := float64(c.probersOfAllZones()) / seconds(c.slowestProbe())
-		check(c.ProbesPerNode < least, "probes_per_node: %g, but the %d probers of a node need at least %.3g to keep evidence fresh",
-			c.ProbesPerNode, c.probersOfAllZones(), least)
+		minRate := float64(c.probersOfAllZones()) / seconds(c.maxProbeInterval())
+		check(c.ProbesPerNode < minRate, "probes_per_node: %g, but the %d probers of a node need at least %.3g to keep evidence fresh",
+			c.ProbesPerNode, c.probersOfAllZones(), minRate)
 	}
 	check(!(c.MessageRate >= MessageLimit), "message_bytes: must be at least %d", MessageLimit)
-	return errors.Join(wrong...)
+	return errors.Join(problems...)
 }
 
 // smallestZone returns the zone with the fewest fronts and the number of its fronts, 0 if there are no fronts.
@@ -99,14 +99,14 @@
 	return len(zones) * c.Probers
 }
 
-// slowestProbe is the maximum time between two probes of a node by one of its probers: the result of a probe must reach
+// maxProbeInterval is the maximum time between two probes of a node by one of its probers: the result of a probe must reach
 // all fronts before the result of the last one expires.
-func (c Config) slowestProbe() scheduler.Micros {
-	return min(slowestProbe, c.EvidenceLifetime/repeatsPerLifetime)
+func (c Config) maxProbeInterval() scheduler.Micros {
+	return min(maxProbeInterval, c.EvidenceLifetime/repeatsPerLifetime)
 }
 
-// probePace is the time between two probes of one prober that keeps the total rate of all probers at ProbesPerNode.
-func (c Config) probePace() scheduler.Micros {
+// intervalPerProber is the time between two probes of one prober that keeps the total rate of all probers at ProbesPerNode.
+func (c Config) intervalPerProber() scheduler.Micros {
 	return scheduler.Micros(float64(c.probersOfAllZones()) / c.ProbesPerNode * microsPerSecond)
 }
 
--- a/internal/fleet/health/config_test.go
+++ b/internal/fleet/health/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestConfigsThatCannotBeNameTheField(t *testing.T) {
+func TestValidateNamesInvalidField(t *testing.T) {
 	zones := []int{0, 0, 0, 0, 0, 2, 2, 2}
 	for want, change := range map[string]func(c *Config){
 		"probers: 5, but zone 2 has 3 fronts":             func(c *Config) { c.Probers = 5 },
@@ -43,10 +43,10 @@
 
 // Reconfigure rejects an invalid configuration without any change. A valid one keeps the evidence of this zone's fronts
 // and pending probe requests, and drops evidence of fronts that are now in another zone.
-func TestReconfigureKeepsWhatHolds(t *testing.T) {
+func TestReconfigureKeepsValidState(t *testing.T) {
 	const now = 10 * second
-	m := front(t, 0, zonesOf(1, 6), now)
-	m.Step(now, []Event{MessageReceived{1, tells(1, now, Silent, 0)}, MessageReceived{2, tells(1, now, Silent, 0)}, ProbeRequested{"a"}})
+	m := newTestMonitor(t, 0, zonesOf(1, 6), now)
+	m.Step(now, []Event{MessageReceived{1, messageAboutA(1, now, Silent, 0)}, MessageReceived{2, messageAboutA(1, now, Silent, 0)}, ProbeRequested{"a"}})
 	bad := m.config
 	bad.Probers = 7
 	if m.Reconfigure(bad) == nil || m.config.Probers != DefaultProbers {
--- a/internal/fleet/health/cost_test.go
+++ b/internal/fleet/health/cost_test.go
@@ -8,8 +8,8 @@
 	"otterturn/scheduler"
 )
 
-// atFullSize returns a Monitor in a fleet of 1,200 fronts and 1,800 nodes, and the names of the nodes.
-func atFullSize(t testing.TB) (*Monitor, []string) {
+// newFullSizeMonitor returns a Monitor in a fleet of 1,200 fronts and 1,800 nodes, and the names of the nodes.
+func newFullSizeMonitor(t testing.TB) (*Monitor, []string) {
 	m, err := New(Defaults(0, 1, zonesOf(10, 120)))
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 // A Monitor with 1,800 healthy nodes and requests to all of them must use at most 700,000 bytes.
 func TestMemoryOfHealthyNodes(t *testing.T) {
 	before := heapBytes()
-	m, names := atFullSize(t)
+	m, names := newFullSizeMonitor(t)
 	now := 2 * second
 	for i := range 20_000 {
 		now += 1400
@@ -42,10 +42,10 @@
 		m.Step(now, []Event{AttemptStarted{Node: names[i%1800], ID: id}})
 		m.Step(now+1000, []Event{AttemptEnded{Node: names[i%1800], ID: id, Result: scheduler.OK}})
 	}
-	took := int64(heapBytes()) - int64(before)
-	t.Logf("%d bytes of heap, including node names", took)
-	if took > 700_000 {
-		t.Errorf("%d bytes of heap, want at most 700000", took)
+	used := int64(heapBytes()) - int64(before)
+	t.Logf("%d bytes of heap, including node names", used)
+	if used > 700_000 {
+		t.Errorf("%d bytes of heap, want at most 700000", used)
 	}
 	for _, n := range m.byName {
 		if n.investigation != nil {
@@ -56,8 +56,8 @@
 }
 
 // After silent nodes have returned, their investigations and all pending work are discarded.
-func TestTroubleIsForgotten(t *testing.T) {
-	w := newWorld(1, zonesOf(1, 6), 10, nil)
+func TestInvestigationsAreDiscarded(t *testing.T) {
+	w := newSimulation(1, zonesOf(1, 6), 10, nil)
 	w.load(3, w.nodes, w.now+20*second)
 	w.at(w.now+second, func() { w.setAll(true) })
 	w.at(w.now+4*second, func() { w.setAll(false) })
@@ -72,7 +72,7 @@
 		if kept > 0 {
 			t.Errorf("front %d keeps investigations of %d nodes", f.number, kept)
 		}
-		if len(f.monitor.attempts) > 0 || len(f.monitor.due) > 0 || len(f.monitor.outbox.rounds) > 0 {
+		if len(f.monitor.attempts) > 0 || len(f.monitor.due) > 0 || len(f.monitor.outbox.broadcasts) > 0 {
 			t.Errorf("front %d keeps %d attempts and %d nodes due for review, or unfinished broadcasts", f.number, len(f.monitor.attempts), len(f.monitor.due))
 		}
 	}
@@ -80,7 +80,7 @@
 
 // BenchmarkStepHealthy measures the start and end of an attempt at one of 1,800 healthy nodes, with 35 attempts outstanding.
 func BenchmarkStepHealthy(b *testing.B) {
-	m, names := atFullSize(b)
+	m, names := newFullSizeMonitor(b)
 	now := 2 * second
 	ids := make([]string, 4096)
 	for i := range ids {
@@ -96,9 +96,9 @@
 	}
 }
 
-// BenchmarkStepTrouble measures the processing of a message from each of two fronts about 20 of 180 silent nodes.
-func BenchmarkStepTrouble(b *testing.B) {
-	m, names := atFullSize(b)
+// BenchmarkStepSilentNodes measures the processing of a message from each of two fronts about 20 of 180 silent nodes.
+func BenchmarkStepSilentNodes(b *testing.B) {
+	m, names := newFullSizeMonitor(b)
 	now := 2 * second
 	sequence := uint32(0)
 	steps := 0
@@ -109,7 +109,7 @@
 		message := Message{Incarnation: 1, Sequence: sequence, Sent: now}
 		for k := range 20 {
 			node := (i*20 + k) % 180
-			message.Entries = append(message.Entries, Entry{NodeKey(names[node]), wireSince(scheduler.Micros(node) * second), Silent, 0})
+			message.Entries = append(message.Entries, Entry{NodeKey(names[node]), encodeStart(scheduler.Micros(node) * second), Silent, 0})
 		}
 		m.Step(now, []Event{MessageReceived{1, message}, MessageReceived{2, message}})
 		steps++
--- a/internal/fleet/health/evidence.go
+++ b/internal/fleet/health/evidence.go
@@ -38,8 +38,8 @@
 	return slices.IndexFunc(e, func(o observation) bool { return o.front == front })
 }
 
-// of returns the observation of a front, if there is one.
-func (e evidence) of(front int) (observation, bool) {
+// actionsOf returns the observation of a front, if there is one.
+func (e evidence) observationOf(front int) (observation, bool) {
 	if i := e.find(front); i >= 0 {
 		return e[i], true
 	}
@@ -53,10 +53,10 @@
 
 // count returns the number of fronts that observed a state after the given time. If keep is not nil, only fronts for
 // which it returns true count.
-func (e evidence) count(state State, after scheduler.Micros, keep func(front int) bool) int {
+func (e evidence) count(state State, after scheduler.Micros, include func(front int) bool) int {
 	n := 0
 	for _, o := range e {
-		if o.state == state && o.at > after && (keep == nil || keep(o.front)) {
+		if o.state == state && o.at > after && (include == nil || include(o.front)) {
 			n++
 		}
 	}
--- a/internal/fleet/health/exhaustive_test.go
+++ b/internal/fleet/health/exhaustive_test.go
@@ -25,9 +25,9 @@
 	return moves
 }
 
-// Plays every sequence of faults in small simulations, with up to three waits after each fault: during a probe (30 ms),
-// after a delayed announcement (150 ms), and after a takeover (1.1 s).
-func TestEveryInterleavingOfSmallCases(t *testing.T) {
+// Plays every sequence of faults in small simulations, with up to three waits after each fault: within the duration of
+// a probe (30 ms), of a delayed message (150 ms) and of the lifetime of evidence (1.1 s).
+func TestAllFaultSequencesInSmallFleets(t *testing.T) {
 	const millisecond scheduler.Micros = 1000
 	for _, c := range []struct {
 		fronts, nodes, length int
@@ -42,10 +42,10 @@
 			t.Parallel()
 			played := 0
 			for _, wait := range c.waits {
-				each(allMoves(c.fronts, c.nodes, wait), c.length, func(list []move) {
+				forEachSequence(allMoves(c.fronts, c.nodes, wait), c.length, func(list []move) {
 					played++
-					for _, wrong := range newTrial(1, c.fronts, c.nodes, nil).play(list) {
-						t.Errorf("%v: %s", list, wrong)
+					for _, violation := range newTrial(1, c.fronts, c.nodes, nil).play(list) {
+						t.Errorf("%v: %s", list, violation)
 					}
 				})
 			}
@@ -54,19 +54,19 @@
 	}
 }
 
-// each calls do with every sequence of moves of the given length.
-func each(moves []move, length int, do func(list []move)) {
+// forEachSequence calls do with every sequence of moves of the given length.
+func forEachSequence(moves []move, length int, do func(list []move)) {
 	if length == 0 {
 		do(nil)
 		return
 	}
 	for _, m := range moves {
-		each(moves, length-1, func(rest []move) { do(append([]move{m}, rest...)) })
+		forEachSequence(moves, length-1, func(rest []move) { do(append([]move{m}, rest...)) })
 	}
 }
 
-// told is an observation received from another front in the message with the given sequence number.
-type told struct {
+// receivedObservation is an observation received from another front in the message with the given sequence number.
+type receivedObservation struct {
 	from     int
 	sequence uint32
 	state    State
@@ -74,9 +74,9 @@
 }
 
 // The order and duplication of messages must not change the final evidence and verdict of a front.
-func TestOrderAndRepetitionChangeNoVerdict(t *testing.T) {
+func TestVerdictIsIndependentOfMessageOrderAndDuplicates(t *testing.T) {
 	const now = 100 * second
-	all := []told{
+	all := []receivedObservation{
 		{1, 2, Silent, now - 3*second},
 		{1, 3, Reachable, now - 2*second},
 		{1, 4, Silent, now - second},
@@ -90,30 +90,30 @@
 	}
 	played := 0
 	var first *held
-	permute(all, func(order []told) {
+	permute(all, func(order []receivedObservation) {
 		for repeated := -1; repeated < len(order); repeated++ {
 			list := slices.Clone(order)
 			if repeated >= 0 {
 				list = append(list, order[repeated])
 			}
-			m := front(t, 0, zonesOf(1, 4), now)
+			m := newTestMonitor(t, 0, zonesOf(1, 4), now)
 			for from := 1; from < 4; from++ { // establish the clock offsets
 				m.Step(now, []Event{MessageReceived{from, Message{Incarnation: 1, Sequence: 1, Sent: now}}})
 			}
 			for _, e := range list {
 				m.Step(now, []Event{MessageReceived{e.from, Message{Incarnation: 1, Sequence: e.sequence, Sent: now, Entries: []Entry{
-					{Node: NodeKey("a"), Since: wireSince(second), State: e.state, Age: now - e.at},
+					{Node: NodeKey("a"), StartedAt: encodeStart(second), State: e.state, Age: now - e.at},
 				}}}})
 			}
 			n := m.byName["a"]
 			evidence := slices.Clone(n.evidence)
 			slices.SortFunc(evidence, func(a, b observation) int { return a.front - b.front })
-			is := held{n.avoided, sprint(evidence)}
+			outcome := held{n.avoided, sprint(evidence)}
 			if first == nil {
-				first = &is
+				first = &outcome
 			}
-			if is != *first {
-				t.Fatalf("messages %v lead to %v, other orders to %v", list, is, *first)
+			if outcome != *first {
+				t.Fatalf("messages %v lead to %v, other orders to %v", list, outcome, *first)
 			}
 			played++
 		}
@@ -125,13 +125,13 @@
 }
 
 // permute calls do with every permutation of a list.
-func permute(list []told, do func([]told)) {
+func permute(list []receivedObservation, do func([]receivedObservation)) {
 	if len(list) <= 1 {
 		do(list)
 		return
 	}
 	for i := range list {
 		rest := slices.Concat(list[:i], list[i+1:])
-		permute(rest, func(order []told) { do(append([]told{list[i]}, order...)) })
+		permute(rest, func(order []receivedObservation) { do(append([]receivedObservation{list[i]}, order...)) })
 	}
 }
--- a/internal/fleet/health/faults_test.go
+++ b/internal/fleet/health/faults_test.go
@@ -7,7 +7,7 @@
 )
 
 // avoiding returns the number of pairs of a front and a node that it avoids.
-func (w *world) avoiding() (count int) {
+func (w *simulation) avoiding() (count int) {
 	for _, f := range w.fronts {
 		count += f.monitor.Counters().Avoided
 	}
@@ -15,16 +15,16 @@
 }
 
 // A front that was paused must not suspect nodes or find them silent because it read their answers late.
-func TestPausedFrontCondemnsNothing(t *testing.T) {
-	w := newWorld(2, zonesOf(1, 4), 3, nil)
+func TestPausedFrontReportsNoSilentNodes(t *testing.T) {
+	w := newSimulation(2, zonesOf(1, 4), 3, nil)
 	begin := w.now
 	w.load(20, w.nodes, begin+10*second)
-	told := 0
-	w.each = func(_ *simFront, a Action) {
+	negativeEntries := 0
+	w.onAction = func(_ *simFront, a Action) {
 		if s, ok := a.(SendMessage); ok {
 			for _, e := range s.Message.Entries {
 				if e.State != Reachable {
-					told++
+					negativeEntries++
 				}
 			}
 		}
@@ -34,17 +34,17 @@
 		w.at(at+700_000, func() { w.resume(w.fronts[0]) })
 	}
 	w.run(begin + 10*second)
-	if told > 0 || w.avoiding() > 0 {
-		t.Errorf("%d entries sent that report nodes silent or suspected, %d nodes avoided", told, w.avoiding())
+	if negativeEntries > 0 || w.avoiding() > 0 {
+		t.Errorf("%d entries sent that report nodes silent or suspected, %d nodes avoided", negativeEntries, w.avoiding())
 	}
 }
 
 // When probers crash, are paused or are disconnected, the next fronts by rank take over, and all fronts avoid the node.
-func TestOthersTakeOverFromProbers(t *testing.T) {
-	for name, fail := range map[string]func(w *world, f *simFront){
-		"dead":   func(_ *world, f *simFront) { f.life++ },
-		"paused": func(_ *world, f *simFront) { f.paused = true },
-		"cut": func(w *world, f *simFront) {
+func TestNextFrontsTakeOverFromFailedProbers(t *testing.T) {
+	for name, fail := range map[string]func(w *simulation, f *simFront){
+		"dead":   func(_ *simulation, f *simFront) { f.generation++ },
+		"paused": func(_ *simulation, f *simFront) { f.paused = true },
+		"cut": func(w *simulation, f *simFront) {
 			link := w.link
 			w.link = func(from, to int) []scheduler.Micros {
 				if from == f.number || to == f.number {
@@ -55,7 +55,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(3, zonesOf(1, 12), 1, nil)
+			w := newSimulation(3, zonesOf(1, 12), 1, nil)
 			begin := w.now
 			w.load(5, w.nodes, begin+20*second)
 			failed := rankFronts(w.fronts[0].monitor.zone, NodeKey("node-0"))[:DefaultProbers]
--- a/internal/fleet/health/wrong_test.go
+++ b/internal/fleet/health/faultyfront_test.go
@@ -10,21 +10,21 @@
 
 // One faulty front must not make others avoid a node that they can reach. The front is disconnected from all nodes (also
 // without receiving or sending messages), has slow links, is paused repeatedly, or reports all nodes silent.
-func TestOneWrongFrontCondemnsNothing(t *testing.T) {
+func TestSingleFaultyFrontMakesNoNodeAvoided(t *testing.T) {
 	const fronts, nodes = 8, 20
-	wrongs := map[string]func(w *world, f *simFront){
-		"cut off from nodes": func(w *world, f *simFront) {
+	faults := map[string]func(w *simulation, f *simFront){
+		"cut off from nodes": func(w *simulation, f *simFront) {
 			w.reaches = func(front int, _ *simNode) bool { return front != f.number }
 		},
-		"deaf": func(w *world, f *simFront) {
+		"deaf": func(w *simulation, f *simFront) {
 			w.reaches = func(front int, _ *simNode) bool { return front != f.number }
 			w.link = func(_, to int) []scheduler.Micros { return delays(to != f.number) }
 		},
-		"mute": func(w *world, f *simFront) {
+		"mute": func(w *simulation, f *simFront) {
 			w.reaches = func(front int, _ *simNode) bool { return front != f.number }
 			w.link = func(from, _ int) []scheduler.Micros { return delays(from != f.number) }
 		},
-		"slow": func(w *world, f *simFront) {
+		"slow": func(w *simulation, f *simFront) {
 			w.link = func(from, to int) []scheduler.Micros {
 				if from == f.number || to == f.number {
 					return []scheduler.Micros{100_000 + scheduler.Micros(w.random.IntN(900_000))}
@@ -32,26 +32,26 @@
 				return delays(true)
 			}
 		},
-		"paused": func(w *world, f *simFront) {
+		"paused": func(w *simulation, f *simFront) {
 			for i := range scheduler.Micros(10) {
 				w.at(w.now+i*second, func() { f.paused = true })
 				w.at(w.now+i*second+30_000+i*90_000, func() { w.resume(f) })
 			}
 		},
-		"lying": func(w *world, f *simFront) { lie(w, f, Silent) },
+		"lying": func(w *simulation, f *simFront) { broadcastState(w, f, Silent) },
 	}
-	for name, wrong := range wrongs {
+	for name, applyFault := range faults {
 		for number := range 3 {
 			t.Run(fmt.Sprintf("%s %d", name, number), func(t *testing.T) {
-				w := newWorld(uint64(number), zonesOf(2, fronts), nodes, nil)
+				w := newSimulation(uint64(number), zonesOf(2, fronts), nodes, nil)
 				f := w.fronts[number]
-				w.each = func(at *simFront, a Action) {
+				w.onAction = func(at *simFront, a Action) {
 					if r, ok := a.(ReportSilent); ok && at != f {
 						t.Errorf("front %d avoids %s, although it can reach it", at.number, r.Node)
 					}
 				}
 				w.load(2, w.nodes, w.now+12*second)
-				w.at(w.now+second, func() { wrong(w, f) })
+				w.at(w.now+second, func() { applyFault(w, f) })
 				w.run(w.now + 12*second)
 			})
 		}
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// lie makes a front send the same state for all nodes to all fronts, ten times per second.
-func lie(w *world, f *simFront, state State) {
+// broadcastState makes a front send the same state for all nodes to all fronts, ten times per second.
+func broadcastState(w *simulation, f *simFront, state State) {
 	sequence := uint32(1 << 20)
 	var again func()
 	again = func() {
@@ -75,9 +75,9 @@
 				sequence++
 				m := Message{Incarnation: f.config.Incarnation, Sequence: sequence, Sent: w.now}
 				for _, n := range part {
-					m.Entries = append(m.Entries, Entry{NodeKey(n.name), wireSince(n.start), state, 0})
+					m.Entries = append(m.Entries, Entry{NodeKey(n.name), encodeStart(n.start), state, 0})
 				}
-				w.to(to, w.now+500, MessageReceived{f.number, m})
+				w.deliverAt(to, w.now+500, MessageReceived{f.number, m})
 			}
 		}
 		w.at(w.now+second/10, again)
@@ -86,10 +86,10 @@
 }
 
 // A front that reports all nodes reachable must not keep other fronts from avoiding silent nodes.
-func TestOneFrontCannotCallASilentNodeWell(t *testing.T) {
-	w := newWorld(1, zonesOf(1, 8), 4, nil)
+func TestSingleFrontCannotKeepSilentNodeInUse(t *testing.T) {
+	w := newSimulation(1, zonesOf(1, 8), 4, nil)
 	w.load(5, w.nodes, w.now+10*second)
-	lie(w, w.fronts[0], Reachable)
+	broadcastState(w, w.fronts[0], Reachable)
 	w.at(w.now+second, func() { w.setAll(true) })
 	w.run(w.now + 4*second)
 	for _, f := range w.fronts[1:] {
@@ -100,9 +100,9 @@
 }
 
 // A zone that cannot reach some nodes avoids them, and no other zone does. It uses them again when it can reach them.
-func TestZoneThatCannotSeeAnotherCondemnsForItselfAlone(t *testing.T) {
+func TestOnlyAffectedZoneAvoidsUnreachableNodes(t *testing.T) {
 	const fronts = 6
-	w := newWorld(1, zonesOf(3, fronts), 10, nil)
+	w := newSimulation(1, zonesOf(3, fronts), 10, nil)
 	cut := false
 	w.reaches = func(front int, n *simNode) bool { return !cut || front >= fronts || n.index < 5 }
 	w.load(2, w.nodes, w.now+30*second)
--- a/internal/fleet/health/fullsize_test.go
+++ b/internal/fleet/health/fullsize_test.go
@@ -18,49 +18,49 @@
 	return out
 }
 
-// most returns the maximum number of times within one span.
-func most(times []scheduler.Micros, span scheduler.Micros) int {
+// maxWithin returns the maximum number of times within one span.
+func maxWithin(times []scheduler.Micros, span scheduler.Micros) int {
 	slices.Sort(times)
-	worst, from := 0, 0
+	highest, from := 0, 0
 	for i, at := range times {
 		for times[from] <= at-span {
 			from++
 		}
-		worst = max(worst, i-from+1)
+		highest = max(highest, i-from+1)
 	}
-	return worst
+	return highest
 }
 
 // The 180 nodes of a zone with 120 fronts become silent together and return 10 s later. The zone sends each node 47 requests
 // per second. The other nine zones of the fleet are not simulated, but count in the probe rate of each front.
-func TestZoneOfNodesFallsSilentAndReturns(t *testing.T) {
-	const fronts, perPair = 120, 0.39
+func TestZoneOfNodesBecomesSilentAndReturns(t *testing.T) {
+	const fronts, ratePerPair = 120, 0.39
 	nodes := 180
-	if underRace {
+	if raceEnabled {
 		nodes = 60
 	}
-	w := newWorld(1, zonesOf(10, fronts), nodes, nil)
+	w := newSimulation(1, zonesOf(10, fronts), nodes, nil)
 	w.fronts = w.fronts[:fronts]
 	begin := w.now
-	death, back := begin+2*second, begin+12*second
+	silentAt, returnAt := begin+2*second, begin+12*second
 	reports := map[string]int{}
-	var told []scheduler.Micros
-	sent, received := map[int][]scheduler.Micros{}, 0
-	w.each = func(_ *simFront, a Action) {
+	var reportTimes []scheduler.Micros
+	probeTimes, maxBytes := map[int][]scheduler.Micros{}, 0
+	w.onAction = func(_ *simFront, a Action) {
 		switch a := a.(type) {
 		case ReportSilent:
 			reports[a.Node]++
-			told = append(told, w.now-death)
+			reportTimes = append(reportTimes, w.now-silentAt)
 		case StartProbe:
-			if w.now > death && w.now < back {
-				sent[w.byName[a.Node].index] = append(sent[w.byName[a.Node].index], w.now)
+			if w.now > silentAt && w.now < returnAt {
+				probeTimes[w.byName[a.Node].index] = append(probeTimes[w.byName[a.Node].index], w.now)
 			}
 		}
 	}
-	w.load(perPair, w.nodes, begin+20*second)
-	w.at(death, func() { w.setAll(true) })
-	w.at(back, func() { w.setAll(false) })
-	w.run(back)
+	w.load(ratePerPair, w.nodes, begin+20*second)
+	w.at(silentAt, func() { w.setAll(true) })
+	w.at(returnAt, func() { w.setAll(false) })
+	w.run(returnAt)
 	for _, f := range w.fronts {
 		if c := f.monitor.Counters(); c.Avoided != nodes {
 			t.Errorf("front %d avoids %d of %d silent nodes", f.number, c.Avoided, nodes)
@@ -68,14 +68,14 @@
 	}
 	failed := 0
 	for _, f := range w.fronts {
-		for _, n := range f.failed {
+		for _, n := range f.failedRequests {
 			failed += n
 		}
 	}
 	w.run(begin + 20*second)
 	for _, f := range w.fronts {
-		if c := f.monitor.Counters(); c.Avoided != 0 || len(f.wanted) > 0 {
-			t.Errorf("front %d avoids %d nodes that have returned and has %d unanswered probe requests", f.number, c.Avoided, len(f.wanted))
+		if c := f.monitor.Counters(); c.Avoided != 0 || len(f.probeRequests) > 0 {
+			t.Errorf("front %d avoids %d nodes that have returned and has %d unanswered probe requests", f.number, c.Avoided, len(f.probeRequests))
 		}
 	}
 	for _, n := range w.nodes {
@@ -83,55 +83,55 @@
 			t.Errorf("%s: %d silent reports at %d fronts", n.name, reports[n.name], fronts)
 		}
 	}
-	slices.Sort(told)
-	if last := told[len(told)-1]; last > 2*second {
+	slices.Sort(reportTimes)
+	if last := reportTimes[len(reportTimes)-1]; last > 2*second {
 		t.Errorf("the last report came after %d ms, want at most 2000 ms", last/1000)
 	}
 	sum := scheduler.Micros(0)
-	for _, at := range told {
+	for _, at := range reportTimes {
 		sum += at
 	}
-	mean := sum / scheduler.Micros(len(told))
-	worst := 0
+	mean := sum / scheduler.Micros(len(reportTimes))
+	maxProbes := 0
 	for _, f := range w.fronts {
-		received = max(received, f.mostBytes())
+		maxBytes = max(maxBytes, f.maxBytesPerSecond())
 	}
-	for _, times := range sent {
-		worst = max(worst, most(times, second))
+	for _, times := range probeTimes {
+		maxProbes = max(maxProbes, maxWithin(times, second))
 	}
 	// Without sharing, each front would lose at least one request to find out that a node is silent.
 	if failed*10 > fronts*nodes {
 		t.Errorf("%d requests failed at %d nodes, more than a tenth of %d", failed, nodes, fronts*nodes)
 	}
-	if received > 16<<10 {
-		t.Errorf("a front sent and received %d bytes in one second, want at most 16384", received)
+	if maxBytes > 16<<10 {
+		t.Errorf("a front sent and received %d bytes in one second, want at most 16384", maxBytes)
 	}
 	t.Logf("time to report: mean %d ms, median %d, 90th percentile %d, max %d; failed requests per node %.1f; max probes per second %d; max bytes per second %d",
-		mean/1000, told[len(told)/2]/1000, told[len(told)*9/10]/1000, told[len(told)-1]/1000, float64(failed)/float64(nodes), worst, received)
+		mean/1000, reportTimes[len(reportTimes)/2]/1000, reportTimes[len(reportTimes)*9/10]/1000, reportTimes[len(reportTimes)-1]/1000, float64(failed)/float64(nodes), maxProbes, maxBytes)
 }
 
 // A silent node receives at most 50 probes per second from a fleet of 1,200 fronts: only the probers of each zone probe it.
-func TestProbesOfASilentNodeStayWithinTheirBound(t *testing.T) {
+func TestProbeRateOfSilentNodeIsLimited(t *testing.T) {
 	seeds := 5
-	if underRace {
+	if raceEnabled {
 		seeds = 1
 	}
 	for seed := range uint64(seeds) {
-		w := newWorld(seed, zonesOf(10, 120), 1, nil)
+		w := newSimulation(seed, zonesOf(10, 120), 1, nil)
 		begin := w.now
 		w.load(0.39, w.nodes, begin+30*second)
 		w.at(begin+2*second, func() { w.setAll(true) })
 		w.run(begin + 30*second)
-		var silent []scheduler.Micros
+		var probeTimes []scheduler.Micros
 		for _, at := range w.nodes[0].probes {
 			if at > begin+2*second {
-				silent = append(silent, at)
+				probeTimes = append(probeTimes, at)
 			}
 		}
-		worst := most(silent, second)
-		if worst > 50 {
-			t.Errorf("seed %d: %d probes in one second, want at most 50", seed, worst)
+		maxProbes := maxWithin(probeTimes, second)
+		if maxProbes > 50 {
+			t.Errorf("seed %d: %d probes in one second, want at most 50", seed, maxProbes)
 		}
-		t.Logf("seed %d: %d probes in 28 s, at most %d in one second", seed, len(silent), worst)
+		t.Logf("seed %d: %d probes in 28 s, at most %d in one second", seed, len(probeTimes), maxProbes)
 	}
 }
--- a/internal/fleet/health/inbox.go
+++ b/internal/fleet/health/inbox.go
@@ -9,39 +9,39 @@
 
 // peer is the state kept for a front that has sent messages.
 type peer struct {
-	run    int64
-	newest uint32           // highest sequence number received
-	seen   uint64           // bit i is set if sequence number newest-i was received
-	offset scheduler.Micros // minimum difference between this clock and the time of sending, corrected for drift
-	at     scheduler.Micros // time of the last update of offset, never before the first message
+	incarnation    int64
+	newestSequence uint32           // highest sequence number received
+	receivedMask   uint64           // bit i is set if sequence number newest-i was received
+	minOffset      scheduler.Micros // minimum difference between the time of receipt and of sending, corrected for drift
+	offsetAt       scheduler.Micros // time of the last update of minOffset, never before the first message
 }
 
 // repeated reports whether a message of the incarnation was received before, or is too old to know. It marks the message
 // as received.
 func (p *peer) repeated(sequence uint32) bool {
-	if sequence > p.newest || p.seen == 0 {
-		p.seen = p.seen<<(sequence-p.newest) | 1
-		p.newest = sequence
+	if sequence > p.newestSequence || p.receivedMask == 0 {
+		p.receivedMask = p.receivedMask<<(sequence-p.newestSequence) | 1
+		p.newestSequence = sequence
 		return false
 	}
-	back := p.newest - sequence
-	if back >= replayWindow || p.seen&(1<<back) != 0 {
+	distance := p.newestSequence - sequence
+	if distance >= replayWindow || p.receivedMask&(1<<distance) != 0 {
 		return true
 	}
-	p.seen |= 1 << back
+	p.receivedMask |= 1 << distance
 	return false
 }
 
-// delay estimates the transit time of a message: the clock difference minus the minimum difference over the messages of
+// delayUntil estimates the transit time of a message: the clock difference minus the minimum difference over the messages of
 // the incarnation. The first message of an incarnation has a delay of 0.
 func (p *peer) delay(now, sent scheduler.Micros) scheduler.Micros {
 	difference := now - sent
-	if p.at == never {
-		p.offset, p.at = difference, now
+	if p.offsetAt == never {
+		p.minOffset, p.offsetAt = difference, now
 		return 0
 	}
-	p.offset, p.at = min(p.offset+(now-p.at)/driftDivisor, difference), now
-	return difference - p.offset
+	p.minOffset, p.offsetAt = min(p.minOffset+(now-p.offsetAt)/driftDivisor, difference), now
+	return difference - p.minOffset
 }
 
 // received handles a message from another front.
@@ -52,11 +52,11 @@
 		return
 	}
 	p := m.peers[e.From]
-	if p == nil || e.Message.Incarnation > p.run {
-		p = &peer{run: e.Message.Incarnation, at: never}
+	if p == nil || e.Message.Incarnation > p.incarnation {
+		p = &peer{incarnation: e.Message.Incarnation, offsetAt: never}
 		m.peers[e.From] = p
 	}
-	if e.Message.Incarnation < p.run || m.checks.repeated(p, e.Message.Sequence) {
+	if e.Message.Incarnation < p.incarnation || m.checks.repeated(p, e.Message.Sequence) {
 		m.drop(DropRepeated)
 		return
 	}
@@ -92,9 +92,9 @@
 		return DropUnknown
 	case e.Age < 0:
 		return DropFuture
-	case !m.checks.sameStart(e.Since, n.encodedStart) && startedLater(e.Since, n.encodedStart):
+	case !m.checks.sameStart(e.StartedAt, n.encodedStart) && startedLater(e.StartedAt, n.encodedStart):
 		return DropFuture
-	case !m.checks.sameStart(e.Since, n.encodedStart):
+	case !m.checks.sameStart(e.StartedAt, n.encodedStart):
 		return DropOutdated
 	case e.Age+delay >= m.config.EvidenceLifetime:
 		return DropExpired
@@ -114,13 +114,13 @@
 
 // addObservation adds an observation of another front. If it contradicts this front's own, it records the time.
 func (m *Monitor) addObservation(n *node, o observation) {
-	former, known := n.evidence.of(o.front)
-	own, seen := n.evidence.of(m.config.Self)
-	turned := o.state == Reachable && !(known && former.state == Reachable)
-	if turned && seen && own.state == Silent && n.contradicted <= own.at {
-		n.contradicted = m.now
+	previous, known := n.evidence.observationOf(o.front)
+	own, seen := n.evidence.observationOf(m.config.Self)
+	newlyReachable := o.state == Reachable && !(known && previous.state == Reachable)
+	if newlyReachable && seen && own.state == Silent && n.contradictedAt <= own.at {
+		n.contradictedAt = m.now
 	}
 	m.checks.add(&n.evidence, o)
 }
 
-func sameStart(told, listed scheduler.Micros) bool { return told == listed }
+func sameStart(reported, listed scheduler.Micros) bool { return reported == listed }
--- a/internal/fleet/health/list.go
+++ b/internal/fleet/health/list.go
@@ -8,55 +8,55 @@
 
 // endpointsChanged handles a change of the endpoint list. The list overrides all evidence.
 func (m *Monitor) endpointsChanged(e EndpointsChanged) {
-	named := map[string]bool{}
-	for _, l := range e.Nodes {
-		named[l.Node] = true
-		m.updateEndpoint(l)
+	listed := map[string]bool{}
+	for _, endpoint := range e.Nodes {
+		listed[endpoint.Node] = true
+		m.updateEndpoint(endpoint)
 	}
 	if !e.Full {
 		return
 	}
-	var gone []*node
+	var removed []*node
 	for _, n := range m.byName {
-		if !named[n.name] {
-			gone = append(gone, n)
+		if !listed[n.name] {
+			removed = append(removed, n)
 		}
 	}
-	slices.SortFunc(gone, byName)
-	for _, n := range gone {
+	slices.SortFunc(removed, byName)
+	for _, n := range removed {
 		m.remove(n)
 	}
 	m.rekey()
 }
 
-func (m *Monitor) updateEndpoint(l scheduler.Endpoint) {
-	n := m.byName[l.Node]
-	if l.State == scheduler.Removed {
+func (m *Monitor) updateEndpoint(endpoint scheduler.Endpoint) {
+	n := m.byName[endpoint.Node]
+	if endpoint.State == scheduler.Removed {
 		if n != nil {
 			m.remove(n)
 		}
 		return
 	}
 	if n == nil {
-		m.insert(l)
+		m.insert(endpoint)
 		return
 	}
-	if l.StartedAt != n.start {
-		n.start, n.encodedStart = l.StartedAt, wireSince(l.StartedAt)
-		n.outstanding, n.usualLatency, n.lastSuspected = 0, 0, never
+	if endpoint.StartedAt != n.start {
+		n.start, n.encodedStart = endpoint.StartedAt, encodeStart(endpoint.StartedAt)
+		n.outstanding, n.meanLatency, n.lastSuspected = 0, 0, never
 		m.dropInvestigation(n)
 	}
-	if l.State != n.state {
-		n.state = l.State
+	if endpoint.State != n.state {
+		n.state = endpoint.State
 		m.dropInvestigation(n)
 	}
 	m.scheduleReview(n)
 }
 
-func (m *Monitor) insert(l scheduler.Endpoint) {
+func (m *Monitor) insert(endpoint scheduler.Endpoint) {
 	n := &node{
-		name: l.Node, key: NodeKey(l.Node), start: l.StartedAt, encodedStart: wireSince(l.StartedAt), state: l.State,
-		answered: never, owingSince: never, lastSuspected: never,
+		name: endpoint.Node, key: NodeKey(endpoint.Node), start: endpoint.StartedAt, encodedStart: encodeStart(endpoint.StartedAt), state: endpoint.State,
+		answeredAt: never, unansweredSince: never, lastSuspected: never,
 	}
 	m.byName[n.name] = n
 	if other := m.byKey[n.key]; other != nil {
@@ -112,11 +112,11 @@
 	if n.avoided {
 		m.avoidedNodes--
 	}
-	out := n.probe
+	runningProbe := n.probe
 	n.investigation = nil
-	if out.running {
-		out.inconclusive, out.forScheduler = true, false
-		n.investigate().probe = out
+	if runningProbe.running {
+		runningProbe.inconclusive, runningProbe.forScheduler = true, false
+		n.investigate().probe = runningProbe
 	}
 	m.scheduleReview(n)
 }
--- a/internal/fleet/health/monitor.go
+++ b/internal/fleet/health/monitor.go
@@ -28,19 +28,19 @@
 	requestBytes  window.Window[scheduler.Micros] // the part of them for requests and answers to requests
 	receivedBytes window.Window[scheduler.Micros] // bytes received in the last second
 
-	usualProbeTime scheduler.Micros // moving average of the time until a probe is answered
-	timerAt        scheduler.Micros // time of the pending SetTimer, forever if there is none
-	counts         Counters
-	avoidedNodes   int
-	checks         inputChecks
+	meanProbeTime scheduler.Micros // moving average of the time until a probe is answered
+	timerAt       scheduler.Micros // time of the pending SetTimer, forever if there is none
+	counts        Counters
+	avoidedNodes  int
+	checks        inputChecks
 }
 
 // inputChecks are the functions that tests replace with faulty ones.
 type inputChecks struct {
-	repeated  func(p *peer, sequence uint32) bool
-	sameStart func(told, listed scheduler.Micros) bool
-	add       func(e *evidence, o observation)
-	round     func(lacked, takeoverAfter scheduler.Micros) int
+	repeated     func(p *peer, sequence uint32) bool
+	sameStart    func(told, listed scheduler.Micros) bool
+	add          func(e *evidence, o observation)
+	requestRound func(lacked, takeoverAfter scheduler.Micros) int
 }
 
 // New returns a Monitor without nodes.
@@ -55,7 +55,7 @@
 		unknownProbes: map[string]bool{}, peers: map[int]*peer{}, outbox: newOutbox(),
 		sentBytes: window.New(rateSpan), requestBytes: window.New(rateSpan), receivedBytes: window.New(rateSpan),
 		counts: Counters{Dropped: map[Drop]int64{}},
-		checks: inputChecks{repeated: (*peer).repeated, sameStart: sameStart, add: (*evidence).add, round: roundOf},
+		checks: inputChecks{repeated: (*peer).repeated, sameStart: sameStart, add: (*evidence).add, requestRound: requestRoundAfter},
 	}, nil
 }
 
@@ -66,18 +66,18 @@
 		return err
 	}
 	c.Zones = slices.Clone(c.Zones)
-	former := m.config
+	previous := m.config
 	m.config, m.zone = c, c.zoneFronts()
 	stays := func(front int) bool {
-		return slices.Contains(m.zone, front) && (front == c.Self) == (front == former.Self)
+		return slices.Contains(m.zone, front) && (front == c.Self) == (front == previous.Self)
 	}
 	maps.DeleteFunc(m.peers, func(front int, _ *peer) bool { return !stays(front) })
-	m.outbox.retainFronts(stays, c.Incarnation == former.Incarnation && c.Self == former.Self)
+	m.outbox.retainFronts(stays, c.Incarnation == previous.Incarnation && c.Self == previous.Self)
 	for _, n := range slices.SortedFunc(maps.Values(m.byName), byName) {
 		if n.investigation == nil {
 			continue
 		}
-		n.ranked = nil
+		n.ranking = nil
 		n.evidence = slices.DeleteFunc(n.evidence, func(o observation) bool { return !stays(o.front) })
 		n.requesters = slices.DeleteFunc(n.requesters, func(a requester) bool { return !stays(a.front) })
 		m.scheduleReview(n)
@@ -163,7 +163,7 @@
 	if n.investigation != nil {
 		next = m.reviewSuspect(n)
 	}
-	next = min(next, m.watchStall(n))
+	next = min(next, m.checkStall(n))
 	if next >= forever {
 		m.due.remove(n)
 		return
@@ -192,15 +192,15 @@
 
 // idle reports whether the investigation of a node holds no information and can be discarded.
 func (n *node) idle() bool {
-	return !n.avoided && !n.suspecting && !n.schedulerWaits && !n.probe.running && n.returnAt == 0 &&
+	return !n.avoided && !n.suspected && !n.schedulerWaits && !n.probe.running && n.returnAt == 0 &&
 		len(n.evidence) == 0 && len(n.requesters) == 0 && !n.announced.queued
 }
 
 // rank computes the ranking of the zone's fronts for a node.
 func (m *Monitor) rank(n *node) {
-	if n.ranked == nil {
-		n.ranked = rankFronts(m.zone, n.key)
-		n.rank = slices.Index(n.ranked, m.config.Self)
+	if n.ranking == nil {
+		n.ranking = rankFronts(m.zone, n.key)
+		n.rank = slices.Index(n.ranking, m.config.Self)
 	}
 }
 
--- a/internal/fleet/health/node.go
+++ b/internal/fleet/health/node.go
@@ -11,11 +11,11 @@
 	state        scheduler.NodeState
 	keyCollision bool // another node has the same key: no evidence about either is exchanged
 
-	answered      scheduler.Micros // time of the latest answer to this front
-	usualLatency  scheduler.Micros // moving average of the latency, 0 before the first answer
-	outstanding   int              // number of attempts without a result
-	owingSince    scheduler.Micros // time since which the node has answered nothing; valid while attempts are outstanding
-	lastSuspected scheduler.Micros // time of the last suspicion by this front
+	answeredAt      scheduler.Micros // time of the latest answer to this front
+	meanLatency     scheduler.Micros // moving average of the latency, 0 before the first answer
+	outstanding     int              // number of attempts without a result
+	unansweredSince scheduler.Micros // time since which the node has answered nothing; valid while attempts are outstanding
+	lastSuspected   scheduler.Micros // time of the last suspicion by this front
 
 	due           scheduler.Micros // time of the next review
 	heapIndex     int              // position in the queue of reviews, from 1; 0 if the node is not in it
@@ -25,28 +25,28 @@
 
 // investigation is the state of a node that is suspected or probed, has evidence, or has a waiting requester.
 type investigation struct {
-	ranked []int // fronts of the zone by descending rank; the first Probers fronts are the probers
-	rank   int   // index of this front in the ranking; 0 is the highest rank
+	ranking []int // fronts of the zone by descending rank; the first Probers fronts are the probers
+	rank    int   // index of this front in the ranking; 0 is the highest rank
 
 	evidence     evidence
 	avoided      bool
 	avoidedUntil scheduler.Micros // time at which this front last stopped avoiding the node
 	returnAt     scheduler.Micros // time at which the scheduler's deferred probe is answered after the node returned, 0 for none
 
-	suspecting     bool
-	suspectedSince scheduler.Micros // time since which requests of this front have stalled or failed
-	lacking        bool             // sufficient evidence is missing
-	lackingSince   scheduler.Micros // time since which it is missing
-	round          int              // number of the current round of evidence requests
-	takeover       bool             // this front probes because other fronts provided no evidence
+	suspected            bool
+	suspectedSince       scheduler.Micros // time since which requests of this front have stalled or failed
+	lackingEvidence      bool             // sufficient evidence is missing
+	lackingEvidenceSince scheduler.Micros // time since which it is missing
+	requestRound         int              // number of the current round of evidence requests
+	takeover             bool             // this front probes because other fronts provided no evidence
 
 	requesters    []requester
 	probedForZone bool // this front has probed for the zone, as a prober or instead of one
 	probe         probe
 	silentSince   scheduler.Micros // time of the first of the consecutive unanswered probes, never if the last one was answered
 
-	announced    announcement
-	contradicted scheduler.Micros // time at which another front first reported the node reachable after this front's probe failed
+	announced      announcement
+	contradictedAt scheduler.Micros // time at which another front first reported the node reachable after this front's probe failed
 
 	schedulerWaits      bool // a ProbeRequested has not been answered
 	schedulerWaitsSince scheduler.Micros
@@ -81,7 +81,7 @@
 	if n.investigation == nil {
 		n.investigation = &investigation{
 			avoidedUntil: never, suspectedSince: never, silentSince: never,
-			probe: probe{notBefore: never}, announced: announcement{at: never, pendingSince: never}, contradicted: never,
+			probe: probe{notBefore: never}, announced: announcement{at: never, pendingSince: never}, contradictedAt: never,
 		}
 	}
 	return n.investigation
--- a/internal/fleet/health/doubt.go
+++ b/internal/fleet/health/pause.go
@@ -9,7 +9,7 @@
 	}
 	for _, n := range m.due {
 		if n.outstanding > 0 {
-			n.owingSince = m.now
+			n.unansweredSince = m.now
 		}
 		if n.investigation != nil && n.probe.running {
 			n.probe.inconclusive = true
--- a/internal/fleet/health/probing.go
+++ b/internal/fleet/health/probing.go
@@ -3,10 +3,10 @@
 import "otterturn/scheduler"
 
 const (
-	fastestProbe     scheduler.Micros = 200_000   // minimum time between two probes of a node
-	slowestProbe     scheduler.Micros = 2_000_000 // maximum time between two probes of a node by one of its probers
+	minProbeInterval scheduler.Micros = 200_000   // minimum time between two probes of a node
+	maxProbeInterval scheduler.Micros = 2_000_000 // maximum time between two probes of a node by one of its probers
 	silenceDivisor                    = 8         // the interval between probes grows to the duration of the silence divided by this
-	lateFactor                        = 4         // a probe may count as failed after this multiple of the mean probe time
+	timeoutFactor                     = 4         // a probe may count as failed after this multiple of the mean probe time
 	maxTimeoutFactor                  = 4         // a probe counts as failed at the latest after this multiple of ProbeTimeout
 	pausedAfter      scheduler.Micros = 500_000   // a timer that fires later than this indicates that this front was paused
 )
@@ -15,26 +15,26 @@
 // during a longer pause a probe could time out although its answer is waiting to be read.
 func (c Config) pausedAfter() scheduler.Micros { return min(pausedAfter, c.ProbeTimeout/2) }
 
-// onDuty reports whether this front must probe a node for its zone.
-func (m *Monitor) onDuty(n *node) bool {
-	own, seen := n.evidence.of(m.config.Self)
+// mustProbe reports whether this front must probe a node for its zone.
+func (m *Monitor) mustProbe(n *node) bool {
+	own, seen := n.evidence.observationOf(m.config.Self)
 	silent := seen && own.state == Silent
 	if n.rank < m.config.Probers {
-		return len(n.requesters) > 0 || n.suspecting || n.avoided || silent || m.countOthers(n, Silent) > 0
+		return len(n.requesters) > 0 || n.suspected || n.avoided || silent || m.countOthers(n, Silent) > 0
 	}
 	for _, a := range n.requesters {
-		if !m.covered(n, a.at-m.config.ProbeTimeout) {
+		if !m.coveredByHigherRanked(n, a.at-m.config.ProbeTimeout) {
 			return true
 		}
 	}
-	return n.takeover || n.probedForZone && silent && !m.covered(n, never)
+	return n.takeover || n.probedForZone && silent && !m.coveredByHigherRanked(n, never)
 }
 
-// covered reports whether a quorum of higher-ranked fronts has fresh observations of the node from after the given time.
-func (m *Monitor) covered(n *node, after scheduler.Micros) bool {
+// coveredByHigherRanked reports whether a quorum of higher-ranked fronts has fresh observations of the node from after the given time.
+func (m *Monitor) coveredByHigherRanked(n *node, after scheduler.Micros) bool {
 	after = max(after, m.now-m.config.freshEvidenceAge())
-	ahead := func(front int) bool { return m.ranksHigher(n, front) }
-	return n.evidence.count(Silent, after, ahead)+n.evidence.count(Reachable, after, ahead) >= m.config.Quorum
+	higherRanked := func(front int) bool { return m.ranksHigher(n, front) }
+	return n.evidence.count(Silent, after, higherRanked)+n.evidence.count(Reachable, after, higherRanked) >= m.config.Quorum
 }
 
 // runProbes starts the probes of a node that this front must probe, and handles the timeout of a running probe.
@@ -42,12 +42,12 @@
 	if n.probe.running {
 		return m.expireProbe(n)
 	}
-	if !m.onDuty(n) {
+	if !m.mustProbe(n) {
 		return forever
 	}
 	n.probedForZone = true
-	if own, seen := n.evidence.of(m.config.Self); seen && m.contradictedSince(n, own) {
-		n.probe.notBefore = min(n.probe.notBefore, n.probe.sentAt+fastestProbe)
+	if own, seen := n.evidence.observationOf(m.config.Self); seen && m.contradictedSince(n, own) {
+		n.probe.notBefore = min(n.probe.notBefore, n.probe.sentAt+minProbeInterval)
 	}
 	if m.now < n.probe.notBefore {
 		return n.probe.notBefore
@@ -57,7 +57,7 @@
 }
 
 func (m *Monitor) startProbe(n *node) {
-	n.probe = probe{running: true, sentAt: m.now, notBefore: m.now + fastestProbe}
+	n.probe = probe{running: true, sentAt: m.now, notBefore: m.now + minProbeInterval}
 	m.counts.Probes++
 	m.actions = append(m.actions, StartProbe{Node: n.name})
 }
@@ -66,9 +66,9 @@
 	if n.probe.countedFailed || n.probe.inconclusive {
 		return forever
 	}
-	late := max(m.config.ProbeTimeout, min(lateFactor*m.usualProbeTime, maxTimeoutFactor*m.config.ProbeTimeout))
-	if m.now < n.probe.sentAt+late {
-		return n.probe.sentAt + late
+	timeout := max(m.config.ProbeTimeout, min(timeoutFactor*m.meanProbeTime, maxTimeoutFactor*m.config.ProbeTimeout))
+	if m.now < n.probe.sentAt+timeout {
+		return n.probe.sentAt + timeout
 	}
 	m.probeFailed(n)
 	return forever
@@ -77,7 +77,7 @@
 // probeFailed records the failure of a probe.
 func (m *Monitor) probeFailed(n *node) {
 	n.probe.countedFailed = true
-	if n.probe.sentAt < n.answered { // an attempt was answered after the probe was sent
+	if n.probe.sentAt < n.answeredAt { // an attempt was answered after the probe was sent
 		return
 	}
 	first := n.silentSince == never
@@ -88,7 +88,7 @@
 	n.probe.notBefore = n.probe.sentAt + m.probeInterval(n)
 	if first {
 		// All probers start at the same time, so their second probes are spread over one interval.
-		n.probe.notBefore += scheduler.Micros(share(m.config.Self, n.key) * float64(m.probeInterval(n)))
+		n.probe.notBefore += scheduler.Micros(hashFraction(m.config.Self, n.key) * float64(m.probeInterval(n)))
 	}
 	if !n.probedForZone {
 		m.suspect(n, n.probe.sentAt)
@@ -98,16 +98,16 @@
 
 // probeInterval returns the time between two probes of a silent node by this front.
 func (m *Monitor) probeInterval(n *node) scheduler.Micros {
-	pace := max(m.config.probePace(), (m.now-n.silentSince)/silenceDivisor, fastestProbe)
-	slowest := max(m.config.slowestProbe(), fastestProbe)
+	interval := max(m.config.intervalPerProber(), (m.now-n.silentSince)/silenceDivisor, minProbeInterval)
+	maxInterval := max(m.config.maxProbeInterval(), minProbeInterval)
 	switch {
 	case n.rank >= m.config.Probers: // fronts that do not receive each other's messages may all probe
-		all := float64(len(m.config.Zones)) / m.config.ProbesPerNode * microsPerSecond
-		return min(pace, max(scheduler.Micros(all), slowest))
+		fleetInterval := float64(len(m.config.Zones)) / m.config.ProbesPerNode * microsPerSecond
+		return min(interval, max(scheduler.Micros(fleetInterval), maxInterval))
 	case n.rank >= m.config.Quorum && m.countHigherRanked(n, Silent) >= m.config.Quorum: // standby: other probers provide the evidence
-		return slowest
+		return maxInterval
 	}
-	return min(pace, slowest)
+	return min(interval, maxInterval)
 }
 
 func (m *Monitor) probeEnded(e ProbeEnded) {
@@ -121,8 +121,8 @@
 	}
 	n.probe.running = false
 	if e.OK {
-		m.usualProbeTime += (m.now - n.probe.sentAt - m.usualProbeTime) / latencySpan
-		m.answeredBy(n)
+		m.meanProbeTime += (m.now - n.probe.sentAt - m.meanProbeTime) / latencySmoothing
+		m.recordAnswer(n)
 	} else if !n.probe.countedFailed && !n.probe.inconclusive {
 		m.probeFailed(n)
 	}
@@ -136,10 +136,10 @@
 	m.scheduleReview(n)
 }
 
-// reached records that a probe or an attempt of this front reached a node under investigation.
-func (m *Monitor) reached(n *node) {
+// recordReachable records that a probe or an attempt of this front reached a node under investigation.
+func (m *Monitor) recordReachable(n *node) {
 	n.silentSince = never
-	if n.evidence.count(Silent, never, nil) > 0 || len(n.requesters) > 0 || n.suspecting {
+	if n.evidence.count(Silent, never, nil) > 0 || len(n.requesters) > 0 || n.suspected {
 		n.evidence.add(observation{m.config.Self, Reachable, m.now})
 	}
 }
--- a/internal/fleet/health/race_test.go
+++ b/internal/fleet/health/race_test.go
@@ -2,5 +2,5 @@
 
 package health
 
-// underRace is true under the race detector. It makes tests about ten times slower, so long tests then run fewer cases.
-const underRace = true
+// raceEnabled is true under the race detector. It makes tests about ten times slower, so long tests then run fewer cases.
+const raceEnabled = true
--- a/internal/fleet/health/ranking.go
+++ b/internal/fleet/health/ranking.go
@@ -40,7 +40,7 @@
 	return out
 }
 
-// share returns a number in [0, 1) that depends only on a front and a node. It spreads delays over the fronts.
-func share(front int, key uint64) float64 {
+// hashFraction returns a number in [0, 1) that depends only on a front and a node. It spreads delays over the fronts.
+func hashFraction(front int, key uint64) float64 {
 	return float64(weight(front, ^key)>>11) / (1 << 53)
 }
--- a/internal/fleet/health/region_test.go
+++ b/internal/fleet/health/region_test.go
@@ -10,20 +10,20 @@
 // nodes, and less under the race detector). The updates about its nodes exceed the rate limit, so it takes
 // seconds until all fronts avoid the nodes. From then on the verdicts must last, although not every repetition is sent, and
 // they must end when the connection returns.
-func TestRegionIsCutOffAndHeals(t *testing.T) {
-	fronts, nodes, perPair := 60, 450, 0.78
-	if underRace {
-		fronts, nodes, perPair = 40, 200, 1
+func TestRegionBecomesUnreachableAndReturns(t *testing.T) {
+	fronts, nodes, ratePerPair := 60, 450, 0.78
+	if raceEnabled {
+		fronts, nodes, ratePerPair = 40, 200, 1
 	}
 	pairs := fronts * nodes
-	w := newWorld(1, zonesOf(10, fronts), nodes, func(c *Config) { // same message rate per pair of front and node as at full size
-		c.MessageRate = DefaultMessageBytes * float64(fronts) / 120
+	w := newSimulation(1, zonesOf(10, fronts), nodes, func(c *Config) { // same message rate per pair of front and node as at full size
+		c.MessageRate = DefaultMessageRate * float64(fronts) / 120
 	})
 	w.fronts = w.fronts[:fronts]
 	cut := w.now + second
 	var reports int
 	probes := map[string][]scheduler.Micros{}
-	w.each = func(_ *simFront, a Action) {
+	w.onAction = func(_ *simFront, a Action) {
 		switch a := a.(type) {
 		case ReportSilent:
 			reports++
@@ -33,25 +33,25 @@
 			}
 		}
 	}
-	w.load(perPair, w.nodes, cut+24*second)
+	w.load(ratePerPair, w.nodes, cut+24*second)
 	w.at(cut, func() { w.setAll(true) })
-	least := pairs
+	minAvoided := pairs
 	for at := cut + second; at <= cut+10*second; at += second {
 		w.run(at)
 		if at >= cut+6*second {
-			least = min(least, w.avoiding())
+			minAvoided = min(minAvoided, w.avoiding())
 		}
 	}
 	// In some pairs the evidence may just have expired and been requested again; without StillSilent entries half had.
-	if least < pairs*97/100 || reports > pairs*103/100 {
-		t.Errorf("at least %d of %d pairs avoided, %d silent reports", least, pairs, reports)
+	if minAvoided < pairs*97/100 || reports > pairs*103/100 {
+		t.Errorf("at least %d of %d pairs avoided, %d silent reports", minAvoided, pairs, reports)
 	}
-	busiest, worst := 0, 0
+	maxProbes, maxBytes := 0, 0
 	for _, times := range probes {
-		busiest = max(busiest, most(times, second))
+		maxProbes = max(maxProbes, maxWithin(times, second))
 	}
-	if busiest > 15 { // the limit of the whole fleet is 50, this is one of ten zones; many requests make further fronts probe
-		t.Errorf("%d probes of a node in one second, want at most 15", busiest)
+	if maxProbes > 15 { // the limit of the whole fleet is 50, this is one of ten zones; many requests make further fronts probe
+		t.Errorf("%d probes of a node in one second, want at most 15", maxProbes)
 	}
 	w.setAll(false)
 	w.run(cut + 18*second)
@@ -59,13 +59,13 @@
 		t.Errorf("%d pairs still avoided 8 s after the connection returned", left)
 	}
 	for _, f := range w.fronts {
-		worst = max(worst, f.mostBytes())
-		for node, at := range f.wanted {
-			if w.now > at+DefaultEvidenceLife+(maxRequestRounds+3)*DefaultTakeoverAfter+second {
+		maxBytes = max(maxBytes, f.maxBytesPerSecond())
+		for node, at := range f.probeRequests {
+			if w.now > at+DefaultEvidenceLifetime+(maxRequestRounds+3)*DefaultTakeoverAfter+second {
 				t.Errorf("front %d has not answered a probe request for %s for %d ms", f.number, node, (w.now-at)/1000)
 			}
 		}
 	}
 	t.Logf("at least %d of %d pairs avoided after 6 s, %d silent reports, at most %d probes of a node and %d bytes in both directions per second",
-		least, pairs, reports, busiest, worst)
+		minAvoided, pairs, reports, maxProbes, maxBytes)
 }
--- a/internal/fleet/health/schedule_test.go
+++ b/internal/fleet/health/schedule_test.go
@@ -45,21 +45,21 @@
 
 // trial plays a schedule of moves in a small simulation and audits all actions.
 type trial struct {
-	*world
-	wrong    []string
-	cutLinks map[[2]int]bool
-	cutReach map[int]bool
-	lose     scheduler.Micros // messages are lost until this time; copies and delay likewise
-	copies   scheduler.Micros
-	delay    scheduler.Micros
-	silent   map[sighting]scheduler.Micros // time of the last silent observation that a front received or made
-	sent     map[int][]sentBytes
-	asked    map[int]map[string]scheduler.Micros // time of the last probe by front and node
-	broken   func(m *Monitor)                    // puts a deliberate fault into each Monitor
+	*simulation
+	violations         []string
+	cutLinks           map[[2]int]bool
+	cutReach           map[int]bool
+	loseUntil          scheduler.Micros // messages are lost until this time; copies and delay likewise
+	copyUntil          scheduler.Micros
+	delayUntil         scheduler.Micros
+	silentObservations map[silentObservation]scheduler.Micros // time of the last silent observation that a front received or made
+	sent               map[int][]sentBytes
+	probeStarts        map[int]map[string]scheduler.Micros // time of the last probe by front and node
+	mutate             func(m *Monitor)                    // puts a deliberate fault into each Monitor
 }
 
-// sighting identifies an observation that a start of a node is silent, made by front origin and known to front front.
-type sighting struct {
+// silentObservation identifies an observation that a start of a node is silent, made by front origin and known to front front.
+type silentObservation struct {
 	front, origin int
 	node          uint64
 	start         scheduler.Micros
@@ -67,51 +67,51 @@
 
 // Settings of small simulations: the times are shorter than the defaults, in the same order.
 const (
-	smallLife     = 3 * second
-	smallTakeover = second / 2
-	smallBytes    = 2048
-	smallLoad     = 4.0
-	faultFor      = 400_000 // duration of loss, duplication and delay of messages
-	// agreement is the time within which all fronts agree after all links work and the nodes no longer change: old evidence
+	smallEvidenceLifetime = 3 * second
+	smallTakeover         = second / 2
+	smallBytes            = 2048
+	smallRequestRate      = 4.0
+	faultDuration         = 400_000 // duration of loss, duplication and delay of messages
+	// agreementTime is the time within which all fronts agree after all links work and the nodes no longer change: old evidence
 	// expires, and fronts that lost newer evidence request it from the next fronts by rank.
-	agreement = smallLife + 4*smallTakeover
-	// answerWithin is the maximum time to answer a ProbeRequested: waiting for evidence, for this front's turn by rank and
+	agreementTime = smallEvidenceLifetime + 4*smallTakeover
+	// maxAnswerTime is the maximum time to answer a ProbeRequested: waiting for evidence, for this front's turn by rank and
 	// for its probe.
-	answerWithin = smallLife + (maxRequestRounds+3)*smallTakeover + second
+	maxAnswerTime = smallEvidenceLifetime + (maxRequestRounds+3)*smallTakeover + second
 )
 
-func newTrial(seed uint64, fronts, nodes int, broken func(m *Monitor)) *trial {
+func newTrial(seed uint64, fronts, nodes int, mutate func(m *Monitor)) *trial {
 	t := &trial{
-		cutLinks: map[[2]int]bool{}, cutReach: map[int]bool{}, silent: map[sighting]scheduler.Micros{},
-		sent: map[int][]sentBytes{}, asked: map[int]map[string]scheduler.Micros{}, broken: broken,
+		cutLinks: map[[2]int]bool{}, cutReach: map[int]bool{}, silentObservations: map[silentObservation]scheduler.Micros{},
+		sent: map[int][]sentBytes{}, probeStarts: map[int]map[string]scheduler.Micros{}, mutate: mutate,
 	}
 	probers := 2 + int(seed%2)*min(1, fronts-2)
-	t.world = newWorld(seed, zonesOf(1, fronts), nodes, func(c *Config) {
-		c.Probers, c.EvidenceLifetime, c.TakeoverAfter, c.MessageRate = probers, smallLife, smallTakeover, smallBytes
+	t.simulation = newSimulation(seed, zonesOf(1, fronts), nodes, func(c *Config) {
+		c.Probers, c.EvidenceLifetime, c.TakeoverAfter, c.MessageRate = probers, smallEvidenceLifetime, smallTakeover, smallBytes
 	})
-	t.encoded, t.link, t.reaches, t.each = true, t.fate, t.reach, t.audit
-	t.succeeded = t.checkSuccess
-	t.against = func(f *simFront, node string) {
-		t.say("front %d avoids %s, which is not running according to the endpoint list", f.number, node)
+	t.encoded, t.link, t.reaches, t.onAction = true, t.deliveryDelays, t.reach, t.audit
+	t.onSuccess = t.checkSuccess
+	t.onWrongAvoidance = func(f *simFront, node string) {
+		t.addViolation("front %d avoids %s, which is not running according to the endpoint list", f.number, node)
 	}
-	if broken != nil {
+	if mutate != nil {
 		for _, f := range t.fronts {
-			broken(f.monitor)
+			mutate(f.monitor)
 		}
 	}
 	return t
 }
 
-func (t *trial) fate(from, to int) []scheduler.Micros {
+func (t *trial) deliveryDelays(from, to int) []scheduler.Micros {
 	const usual = 500
 	switch {
 	case t.cutLinks[[2]int{from, to}]:
 		return nil
-	case t.now < t.lose:
+	case t.now < t.loseUntil:
 		return nil
-	case t.now < t.copies:
+	case t.now < t.copyUntil:
 		return []scheduler.Micros{usual, usual + 30_000, usual + 400_000}
-	case t.now < t.delay:
+	case t.now < t.delayUntil:
 		return []scheduler.Micros{700_000}
 	}
 	return []scheduler.Micros{usual + scheduler.Micros(t.random.IntN(1000))}
@@ -119,8 +119,8 @@
 
 func (t *trial) reach(front int, _ *simNode) bool { return !t.cutReach[front] }
 
-func (t *trial) say(format string, args ...any) {
-	t.wrong = append(t.wrong, fmt.Sprintf("%d ms: ", (t.now-1_000_000_000)/1000)+fmt.Sprintf(format, args...))
+func (t *trial) addViolation(format string, args ...any) {
+	t.violations = append(t.violations, fmt.Sprintf("%d ms: ", (t.now-1_000_000_000)/1000)+fmt.Sprintf(format, args...))
 }
 
 // apply applies the fault of a move.
@@ -139,7 +139,7 @@
 	case nodeRuns:
 		t.listAll(t.list())
 	case frontCrashes:
-		if !front.gone {
+		if !front.removed {
 			t.crash(front)
 		}
 	case frontLeaves:
@@ -153,11 +153,11 @@
 	case reachCut:
 		t.cutReach[front.number] = !t.cutReach[front.number]
 	case loseSome:
-		t.lose = t.now + faultFor
+		t.loseUntil = t.now + faultDuration
 	case copySome:
-		t.copies = t.now + faultFor
+		t.copyUntil = t.now + faultDuration
 	case delaySome:
-		t.delay = t.now + faultFor
+		t.delayUntil = t.now + faultDuration
 	}
 }
 
@@ -165,20 +165,20 @@
 func (t *trial) leave(f *simFront) {
 	living := 0
 	for _, other := range t.fronts {
-		if !other.gone {
+		if !other.removed {
 			living++
 		}
 	}
-	if living > f.config.Quorum && !f.gone {
-		f.gone, f.paused, f.late = true, false, nil
-		f.life++
+	if living > f.config.Quorum && !f.removed {
+		f.removed, f.paused, f.deferred = true, false, nil
+		f.generation++
 	}
 }
 
 func (t *trial) crash(f *simFront) {
-	t.boot(f)
-	if t.broken != nil {
-		t.broken(f.monitor)
+	t.startFront(f)
+	if t.mutate != nil {
+		t.mutate(f.monitor)
 	}
 }
 
@@ -187,7 +187,7 @@
 	for i, f := range t.fronts {
 		t.at(t.now+scheduler.Micros(i)*3000, func() {
 			if f.paused {
-				t.to(f, t.now, l)
+				t.deliverAt(f, t.now, l)
 				return
 			}
 			t.step(f, l)
@@ -199,7 +199,7 @@
 func (t *trial) heal() {
 	clear(t.cutLinks)
 	clear(t.cutReach)
-	t.lose, t.copies, t.delay = 0, 0, 0
+	t.loseUntil, t.copyUntil, t.delayUntil = 0, 0, 0
 	for _, f := range t.fronts {
 		if f.paused {
 			t.resume(f)
@@ -211,38 +211,38 @@
 // play applies moves, heals the simulation and returns the violations.
 func (t *trial) play(moves []move) []string {
 	begin := t.now
-	total := second/4 + agreement
+	total := second/4 + agreementTime
 	for _, m := range moves {
 		total += m.wait
 	}
-	t.load(smallLoad, t.nodes, begin+total)
+	t.load(smallRequestRate, t.nodes, begin+total)
 	t.run(begin + second/4)
 	for _, m := range moves {
 		t.apply(m)
 		t.run(t.now + m.wait)
-		t.checkWanted()
+		t.checkProbeRequests()
 	}
 	t.heal()
-	t.run(t.now + agreement)
-	t.checkWanted()
+	t.run(t.now + agreementTime)
+	t.checkProbeRequests()
 	t.checkAgreement()
-	return t.wrong
+	return t.violations
 }
 
 func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 3)) }
 
-// lateNews returns moves after which evidence about an earlier start of a node arrives after its restart.
-func lateNews(node int) []move {
+// staleEvidenceMoves returns moves after which evidence about an earlier start of a node arrives after its restart.
+func staleEvidenceMoves(node int) []move {
 	return []move{{nodeDies, node, 20_000}, {delaySome, 0, 300_000}, {nodeRestarts, node, 120_000}, {nodeDies, node, 1_100_000}}
 }
 
-// randomMoves returns a random schedule; one in four begins with lateNews.
+// randomMoves returns a random schedule; one in four begins with staleEvidenceMoves.
 func randomMoves(random *rand.Rand) (moves []move) {
 	if random.IntN(4) == 0 {
-		moves = lateNews(random.IntN(2))
+		moves = staleEvidenceMoves(random.IntN(2))
 	}
 	for range 1 + random.IntN(6) {
-		moves = append(moves, move{fault(random.IntN(int(faults))), random.IntN(4), waits[random.IntN(len(waits))]})
+		moves = append(moves, move{fault(random.IntN(int(faults))), random.IntN(4), moveWaits[random.IntN(len(moveWaits))]})
 	}
 	return moves
 }
--- a/internal/fleet/health/held.go
+++ b/internal/fleet/health/schedulerprobe.go
@@ -33,7 +33,7 @@
 // returnedRecently reports whether the zone recently found a node reachable again. Its evidence then answers the probe
 // that the scheduler requested.
 func (m *Monitor) returnedRecently(n *node) bool {
-	return n.returnAt == 0 && !n.suspecting && m.now < n.avoidedUntil+m.config.EvidenceLifetime && m.countOthers(n, Reachable) >= m.config.Quorum
+	return n.returnAt == 0 && !n.suspected && m.now < n.avoidedUntil+m.config.EvidenceLifetime && m.countOthers(n, Reachable) >= m.config.Quorum
 }
 
 func (m *Monitor) answerProbe(n *node, result scheduler.HealthChecked) {
@@ -43,22 +43,22 @@
 
 // serveScheduler answers or starts the probe that the scheduler waits for as soon as the state of the node permits.
 func (m *Monitor) serveScheduler(n *node) (next scheduler.Micros) {
-	returned := n.returnAt > 0 && m.now >= n.returnAt
-	if returned {
+	returnDue := n.returnAt > 0 && m.now >= n.returnAt
+	if returnDue {
 		n.returnAt = 0
 	}
 	if !n.schedulerWaits {
 		return forever
 	}
-	unknown := scheduler.HealthChecked{Node: n.name, Queue: unknownQueue}
-	reached := scheduler.HealthChecked{Node: n.name, OK: true, Queue: returnedQueue}
+	failedResult := scheduler.HealthChecked{Node: n.name, Queue: unknownQueue}
+	reachedResult := scheduler.HealthChecked{Node: n.name, OK: true, Queue: returnedQueue}
 	switch until := m.waitUntil(n); {
 	case n.avoided && m.now >= n.schedulerWaitsSince+m.config.EvidenceLifetime: // the scheduler requests another probe afterwards
-		m.answerProbe(n, unknown)
+		m.answerProbe(n, failedResult)
 	case n.avoided:
 		return n.schedulerWaitsSince + m.config.EvidenceLifetime
-	case n.answered > n.schedulerWaitsSince || returned || m.returnedRecently(n):
-		m.answerProbe(n, reached)
+	case n.answeredAt > n.schedulerWaitsSince || returnDue || m.returnedRecently(n):
+		m.answerProbe(n, reachedResult)
 	case n.returnAt > 0:
 		return n.returnAt
 	case n.probe.running && !n.probe.inconclusive:
@@ -81,16 +81,16 @@
 // waitUntil is the time at which this front stops waiting for other fronts and probes for its scheduler: immediately if it
 // expects no evidence from others, otherwise the later the lower its rank.
 func (m *Monitor) waitUntil(n *node) scheduler.Micros {
-	turn := (float64(min(n.rank/m.config.Probers, maxRequestRounds)) + share(m.config.Self, n.key)) * float64(m.config.TakeoverAfter)
+	rankDelay := (float64(min(n.rank/m.config.Probers, maxRequestRounds)) + hashFraction(m.config.Self, n.key)) * float64(m.config.TakeoverAfter)
 	until := never
-	if n.outstanding > 0 && n.owingSince+m.stallTimeout(n) > m.now { // it may be suspected soon
-		until = min(n.owingSince+m.stallTimeout(n), n.schedulerWaitsSince+m.config.SuspectAfter)
+	if n.outstanding > 0 && n.unansweredSince+m.stallTimeout(n) > m.now { // it may be suspected soon
+		until = min(n.unansweredSince+m.stallTimeout(n), n.schedulerWaitsSince+m.config.SuspectAfter)
 	}
-	if n.suspecting || m.countOthers(n, Silent) > 0 {
-		until = max(until, n.schedulerWaitsSince+m.config.TakeoverAfter+scheduler.Micros(turn))
+	if n.suspected || m.countOthers(n, Silent) > 0 {
+		until = max(until, n.schedulerWaitsSince+m.config.TakeoverAfter+scheduler.Micros(rankDelay))
 	}
 	if n.avoidedUntil > n.schedulerWaitsSince { // the evidence for avoiding the node has expired at all fronts
-		until = max(until, n.avoidedUntil+scheduler.Micros(turn))
+		until = max(until, n.avoidedUntil+scheduler.Micros(rankDelay))
 	}
 	return until
 }
--- a/internal/fleet/health/standing.go
+++ b/internal/fleet/health/stillsilent.go
@@ -23,22 +23,22 @@
 // stillSilentUpdate returns an update that all nodes that this front announced as silent still are, limited to nodes for
 // which it ranks within the quorum. ok is false if one of them is no longer silent, or if they are too few for a common
 // entry. A recipient that has not yet received all announcements has a different set and drops the entry.
-func (m *Monitor) stillSilentUpdate() (out update, ok bool) {
-	out = update{state: StillSilent, at: m.now}
+func (m *Monitor) stillSilentUpdate() (u update, ok bool) {
+	u = update{state: StillSilent, at: m.now}
 	count := 0
 	for _, n := range m.due {
 		if n.investigation == nil || n.rank >= m.config.Quorum || m.announcedState(n) != Silent {
 			continue
 		}
-		own, seen := n.evidence.of(m.config.Self)
+		own, seen := n.evidence.observationOf(m.config.Self)
 		if !seen || own.state != Silent { // this front is about to announce that it is reachable
 			return update{}, false
 		}
-		out.node ^= n.setKey()
-		out.at = min(out.at, own.at)
+		u.node ^= n.setKey()
+		u.at = min(u.at, own.at)
 		count++
 	}
-	return out, count > maxSingleRepeats
+	return u, count > maxSingleRepeats
 }
 
 // receiveStillSilent handles the entry that all nodes that a front announced as silent still are. It refreshes the
@@ -53,10 +53,10 @@
 	var all []*node
 	set := uint64(0)
 	for _, n := range m.due {
-		if n.investigation == nil || n.ranked == nil || !slices.Contains(n.ranked[:m.config.Quorum], from) {
+		if n.investigation == nil || n.ranking == nil || !slices.Contains(n.ranking[:m.config.Quorum], from) {
 			continue
 		}
-		if o, told := n.evidence.of(from); told && o.state == Silent {
+		if o, told := n.evidence.observationOf(from); told && o.state == Silent {
 			all = append(all, n)
 			set ^= n.setKey()
 		}
--- a/internal/fleet/health/traffic_test.go
+++ b/internal/fleet/health/traffic_test.go
@@ -7,46 +7,46 @@
 )
 
 // probe simulates a probe: it ends soon if the node answers or refuses, and by timeout if the node is silent.
-func (w *world) probe(f *simFront, n *simNode) {
+func (w *simulation) probe(f *simFront, n *simNode) {
 	n.probes = append(n.probes, w.now)
 	ended := func(after scheduler.Micros, ok bool) {
-		w.to(f, w.now+after, ProbeEnded{scheduler.HealthChecked{Node: n.name, OK: ok, Queue: -1}})
+		w.deliverAt(f, w.now+after, ProbeEnded{scheduler.HealthChecked{Node: n.name, OK: ok, Queue: -1}})
 	}
 	switch {
 	case !w.reaches(f.number, n):
-		ended(w.shell, false)
+		ended(w.probeTimeout, false)
 	case !n.dead:
 		ended(1_000+scheduler.Micros(w.random.IntN(1000)), true)
 	case n.refuse:
 		ended(1_000, false)
 	default:
-		ended(w.shell, false)
+		ended(w.probeTimeout, false)
 	}
 }
 
 // request sends one request unless the front's scheduler avoids the node. A request to a silent node times out after
 // 400 ms.
-func (w *world) request(f *simFront, n *simNode, id string) {
-	if f.paused || f.gone || f.mute[n.name] {
+func (w *simulation) request(f *simFront, n *simNode, id string) {
+	if f.paused || f.removed || f.excluded[n.name] {
 		return
 	}
 	w.step(f, AttemptStarted{Node: n.name, ID: id})
 	end := func(after scheduler.Micros, result scheduler.Result) {
-		life := f.life
-		w.push(simEvent{at: w.now + after, front: f.number, life: life, run: func() {
+		life := f.generation
+		w.push(simEvent{at: w.now + after, front: f.number, generation: life, run: func() {
 			switch {
 			case result == scheduler.OK:
-				f.mute[n.name] = false
+				f.excluded[n.name] = false
 			default:
-				f.failed[n.name]++
-				if !f.mute[n.name] {
-					f.mute[n.name] = true
-					w.want(f, n.name, 0)
+				f.failedRequests[n.name]++
+				if !f.excluded[n.name] {
+					f.excluded[n.name] = true
+					w.requestProbe(f, n.name, 0)
 				}
 			}
 			w.step(f, AttemptEnded{Node: n.name, ID: id, Result: result})
-			if result == scheduler.OK && w.succeeded != nil {
-				w.succeeded(f, n.name)
+			if result == scheduler.OK && w.onSuccess != nil {
+				w.onSuccess(f, n.name)
 			}
 		}})
 	}
@@ -61,21 +61,21 @@
 }
 
 // load sends requests as a Poisson process from each front to each node, at the given rate per pair, until a time.
-func (w *world) load(perSecond float64, nodes []*simNode, until scheduler.Micros) {
+func (w *simulation) load(perSecond float64, nodes []*simNode, until scheduler.Micros) {
 	for _, f := range w.fronts {
 		for _, n := range nodes {
-			w.next(f, n, perSecond, until, 0)
+			w.scheduleRequest(f, n, perSecond, until, 0)
 		}
 	}
 }
 
-func (w *world) next(f *simFront, n *simNode, perSecond float64, until scheduler.Micros, count int) {
+func (w *simulation) scheduleRequest(f *simFront, n *simNode, perSecond float64, until scheduler.Micros, count int) {
 	at := w.now + 1 + scheduler.Micros(w.random.ExpFloat64()/perSecond*1_000_000)
 	if at > until {
 		return
 	}
 	w.at(at, func() {
 		w.request(f, n, fmt.Sprintf("%d-%d-%d", f.number, n.index, count))
-		w.next(f, n, perSecond, until, count+1)
+		w.scheduleRequest(f, n, perSecond, until, count+1)
 	})
 }
--- a/internal/fleet/health/verdict.go
+++ b/internal/fleet/health/verdict.go
@@ -7,9 +7,9 @@
 
 // applyVerdict updates whether this front suspects and avoids a node, according to the evidence.
 func (m *Monitor) applyVerdict(n *node) {
-	avoid, at := n.evidence.verdict(m.config.Quorum, n.answered)
-	if n.suspecting && (avoid || m.suspicionOver(n)) {
-		n.suspecting = false
+	avoid, at := n.evidence.verdict(m.config.Quorum, n.answeredAt)
+	if n.suspected && (avoid || m.suspicionOver(n)) {
+		n.suspected = false
 	}
 	switch {
 	case avoid && !n.avoided:
@@ -29,7 +29,7 @@
 
 // returnTime returns the time at which this front resumes sending to a node that returned now.
 func (m *Monitor) returnTime(n *node) scheduler.Micros {
-	return m.now + 1 + scheduler.Micros(share(m.config.Self, n.key)*float64(returnSpread))
+	return m.now + 1 + scheduler.Micros(hashFraction(m.config.Self, n.key)*float64(returnSpread))
 }
 
 // verdictExpired reports whether the node is no longer avoided and the scheduler has waited for a probe since before then.
@@ -40,7 +40,7 @@
 // suspicionOver reports whether this front's suspicion has ended: the node has answered this front or a prober since, or
 // the suspicion has had no result within EvidenceLifetime.
 func (m *Monitor) suspicionOver(n *node) bool {
-	return n.answered > n.suspectedSince || n.evidence.count(Reachable, n.suspectedSince, nil) > 0 ||
+	return n.answeredAt > n.suspectedSince || n.evidence.count(Reachable, n.suspectedSince, nil) > 0 ||
 		m.now >= n.lastSuspected+m.config.EvidenceLifetime
 }
 
@@ -50,7 +50,7 @@
 	if at, ok := n.evidence.oldest(); ok {
 		next = at + m.config.EvidenceLifetime
 	}
-	if n.suspecting {
+	if n.suspected {
 		next = min(next, n.lastSuspected+m.config.EvidenceLifetime)
 	}
 	if n.returnAt > m.now {
--- a/internal/fleet/monitor/inbox.go
+++ b/internal/fleet/monitor/inbox.go
@@ -16,15 +16,15 @@
 // queue is full. Inputs of put are bounded by their causes: ends of attempts by the accepted starts, ends of probes by the
 // requested probes, and so on.
 type inbox struct {
-	room    int
-	waiting chan struct{} // holds one element while there may be entries
+	capacity int
+	notify   chan struct{} // holds one element while there may be entries
 
 	mu      sync.Mutex
 	entries []entry
 	dropped int64 // number of offered events that were dropped
 }
 
-func newInbox(room int) *inbox { return &inbox{room: room, waiting: make(chan struct{}, 1)} }
+func newInbox(capacity int) *inbox { return &inbox{capacity: capacity, notify: make(chan struct{}, 1)} }
 
 // put adds an event, even if the queue is full.
 func (b *inbox) put(e health.Event) { b.add(entry{event: e}) }
@@ -39,7 +39,7 @@
 // offer adds an event and returns true. If the queue is full, it counts the event as dropped and returns false.
 func (b *inbox) offer(e health.Event) bool {
 	b.mu.Lock()
-	full := len(b.entries) >= b.room
+	full := len(b.entries) >= b.capacity
 	if full {
 		b.dropped++
 	} else {
@@ -52,7 +52,7 @@
 
 func (b *inbox) wake() {
 	select {
-	case b.waiting <- struct{}{}:
+	case b.notify <- struct{}{}:
 	default:
 	}
 }
--- a/internal/fleet/monitor/monitor.go
+++ b/internal/fleet/monitor/monitor.go
@@ -57,16 +57,16 @@
 // Run runs the monitor until ctx is done. It passes all queued events to the core in one step.
 func (m *Monitor) Run(ctx context.Context) {
 	defer close(m.stopped)
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for {
 		var events []health.Event
 		select {
 		case <-ctx.Done():
 			return
-		case <-alarm.C:
+		case <-timer.C:
 			events = append(events, health.TimerFired{})
-		case <-m.inbox.waiting:
+		case <-m.inbox.notify:
 		}
 		entries := m.inbox.drain()
 		for _, e := range entries {
@@ -74,21 +74,21 @@
 				events = append(events, e.event)
 				continue
 			}
-			m.step(events, alarm) // the core processes earlier events before the query
+			m.step(events, timer) // the core processes earlier events before the query
 			events = nil
 			e.query()
 		}
-		m.step(events, alarm)
+		m.step(events, timer)
 	}
 }
 
-func (m *Monitor) step(events []health.Event, alarm *time.Timer) {
+func (m *Monitor) step(events []health.Event, timer *time.Timer) {
 	if len(events) == 0 {
 		return
 	}
 	now := m.hooks.Now()
 	for _, a := range m.core.Step(now, events) {
-		m.perform(a, now, alarm)
+		m.perform(a, now, timer)
 	}
 	if slices.ContainsFunc(events, received) {
 		m.drops.logNew(m.core.Counters().Dropped)
@@ -101,7 +101,7 @@
 	return ok
 }
 
-func (m *Monitor) perform(a health.Action, now scheduler.Micros, alarm *time.Timer) {
+func (m *Monitor) perform(a health.Action, now scheduler.Micros, timer *time.Timer) {
 	switch a := a.(type) {
 	case health.StartProbe:
 		go func() { m.inbox.put(health.ProbeEnded{HealthChecked: m.hooks.Probe(a.Node)}) }()
@@ -113,7 +113,7 @@
 	case health.SendMessage:
 		m.hooks.Send(a.To, a.Message.Encode())
 	case health.SetTimer:
-		alarm.Reset(time.Duration(a.At-now) * time.Microsecond)
+		timer.Reset(time.Duration(a.At-now) * time.Microsecond)
 	}
 }
 
@@ -121,17 +121,17 @@
 // Bounds.MaxProbeWait at the latest, or when the monitor ends.
 func (m *Monitor) Probe(node string) scheduler.HealthChecked {
 	failed := scheduler.HealthChecked{Node: node, Queue: -1}
-	answer := m.waiters.enter(node)
+	answer := m.waiters.add(node)
 	m.inbox.put(health.ProbeRequested{Node: node})
-	late := time.NewTimer(m.maxProbeWait)
-	defer late.Stop()
+	timeout := time.NewTimer(m.maxProbeWait)
+	defer timeout.Stop()
 	select {
 	case p := <-answer:
 		return p
-	case <-late.C:
+	case <-timeout.C:
 	case <-m.stopped:
 	}
-	m.waiters.leave(node, answer)
+	m.waiters.remove(node, answer)
 	return failed
 }
 
@@ -151,11 +151,11 @@
 }
 
 // Intercept handles a datagram from the front with number from. It returns false if the datagram is no health message.
-func (m *Monitor) Intercept(from int, text []byte) bool {
-	if !health.IsMessage(text) {
+func (m *Monitor) Intercept(from int, data []byte) bool {
+	if !health.IsMessage(data) {
 		return false
 	}
-	message, err := health.Decode(text)
+	message, err := health.Decode(data)
 	if err != nil {
 		m.drops.add(health.DropUnreadable, "front", from, "error", err)
 		return true
@@ -166,9 +166,9 @@
 
 // Reconfigure replaces the configuration, or returns an error that names the invalid fields and changes nothing.
 func (m *Monitor) Reconfigure(ctx context.Context, c health.Config) (err error) {
-	asked := m.query(ctx, func() { err = m.core.Reconfigure(c) })
-	if asked != nil {
-		return fmt.Errorf("reconfigure health monitor: %w", asked)
+	queryErr := m.query(ctx, func() { err = m.core.Reconfigure(c) })
+	if queryErr != nil {
+		return fmt.Errorf("reconfigure health monitor: %w", queryErr)
 	}
 	return err
 }
--- a/internal/fleet/monitor/monitor_test.go
+++ b/internal/fleet/monitor/monitor_test.go
@@ -30,25 +30,25 @@
 	reports  [2]chan scheduler.Event
 	probes   chan string
 	answers  atomic.Bool // whether nodes answer probes
-	lines    chan string
+	logLines chan string
 }
 
 // newZone starts two monitors with the node "a".
 func newZone(t *testing.T, b Bounds) *zone {
-	z := &zone{probes: make(chan string, 1024), lines: make(chan string, 1024)}
+	z := &zone{probes: make(chan string, 1024), logLines: make(chan string, 1024)}
 	z.answers.Store(true)
-	began := time.Now()
+	start := time.Now()
 	for i := range z.monitors {
 		z.reports[i] = make(chan scheduler.Event, 16)
 		m, err := New(testConfig(i), b, Hooks{
-			Now: func() scheduler.Micros { return scheduler.Micros(time.Since(began)/time.Microsecond) + 1 },
+			Now: func() scheduler.Micros { return scheduler.Micros(time.Since(start)/time.Microsecond) + 1 },
 			Probe: func(node string) scheduler.HealthChecked {
 				z.probes <- node
 				return scheduler.HealthChecked{Node: node, OK: z.answers.Load(), Queue: -1}
 			},
 			Report: func(e scheduler.Event) { z.reports[i] <- e },
 			Send:   func(to int, message []byte) { z.monitors[to].Intercept(i, message) },
-			Log:    standin.Log(func(line string) { z.lines <- line }),
+			Log:    standin.Log(func(line string) { z.logLines <- line }),
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -63,7 +63,7 @@
 }
 
 // A requested probe of a node that no front suspects starts immediately.
-func TestProbeOfANodeThatNobodySuspects(t *testing.T) {
+func TestProbeOfUnsuspectedNodeStartsImmediately(t *testing.T) {
 	z := newZone(t, testBounds)
 	if p := z.monitors[0].Probe("a"); !p.OK || p.Node != "a" {
 		t.Errorf("probe result %+v, want success", p)
@@ -75,7 +75,7 @@
 
 // After a failed attempt at one front, both fronts probe and avoid the node. The scheduler's probe is deferred until the
 // node answers again.
-func TestZoneFindsANodeSilentAndBack(t *testing.T) {
+func TestZoneDetectsSilentAndReturnedNode(t *testing.T) {
 	z := newZone(t, testBounds)
 	z.answers.Store(false)
 	if !z.monitors[0].AttemptStarted("a", "x", 0) {
@@ -106,10 +106,10 @@
 }
 
 // A call of Probe returns as failed after MaxProbeWait, and when the monitor ends, even if the probe hook blocks forever.
-func TestProbeEnds(t *testing.T) {
-	blocked := Hooks{Now: func() scheduler.Micros { return 1 }, Probe: func(string) scheduler.HealthChecked { select {} }, Log: standin.Log(func(string) {})}
-	for what, hold := range map[string]time.Duration{"the bound": time.Millisecond, "the monitor's end": time.Hour} {
-		m, err := New(testConfig(0), Bounds{Inbox: 16, MaxProbeWait: hold}, blocked)
+func TestProbeWaitIsBounded(t *testing.T) {
+	blockingHooks := Hooks{Now: func() scheduler.Micros { return 1 }, Probe: func(string) scheduler.HealthChecked { select {} }, Log: standin.Log(func(string) {})}
+	for what, maxWait := range map[string]time.Duration{"the bound": time.Millisecond, "the monitor's end": time.Hour} {
+		m, err := New(testConfig(0), Bounds{Inbox: 16, MaxProbeWait: maxWait}, blockingHooks)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -117,7 +117,7 @@
 		go m.Run(ctx)
 		answered := make(chan scheduler.HealthChecked, 1)
 		go func() { answered <- m.Probe("a") }()
-		if hold == time.Hour {
+		if maxWait == time.Hour {
 			standin.Until(t, "the call", func() bool {
 				m.waiters.mu.Lock()
 				defer m.waiters.mu.Unlock()
@@ -143,26 +143,26 @@
 
 // A full inbox never blocks its senders: it drops and counts starts of attempts and messages, and still accepts the ends
 // of accepted attempts.
-func TestFullInboxHoldsNobodyUp(t *testing.T) {
+func TestFullInboxDoesNotBlockSenders(t *testing.T) {
 	m, err := New(testConfig(0), Bounds{Inbox: 3, MaxProbeWait: time.Hour}, Hooks{Now: func() scheduler.Micros { return 1 }, Log: standin.Log(func(string) {})})
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken := 0
+	accepted := 0
 	for range 10 {
 		if m.AttemptStarted("a", "x", 0) {
-			taken++
+			accepted++
 		}
 	}
-	for range taken {
+	for range accepted {
 		m.AttemptEnded("a", scheduler.AttemptEnded{ID: "x"})
 	}
 	message := health.Message{Incarnation: 1, Sequence: 1, Sent: 1, Entries: []health.Entry{{Node: 1, State: health.Silent}}}
 	if !m.Intercept(1, message.Encode()) {
 		t.Error("a health message was not recognized")
 	}
-	if got := m.inbox.droppedCount(); taken != 3 || got != 8 || len(m.inbox.drain()) != 6 {
-		t.Errorf("%d accepted, %d dropped, want 3 and 8", taken, got)
+	if got := m.inbox.droppedCount(); accepted != 3 || got != 8 || len(m.inbox.drain()) != 6 {
+		t.Errorf("%d accepted, %d dropped, want 3 and 8", accepted, got)
 	}
 }
 
@@ -189,7 +189,7 @@
 	})
 	logged := map[health.Drop]int{}
 	for range 4 {
-		line := standin.Await(t, "a line", z.lines)
+		line := standin.Await(t, "a line", z.logLines)
 		for _, why := range []health.Drop{health.DropUnreadable, DropUnknownSender, health.DropUnknown, health.DropRepeated} {
 			if strings.Contains(line, string(why)) {
 				logged[why]++
@@ -199,13 +199,13 @@
 	if len(logged) != 4 {
 		t.Errorf("logged %v, want each reason once", logged)
 	}
-	if len(z.lines) != 0 {
-		t.Errorf("logged a further line %q", <-z.lines)
+	if len(z.logLines) != 0 {
+		t.Errorf("logged a further line %q", <-z.logLines)
 	}
 }
 
 // New and Reconfigure reject an invalid configuration with the name of the field.
-func TestWrongConfiguration(t *testing.T) {
+func TestInvalidConfigurationIsRejected(t *testing.T) {
 	wrong := testConfig(0)
 	wrong.Quorum = 1
 	if _, err := New(wrong, testBounds, Hooks{}); err == nil || !strings.Contains(err.Error(), "quorum") {
--- a/internal/fleet/monitor/waiters.go
+++ b/internal/fleet/monitor/waiters.go
@@ -13,8 +13,8 @@
 	byNode map[string][]chan scheduler.HealthChecked
 }
 
-// enter adds a call and returns the channel for its answer.
-func (w *waiters) enter(node string) chan scheduler.HealthChecked {
+// add adds a call and returns the channel for its answer.
+func (w *waiters) add(node string) chan scheduler.HealthChecked {
 	answer := make(chan scheduler.HealthChecked, 1)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -35,8 +35,8 @@
 	delete(w.byNode, p.Node)
 }
 
-// leave removes a call that no longer waits.
-func (w *waiters) leave(node string, answer chan scheduler.HealthChecked) {
+// remove removes a call that no longer waits.
+func (w *waiters) remove(node string, answer chan scheduler.HealthChecked) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	left := slices.DeleteFunc(w.byNode[node], func(c chan scheduler.HealthChecked) bool { return c == answer })
