--- a/internal/fleet/health/audit_test.go
+++ b/internal/fleet/health/audit_test.go
@@ -53,11 +53,11 @@
 	key, start := NodeKey(a.Node), encodeStart(a.StartedAt)
 	origins := 0
 	for _, other := range t.fronts {
-		at, told := t.silentObservations[silentObservation{f.number, other.number, key, start}]
+		at, known := t.silentObservations[silentObservation{f.number, other.number, key, start}]
 		if other == f {
-			at, told = t.probeStarts[f.number][a.Node]
+			at, known = t.probeStarts[f.number][a.Node]
 		}
-		if told && at > t.now-smallEvidenceLifetime-second {
+		if known && at > t.now-smallEvidenceLifetime-second {
 			origins++
 		}
 	}
--- a/internal/fleet/health/codec_test.go
+++ b/internal/fleet/health/codec_test.go
@@ -64,7 +64,7 @@
 	m.Entries[0].Age, m.Entries[1].Age = 10*maxAge, -5
 	data := m.Encode()
 	if len(data) > MessageLimit || len(data) != m.size() {
-		t.Errorf("encoded %d bytes, size() returns %d", len(data), m.size())
+		t.Errorf("encoded %d bytes, more than MessageLimit or different from size()", len(data))
 	}
 	decoded, err := Decode(data)
 	if err != nil || decoded.Entries[0].Age != maxAge || decoded.Entries[1].Age != 0 {
@@ -72,7 +72,7 @@
 	}
 	m.Entries = []Entry{{State: 9}}
 	if _, err := Decode(m.Encode()); !errors.Is(err, ErrState) {
-		t.Errorf("error %v, want %v", err, ErrState)
+		t.Errorf("error %v, want ErrState", err)
 	}
 }
 
--- a/internal/fleet/health/config_test.go
+++ b/internal/fleet/health/config_test.go
@@ -46,7 +46,9 @@
 func TestReconfigureKeepsValidState(t *testing.T) {
 	const now = 10 * second
 	m := newTestMonitor(t, 0, zonesOf(1, 6), now)
-	m.Step(now, []Event{MessageReceived{1, messageAboutA(1, now, Silent, 0)}, MessageReceived{2, messageAboutA(1, now, Silent, 0)}, ProbeRequested{"a"}})
+	m.Step(now, []Event{
+		MessageReceived{1, messageAboutA(1, now, Silent, 0)}, MessageReceived{2, messageAboutA(1, now, Silent, 0)}, ProbeRequested{"a"},
+	})
 	bad := m.config
 	bad.Probers = 7
 	if m.Reconfigure(bad) == nil || m.config.Probers != DefaultProbers {
--- a/internal/fleet/health/cost_test.go
+++ b/internal/fleet/health/cost_test.go
@@ -73,7 +73,8 @@
 			t.Errorf("front %d keeps investigations of %d nodes", f.number, kept)
 		}
 		if len(f.monitor.attempts) > 0 || len(f.monitor.due) > 0 || len(f.monitor.outbox.broadcasts) > 0 {
-			t.Errorf("front %d keeps %d attempts and %d nodes due for review, or unfinished broadcasts", f.number, len(f.monitor.attempts), len(f.monitor.due))
+			t.Errorf("front %d keeps %d attempts and %d nodes due for review, or unfinished broadcasts",
+				f.number, len(f.monitor.attempts), len(f.monitor.due))
 		}
 	}
 }
--- a/internal/fleet/health/evidence.go
+++ b/internal/fleet/health/evidence.go
@@ -38,7 +38,7 @@
 	return slices.IndexFunc(e, func(o observation) bool { return o.front == front })
 }
 
-// actionsOf returns the observation of a front, if there is one.
+// observationOf returns the observation of a front, if there is one.
 func (e evidence) observationOf(front int) (observation, bool) {
 	if i := e.find(front); i >= 0 {
 		return e[i], true
--- a/internal/fleet/health/exhaustive_test.go
+++ b/internal/fleet/health/exhaustive_test.go
@@ -10,7 +10,7 @@
 
 // allMoves returns all possible moves in a simulation with the given numbers of fronts and nodes.
 func allMoves(fronts, nodes int, wait scheduler.Micros) (moves []move) {
-	for f := range faults {
+	for f := range faultCount {
 		places := 1
 		switch {
 		case slices.Contains([]fault{frontCrashes, frontLeaves, frontPauses, linkCut, reachCut}, f):
--- a/internal/fleet/health/faults_test.go
+++ b/internal/fleet/health/faults_test.go
@@ -42,9 +42,9 @@
 // When probers crash, are paused or are disconnected, the next fronts by rank take over, and all fronts avoid the node.
 func TestNextFrontsTakeOverFromFailedProbers(t *testing.T) {
 	for name, fail := range map[string]func(w *simulation, f *simFront){
-		"dead":   func(_ *simulation, f *simFront) { f.generation++ },
-		"paused": func(_ *simulation, f *simFront) { f.paused = true },
-		"cut": func(w *simulation, f *simFront) {
+		"crashed": func(_ *simulation, f *simFront) { f.generation++ },
+		"paused":  func(_ *simulation, f *simFront) { f.paused = true },
+		"disconnected": func(w *simulation, f *simFront) {
 			link := w.link
 			w.link = func(from, to int) []scheduler.Micros {
 				if from == f.number || to == f.number {
--- a/internal/fleet/health/faultyfront_test.go
+++ b/internal/fleet/health/faultyfront_test.go
@@ -16,15 +16,15 @@
 		"cut off from nodes": func(w *simulation, f *simFront) {
 			w.reaches = func(front int, _ *simNode) bool { return front != f.number }
 		},
-		"deaf": func(w *simulation, f *simFront) {
+		"receives nothing": func(w *simulation, f *simFront) {
 			w.reaches = func(front int, _ *simNode) bool { return front != f.number }
 			w.link = func(_, to int) []scheduler.Micros { return delays(to != f.number) }
 		},
-		"mute": func(w *simulation, f *simFront) {
+		"sends nothing": func(w *simulation, f *simFront) {
 			w.reaches = func(front int, _ *simNode) bool { return front != f.number }
 			w.link = func(from, _ int) []scheduler.Micros { return delays(from != f.number) }
 		},
-		"slow": func(w *simulation, f *simFront) {
+		"slow links": func(w *simulation, f *simFront) {
 			w.link = func(from, to int) []scheduler.Micros {
 				if from == f.number || to == f.number {
 					return []scheduler.Micros{100_000 + scheduler.Micros(w.random.IntN(900_000))}
@@ -32,13 +32,13 @@
 				return delays(true)
 			}
 		},
-		"paused": func(w *simulation, f *simFront) {
+		"paused repeatedly": func(w *simulation, f *simFront) {
 			for i := range scheduler.Micros(10) {
 				w.at(w.now+i*second, func() { f.paused = true })
 				w.at(w.now+i*second+30_000+i*90_000, func() { w.resume(f) })
 			}
 		},
-		"lying": func(w *simulation, f *simFront) { broadcastState(w, f, Silent) },
+		"reports all silent": func(w *simulation, f *simFront) { broadcastState(w, f, Silent) },
 	}
 	for name, applyFault := range faults {
 		for number := range 3 {
--- a/internal/fleet/health/fullsize_test.go
+++ b/internal/fleet/health/fullsize_test.go
@@ -66,10 +66,10 @@
 			t.Errorf("front %d avoids %d of %d silent nodes", f.number, c.Avoided, nodes)
 		}
 	}
-	failed := 0
+	failedRequests := 0
 	for _, f := range w.fronts {
 		for _, n := range f.failedRequests {
-			failed += n
+			failedRequests += n
 		}
 	}
 	w.run(begin + 20*second)
@@ -100,14 +100,15 @@
 		maxProbes = max(maxProbes, maxWithin(times, second))
 	}
 	// Without sharing, each front would lose at least one request to find out that a node is silent.
-	if failed*10 > fronts*nodes {
-		t.Errorf("%d requests failed at %d nodes, more than a tenth of %d", failed, nodes, fronts*nodes)
+	if failedRequests*10 > fronts*nodes {
+		t.Errorf("%d requests failed at %d nodes, more than a tenth of %d", failedRequests, nodes, fronts*nodes)
 	}
 	if maxBytes > 16<<10 {
 		t.Errorf("a front sent and received %d bytes in one second, want at most 16384", maxBytes)
 	}
-	t.Logf("time to report: mean %d ms, median %d, 90th percentile %d, max %d; failed requests per node %.1f; max probes per second %d; max bytes per second %d",
-		mean/1000, reportTimes[len(reportTimes)/2]/1000, reportTimes[len(reportTimes)*9/10]/1000, reportTimes[len(reportTimes)-1]/1000, float64(failed)/float64(nodes), maxProbes, maxBytes)
+	t.Logf("time to report: mean %d ms, median %d, 90th percentile %d, max %d; failed requests per node %.1f; max probes/s %d; max bytes/s %d",
+		mean/1000, reportTimes[len(reportTimes)/2]/1000, reportTimes[len(reportTimes)*9/10]/1000, reportTimes[len(reportTimes)-1]/1000,
+		float64(failedRequests)/float64(nodes), maxProbes, maxBytes)
 }
 
 // A silent node receives at most 50 probes per second from a fleet of 1,200 fronts: only the probers of each zone probe it.
--- a/internal/fleet/health/inbox.go
+++ b/internal/fleet/health/inbox.go
@@ -32,7 +32,7 @@
 	return false
 }
 
-// delayUntil estimates the transit time of a message: the clock difference minus the minimum difference over the messages of
+// delay estimates the transit time of a message: the clock difference minus the minimum difference over the messages of
 // the incarnation. The first message of an incarnation has a delay of 0.
 func (p *peer) delay(now, sent scheduler.Micros) scheduler.Micros {
 	difference := now - sent
--- a/internal/fleet/health/list.go
+++ b/internal/fleet/health/list.go
@@ -55,7 +55,8 @@
 
 func (m *Monitor) insert(endpoint scheduler.Endpoint) {
 	n := &node{
-		name: endpoint.Node, key: NodeKey(endpoint.Node), start: endpoint.StartedAt, encodedStart: encodeStart(endpoint.StartedAt), state: endpoint.State,
+		name: endpoint.Node, key: NodeKey(endpoint.Node),
+		start: endpoint.StartedAt, encodedStart: encodeStart(endpoint.StartedAt), state: endpoint.State,
 		answeredAt: never, unansweredSince: never, lastSuspected: never,
 	}
 	m.byName[n.name] = n
--- a/internal/fleet/health/monitor.go
+++ b/internal/fleet/health/monitor.go
@@ -38,9 +38,9 @@
 // inputChecks are the functions that tests replace with faulty ones.
 type inputChecks struct {
 	repeated     func(p *peer, sequence uint32) bool
-	sameStart    func(told, listed scheduler.Micros) bool
+	sameStart    func(reported, listed scheduler.Micros) bool
 	add          func(e *evidence, o observation)
-	requestRound func(lacked, takeoverAfter scheduler.Micros) int
+	requestRound func(lackingFor, takeoverAfter scheduler.Micros) int
 }
 
 // New returns a Monitor without nodes.
--- a/internal/fleet/health/monitor_test.go
+++ b/internal/fleet/health/monitor_test.go
@@ -15,7 +15,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.Step(now, []Event{EndpointsChanged{Full: true, Nodes: []scheduler.Endpoint{{Node: "a", StartedAt: second}, {Node: "b", StartedAt: 2 * second}}}})
+	m.Step(now, []Event{EndpointsChanged{Full: true, Nodes: []scheduler.Endpoint{
+		{Node: "a", StartedAt: second}, {Node: "b", StartedAt: 2 * second},
+	}}})
 	return m
 }
 
@@ -95,10 +97,14 @@
 func TestEndpointListOverridesEvidence(t *testing.T) {
 	const now = 10 * second
 	for name, l := range map[string]scheduler.Endpoint{
-		"drain": {Node: "a", StartedAt: second, State: scheduler.Draining}, "start": {Node: "a", StartedAt: 9 * second}, "gone": {Node: "a", State: scheduler.Removed},
+		"drain": {Node: "a", StartedAt: second, State: scheduler.Draining},
+		"start": {Node: "a", StartedAt: 9 * second},
+		"gone":  {Node: "a", State: scheduler.Removed},
 	} {
 		m := newTestMonitor(t, 0, zonesOf(1, 4), now)
-		m.Step(now, []Event{MessageReceived{1, messageAboutA(1, now, Silent, 0)}, MessageReceived{2, messageAboutA(1, now, Silent, 0)}, ProbeRequested{"a"}})
+		m.Step(now, []Event{
+			MessageReceived{1, messageAboutA(1, now, Silent, 0)}, MessageReceived{2, messageAboutA(1, now, Silent, 0)}, ProbeRequested{"a"},
+		})
 		actions := m.Step(now+1, []Event{EndpointsChanged{Nodes: []scheduler.Endpoint{l}}})
 		if answers := actionsOf[AnswerProbe](actions); m.avoids("a") || m.Counters().Avoided != 0 || len(answers) != 1 || answers[0].OK {
 			t.Errorf("%s: avoided %v, actions %v, want one failed answer", name, m.avoids("a"), actions)
@@ -169,13 +175,13 @@
 	const now = 10 * second
 	m := newTestMonitor(t, 0, zonesOf(1, 8), now)
 	probers := rankFronts(m.zone, NodeKey("a"))[:DefaultProbers]
-	alarm := actionsOf[SetTimer](m.Step(now, []Event{AttemptStarted{Node: "a", ID: "x"}, AttemptStarted{Node: "b", ID: "y"}}))
-	if len(alarm) != 1 || alarm[0].At != now+DefaultSuspectAfter {
-		t.Fatalf("timers %v, want one at %d", alarm, now+DefaultSuspectAfter)
+	timers := actionsOf[SetTimer](m.Step(now, []Event{AttemptStarted{Node: "a", ID: "x"}, AttemptStarted{Node: "b", ID: "y"}}))
+	if len(timers) != 1 || timers[0].At != now+DefaultSuspectAfter {
+		t.Fatalf("timers %v, want one after DefaultSuspectAfter", timers)
 	}
 	m.Step(now+5000, []Event{AttemptEnded{Node: "b", ID: "y", Result: scheduler.OK}})
 	var to []int
-	for _, s := range actionsOf[SendMessage](m.Step(alarm[0].At, []Event{TimerFired{}})) {
+	for _, s := range actionsOf[SendMessage](m.Step(timers[0].At, []Event{TimerFired{}})) {
 		if len(s.Message.Entries) != 1 || s.Message.Entries[0].State != Suspected || s.Message.Entries[0].Node != NodeKey("a") {
 			t.Errorf("sent %v, want one suspected entry about node a", s)
 		}
--- a/internal/fleet/health/random_test.go
+++ b/internal/fleet/health/random_test.go
@@ -21,7 +21,7 @@
 
 func moveOf(t *rapid.T, i int) move {
 	return move{
-		fault: fault(rapid.IntRange(0, int(faults)-1).Draw(t, fmt.Sprintf("fault %d", i))),
+		fault: fault(rapid.IntRange(0, int(faultCount)-1).Draw(t, fmt.Sprintf("fault %d", i))),
 		at:    rapid.IntRange(0, 3).Draw(t, fmt.Sprintf("at %d", i)),
 		wait:  rapid.SampledFrom(moveWaits).Draw(t, fmt.Sprintf("wait %d", i)),
 	}
--- a/internal/fleet/health/region_test.go
+++ b/internal/fleet/health/region_test.go
@@ -66,6 +66,6 @@
 			}
 		}
 	}
-	t.Logf("at least %d of %d pairs avoided after 6 s, %d silent reports, at most %d probes of a node and %d bytes in both directions per second",
+	t.Logf("at least %d of %d pairs avoided after 6 s, %d silent reports, at most %d probes of a node and %d bytes both ways per second",
 		minAvoided, pairs, reports, maxProbes, maxBytes)
 }
--- a/internal/fleet/health/schedule_test.go
+++ b/internal/fleet/health/schedule_test.go
@@ -19,12 +19,12 @@
 	frontCrashes
 	frontLeaves // permanently, if at least a quorum remains
 	frontPauses
-	linkCut   // toggles: from one front to the next one, in this direction only
-	reachCut  // toggles: from a front to all nodes
-	loseSome  // all messages of a period are lost
-	copySome  // the messages of a period arrive three times
-	delaySome // the messages of a period arrive late, after newer ones
-	faults    // number of faults
+	linkCut    // toggles: from one front to the next one, in this direction only
+	reachCut   // toggles: from a front to all nodes
+	loseSome   // all messages of a period are lost
+	copySome   // the messages of a period arrive three times
+	delaySome  // the messages of a period arrive late, after newer ones
+	faultCount // number of faults
 )
 
 func (f fault) String() string {
@@ -49,7 +49,7 @@
 	violations         []string
 	cutLinks           map[[2]int]bool
 	cutReach           map[int]bool
-	loseUntil          scheduler.Micros // messages are lost until this time; copies and delay likewise
+	loseUntil          scheduler.Micros // messages are lost until this time; copyUntil and delayUntil likewise
 	copyUntil          scheduler.Micros
 	delayUntil         scheduler.Micros
 	silentObservations map[silentObservation]scheduler.Micros // time of the last silent observation that a front received or made
@@ -58,7 +58,8 @@
 	mutate             func(m *Monitor)                    // puts a deliberate fault into each Monitor
 }
 
-// silentObservation identifies an observation that a start of a node is silent, made by front origin and known to front front.
+// silentObservation identifies an observation that a start of a node is silent, made by
+// front number origin and known to front number front.
 type silentObservation struct {
 	front, origin int
 	node          uint64
@@ -103,18 +104,18 @@
 }
 
 func (t *trial) deliveryDelays(from, to int) []scheduler.Micros {
-	const usual = 500
+	const baseDelay = 500
 	switch {
 	case t.cutLinks[[2]int{from, to}]:
 		return nil
 	case t.now < t.loseUntil:
 		return nil
 	case t.now < t.copyUntil:
-		return []scheduler.Micros{usual, usual + 30_000, usual + 400_000}
+		return []scheduler.Micros{baseDelay, baseDelay + 30_000, baseDelay + 400_000}
 	case t.now < t.delayUntil:
 		return []scheduler.Micros{700_000}
 	}
-	return []scheduler.Micros{usual + scheduler.Micros(t.random.IntN(1000))}
+	return []scheduler.Micros{baseDelay + scheduler.Micros(t.random.IntN(1000))}
 }
 
 func (t *trial) reach(front int, _ *simNode) bool { return !t.cutReach[front] }
@@ -242,7 +243,7 @@
 		moves = staleEvidenceMoves(random.IntN(2))
 	}
 	for range 1 + random.IntN(6) {
-		moves = append(moves, move{fault(random.IntN(int(faults))), random.IntN(4), moveWaits[random.IntN(len(moveWaits))]})
+		moves = append(moves, move{fault(random.IntN(int(faultCount))), random.IntN(4), moveWaits[random.IntN(len(moveWaits))]})
 	}
 	return moves
 }
--- a/internal/fleet/health/schedulerprobe.go
+++ b/internal/fleet/health/schedulerprobe.go
@@ -33,7 +33,8 @@
 // returnedRecently reports whether the zone recently found a node reachable again. Its evidence then answers the probe
 // that the scheduler requested.
 func (m *Monitor) returnedRecently(n *node) bool {
-	return n.returnAt == 0 && !n.suspected && m.now < n.avoidedUntil+m.config.EvidenceLifetime && m.countOthers(n, Reachable) >= m.config.Quorum
+	return n.returnAt == 0 && !n.suspected && m.now < n.avoidedUntil+m.config.EvidenceLifetime &&
+		m.countOthers(n, Reachable) >= m.config.Quorum
 }
 
 func (m *Monitor) answerProbe(n *node, result scheduler.HealthChecked) {
@@ -81,7 +82,8 @@
 // waitUntil is the time at which this front stops waiting for other fronts and probes for its scheduler: immediately if it
 // expects no evidence from others, otherwise the later the lower its rank.
 func (m *Monitor) waitUntil(n *node) scheduler.Micros {
-	rankDelay := (float64(min(n.rank/m.config.Probers, maxRequestRounds)) + hashFraction(m.config.Self, n.key)) * float64(m.config.TakeoverAfter)
+	rankDelay := (float64(min(n.rank/m.config.Probers, maxRequestRounds)) + hashFraction(m.config.Self, n.key)) *
+		float64(m.config.TakeoverAfter)
 	until := never
 	if n.outstanding > 0 && n.unansweredSince+m.stallTimeout(n) > m.now { // it may be suspected soon
 		until = min(n.unansweredSince+m.stallTimeout(n), n.schedulerWaitsSince+m.config.SuspectAfter)
--- a/internal/fleet/health/schedulerprobe_test.go
+++ b/internal/fleet/health/schedulerprobe_test.go
@@ -18,8 +18,9 @@
 				t.Fatalf("%s: started probes %v", node, started)
 			}
 			result := scheduler.HealthChecked{Node: node, OK: ok, Queue: 3}
-			if answers := actionsOf[AnswerProbe](m.Step(now+1000, []Event{ProbeEnded{result}})); len(answers) != 1 || answers[0].HealthChecked != result {
-				t.Errorf("%s: answers %v, want %v", node, answers, result)
+			if answers := actionsOf[AnswerProbe](m.Step(now+1000, []Event{ProbeEnded{result}})); len(answers) != 1 ||
+				answers[0].HealthChecked != result {
+				t.Errorf("%s: answers %v, want the result of the probe", node, answers)
 			}
 		}
 	}
@@ -32,13 +33,15 @@
 	var returnTimes []scheduler.Micros
 	for self := 5; self < fronts; self++ {
 		m := newTestMonitor(t, self, zonesOf(1, fronts), now)
-		m.Step(now, []Event{MessageReceived{1, messageAboutA(1, now, Silent, 0)}, MessageReceived{2, messageAboutA(1, now, Silent, 0)}, ProbeRequested{"a"}})
+		m.Step(now, []Event{
+			MessageReceived{1, messageAboutA(1, now, Silent, 0)}, MessageReceived{2, messageAboutA(1, now, Silent, 0)}, ProbeRequested{"a"},
+		})
 		if !m.avoids("a") {
 			t.Fatal("node not avoided")
 		}
-		alarms := actionsOf[SetTimer](m.Step(now+second, []Event{MessageReceived{1, messageAboutA(2, now+second, Reachable, 0)}}))
-		for len(alarms) > 0 {
-			next := alarms[len(alarms)-1].At
+		timers := actionsOf[SetTimer](m.Step(now+second, []Event{MessageReceived{1, messageAboutA(2, now+second, Reachable, 0)}}))
+		for len(timers) > 0 {
+			next := timers[len(timers)-1].At
 			actions := m.Step(next, []Event{TimerFired{}})
 			if answers := actionsOf[AnswerProbe](actions); len(answers) > 0 {
 				if !answers[0].OK {
@@ -47,11 +50,12 @@
 				returnTimes = append(returnTimes, next-now-second)
 				break
 			}
-			alarms = actionsOf[SetTimer](actions)
+			timers = actionsOf[SetTimer](actions)
 		}
 	}
 	slices.Sort(returnTimes)
-	if len(returnTimes) != fronts-5 || returnTimes[0] > second/5 || returnTimes[len(returnTimes)-1] < second*4/5 || returnTimes[len(returnTimes)-1] > second+10 {
+	if len(returnTimes) != fronts-5 || returnTimes[0] > second/5 ||
+		returnTimes[len(returnTimes)-1] < second*4/5 || returnTimes[len(returnTimes)-1] > second+10 {
 		t.Errorf("fronts return at %v, want times spread over one second", returnTimes)
 	}
 	if maxReturns := maxWithin(returnTimes, second/10); maxReturns > fronts/3 {
@@ -64,7 +68,9 @@
 func TestEvidenceOfReturnAnswersProbeRequest(t *testing.T) {
 	const now = 10 * second
 	m := newTestMonitor(t, 5, zonesOf(1, 50), now)
-	m.Step(now, []Event{MessageReceived{1, messageAboutA(1, now, Silent, 0)}, MessageReceived{2, messageAboutA(1, now, Silent, 0)}, ProbeRequested{"a"}})
+	m.Step(now, []Event{
+		MessageReceived{1, messageAboutA(1, now, Silent, 0)}, MessageReceived{2, messageAboutA(1, now, Silent, 0)}, ProbeRequested{"a"},
+	})
 	back := now + second
 	m.Step(back, []Event{MessageReceived{1, messageAboutA(2, back, Reachable, 0)}, MessageReceived{2, messageAboutA(2, back, Reachable, 0)}})
 	spread := back + returnSpread + 1000
@@ -73,7 +79,8 @@
 		t.Fatalf("answers %v, want %v", answers, want)
 	}
 	actions := m.Step(spread+second, []Event{ProbeRequested{"a"}})
-	if started, answers := actionsOf[StartProbe](actions), actionsOf[AnswerProbe](actions); len(started) != 0 || len(answers) != 1 || !answers[0].OK {
+	if started, answers := actionsOf[StartProbe](actions), actionsOf[AnswerProbe](actions); len(started) != 0 ||
+		len(answers) != 1 || !answers[0].OK {
 		t.Errorf("before the evidence expires: %d probes, answers %v; want the answer without a probe", len(started), answers)
 	}
 	afterExpiry := spread + m.config.EvidenceLifetime
--- a/internal/fleet/health/simulation_test.go
+++ b/internal/fleet/health/simulation_test.go
@@ -91,7 +91,7 @@
 	w.push(simEvent{at: at, front: f.number, generation: f.generation, event: e})
 }
 
-// incarnation runs the simulation until a time.
+// run runs the simulation until a time.
 func (w *simulation) run(until scheduler.Micros) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(*simEvent)
@@ -122,9 +122,9 @@
 }
 
 func (w *simulation) resume(f *simFront) {
-	late := f.deferred
+	deferred := f.deferred
 	f.paused, f.deferred = false, nil
-	for _, e := range late {
+	for _, e := range deferred {
 		w.handleEvent(f, e)
 	}
 }
--- a/internal/fleet/health/stillsilent.go
+++ b/internal/fleet/health/stillsilent.go
@@ -56,7 +56,7 @@
 		if n.investigation == nil || n.ranking == nil || !slices.Contains(n.ranking[:m.config.Quorum], from) {
 			continue
 		}
-		if o, told := n.evidence.observationOf(from); told && o.state == Silent {
+		if o, known := n.evidence.observationOf(from); known && o.state == Silent {
 			all = append(all, n)
 			set ^= n.setKey()
 		}
--- a/internal/fleet/health/traffic_test.go
+++ b/internal/fleet/health/traffic_test.go
@@ -32,8 +32,8 @@
 	}
 	w.step(f, AttemptStarted{Node: n.name, ID: id})
 	end := func(after scheduler.Micros, result scheduler.Result) {
-		life := f.generation
-		w.push(simEvent{at: w.now + after, front: f.number, generation: life, run: func() {
+		generation := f.generation
+		w.push(simEvent{at: w.now + after, front: f.number, generation: generation, run: func() {
 			switch {
 			case result == scheduler.OK:
 				f.excluded[n.name] = false
--- a/internal/fleet/monitor/monitor_test.go
+++ b/internal/fleet/monitor/monitor_test.go
@@ -107,13 +107,15 @@
 
 // A call of Probe returns as failed after MaxProbeWait, and when the monitor ends, even if the probe hook blocks forever.
 func TestProbeWaitIsBounded(t *testing.T) {
-	blockingHooks := Hooks{Now: func() scheduler.Micros { return 1 }, Probe: func(string) scheduler.HealthChecked { select {} }, Log: standin.Log(func(string) {})}
+	blockingHooks := Hooks{
+		Now: func() scheduler.Micros { return 1 }, Probe: func(string) scheduler.HealthChecked { select {} }, Log: standin.Log(func(string) {}),
+	}
 	for what, maxWait := range map[string]time.Duration{"the bound": time.Millisecond, "the monitor's end": time.Hour} {
 		m, err := New(testConfig(0), Bounds{Inbox: 16, MaxProbeWait: maxWait}, blockingHooks)
 		if err != nil {
 			t.Fatal(err)
 		}
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		go m.Run(ctx)
 		answered := make(chan scheduler.HealthChecked, 1)
 		go func() { answered <- m.Probe("a") }()
@@ -123,12 +125,12 @@
 				defer m.waiters.mu.Unlock()
 				return len(m.waiters.byNode["a"]) == 1
 			})
-			end()
+			cancel()
 		}
 		if p := standin.Await(t, what, answered); p.OK || p.Node != "a" || p.Queue != -1 {
 			t.Errorf("%s: probe result %+v, want failure", what, p)
 		}
-		end()
+		cancel()
 		<-m.stopped
 		m.waiters.mu.Lock()
 		if n := len(m.waiters.byNode); n != 0 {
@@ -144,7 +146,9 @@
 // A full inbox never blocks its senders: it drops and counts starts of attempts and messages, and still accepts the ends
 // of accepted attempts.
 func TestFullInboxDoesNotBlockSenders(t *testing.T) {
-	m, err := New(testConfig(0), Bounds{Inbox: 3, MaxProbeWait: time.Hour}, Hooks{Now: func() scheduler.Micros { return 1 }, Log: standin.Log(func(string) {})})
+	m, err := New(testConfig(0), Bounds{Inbox: 3, MaxProbeWait: time.Hour}, Hooks{
+		Now: func() scheduler.Micros { return 1 }, Log: standin.Log(func(string) {}),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,7 +189,8 @@
 	standin.Until(t, "the counts", func() bool {
 		c, err := m.Counters(t.Context())
 		d := c.Dropped
-		return err == nil && c.Drops() == 12 && d[health.DropUnreadable] == 5 && d[DropUnknownSender] == 5 && d[health.DropUnknown] == 1 && d[health.DropRepeated] == 1
+		return err == nil && c.Drops() == 12 && d[health.DropUnreadable] == 5 && d[DropUnknownSender] == 5 &&
+			d[health.DropUnknown] == 1 && d[health.DropRepeated] == 1
 	})
 	logged := map[health.Drop]int{}
 	for range 4 {
@@ -206,13 +211,13 @@
 
 // New and Reconfigure reject an invalid configuration with the name of the field.
 func TestInvalidConfigurationIsRejected(t *testing.T) {
-	wrong := testConfig(0)
-	wrong.Quorum = 1
-	if _, err := New(wrong, testBounds, Hooks{}); err == nil || !strings.Contains(err.Error(), "quorum") {
+	invalid := testConfig(0)
+	invalid.Quorum = 1
+	if _, err := New(invalid, testBounds, Hooks{}); err == nil || !strings.Contains(err.Error(), "quorum") {
 		t.Errorf("New: error %v, want one about quorum", err)
 	}
 	z := newZone(t, testBounds)
-	if err := z.monitors[0].Reconfigure(t.Context(), wrong); err == nil || !strings.Contains(err.Error(), "quorum") {
+	if err := z.monitors[0].Reconfigure(t.Context(), invalid); err == nil || !strings.Contains(err.Error(), "quorum") {
 		t.Errorf("Reconfigure: error %v, want one about quorum", err)
 	}
 	if err := z.monitors[0].Reconfigure(t.Context(), testConfig(0)); err != nil {
