--- a/internal/fleet/health/codec.go
+++ b/internal/fleet/health/codec.go
@@ -35,7 +35,7 @@
 var (
 	ErrNotMessage = errors.New("not a health message")
 	ErrVersion    = errors.New("unsupported version of a health message")
-	ErrCut        = errors.New("health message is truncated")
+	ErrTruncated  = errors.New("health message is truncated")
 	ErrTooLong    = errors.New("health message is too long")
 	ErrState      = errors.New("health message has an invalid state")
 	ErrHeader     = errors.New("health message has an invalid header")
@@ -87,11 +87,11 @@
 	case len(data) > MessageLimit:
 		return Message{}, fmt.Errorf("%w: %d bytes", ErrTooLong, len(data))
 	case len(data) < 2:
-		return Message{}, ErrCut
+		return Message{}, ErrTruncated
 	case data[1] != messageVersion:
 		return Message{}, fmt.Errorf("%w: %d", ErrVersion, data[1])
 	case len(data) < fixedHeaderBytes:
-		return Message{}, ErrCut
+		return Message{}, ErrTruncated
 	}
 	out := Message{Incarnation: int64(bits(data[2:fixedHeaderBytes]))}
 	rest := data[fixedHeaderBytes:]
@@ -107,7 +107,7 @@
 	rest = rest[n:]
 	out.Sequence, out.Sent = uint32(sequence), scheduler.Micros(out.Incarnation)+scheduler.Micros(sent)*milli
 	if len(rest)%entryBytes != 0 {
-		return Message{}, fmt.Errorf("%w: %d bytes of entries", ErrCut, len(rest))
+		return Message{}, fmt.Errorf("%w: %d bytes of entries", ErrTruncated, len(rest))
 	}
 	for i := 0; i < len(rest); i += entryBytes {
 		entry, err := decodeEntry(rest[i : i+entryBytes])
@@ -133,12 +133,12 @@
 	return e, nil
 }
 
-// varintError returns the error of decoding a varint, nil for none. n is the length that binary.Uvarint returned: 0 for
+// varintError returns the error of decoding a varint, nil if there is none. n is the length that binary.Uvarint returned: 0 for
 // truncated input, negative for overflow. outside is set if the value is out of its range.
 func varintError(n int, outOfRange bool) error {
 	switch {
 	case n == 0:
-		return ErrCut
+		return ErrTruncated
 	case n < 0 || outOfRange:
 		return ErrHeader
 	}
--- a/internal/fleet/health/codec_test.go
+++ b/internal/fleet/health/codec_test.go
@@ -89,9 +89,9 @@
 	}{
 		"empty":              {nil, ErrNotMessage},
 		"other datagram":     {[]byte("ask 1"), ErrNotMessage},
-		"magic byte only":    {good[:1], ErrCut},
-		"cut in incarnation": {good[:5], ErrCut},
-		"cut in entry":       {good[:len(good)-1], ErrCut},
+		"magic byte only":    {good[:1], ErrTruncated},
+		"cut in incarnation": {good[:5], ErrTruncated},
+		"cut in entry":       {good[:len(good)-1], ErrTruncated},
 		"another version":    {change(1, 2), ErrVersion},
 		"oversized":          {append(bytes.Clone(good), make([]byte, MessageLimit)...), ErrTooLong},
 		"invalid state":      {change(len(good)-2, 0), ErrState},
