--- a/internal/fleet/health/codec.go
+++ b/internal/fleet/health/codec.go
@@ -8,46 +8,47 @@
 	"otterturn/scheduler"
 )
 
-// The form of a message: mark, version, run (7 bytes, big-endian), sequence (unsigned varint), the sender's clock in
-// milliseconds since its run (signed varint), then entries. An entry is the key (5 bytes), the node's start in
-// milliseconds (3 bytes, modulo 2^24), and two bytes with the state in the upper 3 bits and the age in milliseconds below.
+// Message format: magic byte, version byte, incarnation (7 bytes, big-endian), sequence number (unsigned varint), the
+// sender's clock in milliseconds since its incarnation began (signed varint), then entries. An entry has 10 bytes: the
+// node's key (5 bytes), the node's start in milliseconds (3 bytes, modulo 2^24), and 2 bytes with the state in the upper
+// 3 bits and the age in milliseconds in the lower 13 bits.
 const (
-	MessageLimit = 256 // bytes of a message at most
-
-	messageMark    = 0xF1
-	messageVersion = 1
-	fixedBytes     = 9 // mark, version and run
-	longestHeader  = fixedBytes + 2*binary.MaxVarintLen64
-	entryBytes     = 10
-	keyBits        = 40
-	sinceBits      = 24
-	ageBits        = 13
-	runBits        = 56
-	milli          = scheduler.Micros(1000)
-	longestAge     = (1<<ageBits - 1) * milli
+	MessageLimit = 256 // maximum bytes of a message
+
+	messageMagic     = 0xF1
+	messageVersion   = 1
+	fixedHeaderBytes = 9 // magic byte, version and incarnation
+	maxHeaderBytes   = fixedHeaderBytes + 2*binary.MaxVarintLen64
+	entryBytes       = 10
+	keyBits          = 40
+	startBits        = 24
+	ageBits          = 13
+	incarnationBits  = 56
+	milli            = scheduler.Micros(1000)
+	maxAge           = (1<<ageBits - 1) * milli
 )
 
-// entriesPerMessage fit into a message whatever its header takes.
-const entriesPerMessage = (MessageLimit - longestHeader) / entryBytes
+// entriesPerMessage is the number of entries that fit into a message with a header of maximum size.
+const entriesPerMessage = (MessageLimit - maxHeaderBytes) / entryBytes
 
-// Why Decode may refuse a message. Errors wrap one of these.
+// Errors that Decode wraps.
 var (
 	ErrNotMessage = errors.New("not a health message")
-	ErrVersion    = errors.New("health message of another version")
-	ErrCut        = errors.New("health message is cut")
+	ErrVersion    = errors.New("unsupported version of a health message")
+	ErrTruncated  = errors.New("health message is truncated")
 	ErrTooLong    = errors.New("health message is too long")
-	ErrState      = errors.New("health message has an impossible state")
-	ErrHeader     = errors.New("health message has an impossible header")
+	ErrState      = errors.New("health message has an invalid state")
+	ErrHeader     = errors.New("health message has an invalid header")
 )
 
-// IsMessage tells a health message, of whichever version, from the other datagrams between fronts.
-func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == messageMark }
+// IsMessage reports whether a datagram between fronts is a health message, of any version.
+func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == messageMagic }
 
-// Encode returns the message's bytes. What does not fit into MessageLimit is left out, the last entries first.
+// Encode returns the encoded message. Entries beyond MessageLimit bytes are omitted, starting from the last.
 func (m Message) Encode() []byte {
 	out := make([]byte, 0, MessageLimit)
-	out = append(out, messageMark, messageVersion)
-	out = appendBits(out, uint64(m.Incarnation), runBits)
+	out = append(out, messageMagic, messageVersion)
+	out = appendBits(out, uint64(m.Incarnation), incarnationBits)
 	out = binary.AppendUvarint(out, uint64(m.Sequence))
 	out = binary.AppendVarint(out, floorMillis(m.Sent-scheduler.Micros(m.Incarnation)))
 	for _, e := range m.Entries {
@@ -59,26 +60,26 @@
 	return out
 }
 
-// size is how many bytes Encode returns.
+// size returns the number of bytes that Encode returns.
 func (m Message) size() int {
 	var scratch [binary.MaxVarintLen64]byte
-	header := fixedBytes + binary.PutUvarint(scratch[:], uint64(m.Sequence))
+	header := fixedHeaderBytes + binary.PutUvarint(scratch[:], uint64(m.Sequence))
 	header += binary.PutVarint(scratch[:], floorMillis(m.Sent-scheduler.Micros(m.Incarnation)))
 	return header + entryBytes*min(len(m.Entries), (MessageLimit-header)/entryBytes)
 }
 
 func (e Entry) append(out []byte) []byte {
 	out = appendBits(out, e.Node, keyBits)
-	out = appendBits(out, uint64(e.Since/milli), sinceBits)
-	state := uint16(0) // Decode refuses it
+	out = appendBits(out, uint64(e.StartedAt/milli), startBits)
+	state := uint16(0) // Decode rejects it
 	if e.State <= StillSilent {
 		state = uint16(e.State)
 	}
-	age := uint16(min(max(e.Age, 0), longestAge) / milli)
+	age := uint16(min(max(e.Age, 0), maxAge) / milli)
 	return binary.BigEndian.AppendUint16(out, state<<ageBits|age)
 }
 
-// Decode reads a message.
+// Decode decodes a message.
 func Decode(data []byte) (Message, error) {
 	switch {
 	case !IsMessage(data):
@@ -86,27 +87,27 @@
 	case len(data) > MessageLimit:
 		return Message{}, fmt.Errorf("%w: %d bytes", ErrTooLong, len(data))
 	case len(data) < 2:
-		return Message{}, ErrCut
+		return Message{}, ErrTruncated
 	case data[1] != messageVersion:
 		return Message{}, fmt.Errorf("%w: %d", ErrVersion, data[1])
-	case len(data) < fixedBytes:
-		return Message{}, ErrCut
+	case len(data) < fixedHeaderBytes:
+		return Message{}, ErrTruncated
 	}
-	out := Message{Incarnation: int64(bits(data[2:fixedBytes]))}
-	rest := data[fixedBytes:]
+	out := Message{Incarnation: int64(bits(data[2:fixedHeaderBytes]))}
+	rest := data[fixedHeaderBytes:]
 	sequence, n := binary.Uvarint(rest)
 	if err := varintError(n, sequence > 1<<32-1); err != nil {
 		return Message{}, fmt.Errorf("sequence: %w", err)
 	}
 	rest = rest[n:]
 	sent, n := binary.Varint(rest)
-	if err := varintError(n, sent > 1<<runBits/1000 || sent < -1<<runBits/1000); err != nil {
+	if err := varintError(n, sent > 1<<incarnationBits/1000 || sent < -1<<incarnationBits/1000); err != nil {
 		return Message{}, fmt.Errorf("clock: %w", err)
 	}
 	rest = rest[n:]
 	out.Sequence, out.Sent = uint32(sequence), scheduler.Micros(out.Incarnation)+scheduler.Micros(sent)*milli
 	if len(rest)%entryBytes != 0 {
-		return Message{}, fmt.Errorf("%w: %d bytes of entries", ErrCut, len(rest))
+		return Message{}, fmt.Errorf("%w: %d bytes of entries", ErrTruncated, len(rest))
 	}
 	for i := 0; i < len(rest); i += entryBytes {
 		entry, err := decodeEntry(rest[i : i+entryBytes])
@@ -119,12 +120,12 @@
 }
 
 func decodeEntry(data []byte) (Entry, error) {
-	last := binary.BigEndian.Uint16(data[8:])
+	stateAndAge := binary.BigEndian.Uint16(data[8:])
 	e := Entry{
-		Node:  bits(data[:5]),
-		Since: scheduler.Micros(bits(data[5:8])) * milli,
-		State: State(last >> ageBits),
-		Age:   scheduler.Micros(last&(1<<ageBits-1)) * milli,
+		Node:      bits(data[:5]),
+		StartedAt: scheduler.Micros(bits(data[5:8])) * milli,
+		State:     State(stateAndAge >> ageBits),
+		Age:       scheduler.Micros(stateAndAge&(1<<ageBits-1)) * milli,
 	}
 	if e.State < Reachable || e.State > StillSilent {
 		return Entry{}, fmt.Errorf("%w: %d", ErrState, e.State)
@@ -132,18 +133,19 @@
 	return e, nil
 }
 
-// varintError tells why a number of n bytes can't be: cut where n is 0, outside its bounds where told so or below 0.
-func varintError(n int, outside bool) error {
+// varintError returns the error of decoding a varint, nil if there is none. n is the length that binary.Uvarint returned: 0 for
+// truncated input, negative for overflow. outside is set if the value is out of its range.
+func varintError(n int, outOfRange bool) error {
 	switch {
 	case n == 0:
-		return ErrCut
-	case n < 0 || outside:
+		return ErrTruncated
+	case n < 0 || outOfRange:
 		return ErrHeader
 	}
 	return nil
 }
 
-// appendBits appends the lower bits of a number, big-endian; bits is a multiple of 8.
+// appendBits appends the lowest bits of v in big-endian order; bits must be a multiple of 8.
 func appendBits(out []byte, v uint64, bits int) []byte {
 	for shift := bits - 8; shift >= 0; shift -= 8 {
 		out = append(out, byte(v>>shift))
@@ -151,7 +153,7 @@
 	return out
 }
 
-// bits reads a big-endian number.
+// bits decodes a big-endian unsigned integer.
 func bits(data []byte) uint64 {
 	v := uint64(0)
 	for _, b := range data {
@@ -160,7 +162,7 @@
 	return v
 }
 
-// floorMillis is a time in whole milliseconds, rounded down.
+// floorMillis converts a time to whole milliseconds, rounded down.
 func floorMillis(t scheduler.Micros) int64 {
 	ms := int64(t / milli)
 	if t < 0 && t%milli != 0 {
@@ -169,13 +171,13 @@
 	return ms
 }
 
-// wireSince is a node's start as entries carry it.
-func wireSince(since scheduler.Micros) scheduler.Micros {
-	return scheduler.Micros(uint64(floorMillis(since))&(1<<sinceBits-1)) * milli
+// encodeStart returns a node's start in the encoding of entries: whole milliseconds, modulo 2^24 ms.
+func encodeStart(start scheduler.Micros) scheduler.Micros {
+	return scheduler.Micros(uint64(floorMillis(start))&(1<<startBits-1)) * milli
 }
 
-// startedLater tells whether a start, as entries carry it, is later than another one, by the shorter way round.
+// startedLater reports whether encoded start a is later than b. The encoding wraps around, so the shorter distance counts.
 func startedLater(a, b scheduler.Micros) bool {
-	ahead := uint64(a/milli-b/milli) & (1<<sinceBits - 1)
-	return ahead > 0 && ahead < 1<<(sinceBits-1)
+	difference := uint64(a/milli-b/milli) & (1<<startBits - 1)
+	return difference > 0 && difference < 1<<(startBits-1)
 }
--- a/internal/fleet/health/codec_test.go
+++ b/internal/fleet/health/codec_test.go
@@ -15,38 +15,38 @@
 	m.Sent = scheduler.Micros(m.Incarnation) + scheduler.Micros(random.Int64N(1<<40)-1<<30)*milli
 	for range entries {
 		m.Entries = append(m.Entries, Entry{
-			Node: random.Uint64N(1 << keyBits), Since: scheduler.Micros(random.Uint64N(1<<sinceBits)) * milli,
+			Node: random.Uint64N(1 << keyBits), StartedAt: scheduler.Micros(random.Uint64N(1<<startBits)) * milli,
 			State: Reachable + State(random.IntN(3)), Age: scheduler.Micros(random.Uint64N(1<<ageBits)) * milli,
 		})
 	}
 	return m
 }
 
-func TestMessagesComeThroughWhole(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	random := newRandom(1)
 	for i := range 5000 {
 		m := randomMessage(random, i%(entriesPerMessage+1))
 		data := m.Encode()
 		if len(data) > MessageLimit || len(data) != m.size() || !IsMessage(data) {
-			t.Fatalf("%d bytes, reckoned as %d", len(data), m.size())
+			t.Fatalf("encoded %d bytes, size() returns %d", len(data), m.size())
 		}
-		back, err := Decode(data)
-		if err != nil || !reflect.DeepEqual(back, m) {
-			t.Fatalf("%v: %+v, not %+v", err, back, m)
+		decoded, err := Decode(data)
+		if err != nil || !reflect.DeepEqual(decoded, m) {
+			t.Fatalf("error %v, decoded %+v, want %+v", err, decoded, m)
 		}
 	}
 }
 
-// What a Monitor sends is the same behind Decode: what it can't say to the millisecond it does not say.
-func TestWhatIsSentComesThroughWhole(t *testing.T) {
-	w := newWorld(1, zonesOf(1, 5), 30, nil)
+// Messages that a Monitor sends are unchanged by encoding and decoding: it rounds all times to milliseconds itself.
+func TestSentMessagesRoundTrip(t *testing.T) {
+	w := newSimulation(1, zonesOf(1, 5), 30, nil)
 	sent := 0
-	w.each = func(_ *simFront, a Action) {
+	w.onAction = func(_ *simFront, a Action) {
 		if s, ok := a.(SendMessage); ok {
 			sent++
-			back, err := Decode(s.Message.Encode())
-			if err != nil || !reflect.DeepEqual(back, s.Message) {
-				t.Fatalf("%v: %+v, not %+v", err, back, s.Message)
+			decoded, err := Decode(s.Message.Encode())
+			if err != nil || !reflect.DeepEqual(decoded, s.Message) {
+				t.Fatalf("error %v, decoded %+v, want %+v", err, decoded, s.Message)
 			}
 		}
 	}
@@ -54,29 +54,29 @@
 	w.at(w.now+second+333, func() { w.setAll(true) })
 	w.run(w.now + 4*second)
 	if sent == 0 {
-		t.Error("nothing was sent")
+		t.Error("no message was sent")
 	}
 }
 
-// A message with more entries than fit has as many as do; one with a state that can't be is refused.
-func TestEncodeKeepsToItsBounds(t *testing.T) {
+// Encode omits entries that do not fit and limits ages to their range. Decode rejects the encoding of an invalid state.
+func TestEncodeLimitsSizeAndAges(t *testing.T) {
 	m := randomMessage(newRandom(2), 200)
-	m.Entries[0].Age, m.Entries[1].Age = 10*longestAge, -5
+	m.Entries[0].Age, m.Entries[1].Age = 10*maxAge, -5
 	data := m.Encode()
 	if len(data) > MessageLimit || len(data) != m.size() {
-		t.Errorf("%d bytes", len(data))
+		t.Errorf("encoded %d bytes, more than MessageLimit or different from size()", len(data))
 	}
-	back, err := Decode(data)
-	if err != nil || back.Entries[0].Age != longestAge || back.Entries[1].Age != 0 {
-		t.Errorf("%v", err)
+	decoded, err := Decode(data)
+	if err != nil || decoded.Entries[0].Age != maxAge || decoded.Entries[1].Age != 0 {
+		t.Errorf("error %v, or ages out of range are not limited", err)
 	}
 	m.Entries = []Entry{{State: 9}}
 	if _, err := Decode(m.Encode()); !errors.Is(err, ErrState) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want ErrState", err)
 	}
 }
 
-func TestBadMessagesAreRefused(t *testing.T) {
+func TestDecodeRejectsInvalidMessages(t *testing.T) {
 	good := randomMessage(newRandom(3), 3).Encode()
 	change := func(at int, to byte) []byte {
 		out := bytes.Clone(good)
@@ -88,68 +88,68 @@
 		want error
 	}{
 		"empty":              {nil, ErrNotMessage},
-		"a note":             {[]byte("ask 1"), ErrNotMessage},
-		"mark alone":         {good[:1], ErrCut},
-		"cut in its run":     {good[:5], ErrCut},
-		"cut in an entry":    {good[:len(good)-1], ErrCut},
+		"other datagram":     {[]byte("ask 1"), ErrNotMessage},
+		"magic byte only":    {good[:1], ErrTruncated},
+		"cut in incarnation": {good[:5], ErrTruncated},
+		"cut in entry":       {good[:len(good)-1], ErrTruncated},
 		"another version":    {change(1, 2), ErrVersion},
 		"oversized":          {append(bytes.Clone(good), make([]byte, MessageLimit)...), ErrTooLong},
-		"no state":           {change(len(good)-2, 0), ErrState},
-		"sequence too large": {append(bytes.Clone(good[:fixedBytes]), 0xff, 0xff, 0xff, 0xff, 0xff, 0x01, 0), ErrHeader},
-		"clock too large":    {append(bytes.Clone(good[:fixedBytes]), 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f), ErrHeader},
-		"endless sequence":   {append(bytes.Clone(good[:fixedBytes]), bytes.Repeat([]byte{0xff}, 11)...), ErrHeader},
+		"invalid state":      {change(len(good)-2, 0), ErrState},
+		"sequence too large": {append(bytes.Clone(good[:fixedHeaderBytes]), 0xff, 0xff, 0xff, 0xff, 0xff, 0x01, 0), ErrHeader},
+		"clock too large":    {append(bytes.Clone(good[:fixedHeaderBytes]), 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f), ErrHeader},
+		"unending sequence":  {append(bytes.Clone(good[:fixedHeaderBytes]), bytes.Repeat([]byte{0xff}, 11)...), ErrHeader},
 	} {
 		if _, err := Decode(c.data); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, not %v", name, err, c.want)
+			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 	}
-	for cut := range good { // between entries it is a shorter message; anywhere else an error
+	for cut := range good { // truncation between entries yields a shorter valid message, elsewhere an error
 		if _, err := Decode(good[:cut]); err == nil && (len(good)-cut)%entryBytes != 0 {
-			t.Errorf("cut to %d of %d bytes: no error", cut, len(good))
+			t.Errorf("truncated to %d of %d bytes: no error", cut, len(good))
 		}
 	}
 }
 
-// FuzzDecode looks whether any datagram does harm, at Decode or at a Monitor behind it.
+// FuzzDecode checks that no datagram makes Decode panic, or makes a Monitor that receives it avoid nodes for too long.
 func FuzzDecode(f *testing.F) {
 	random := newRandom(4)
 	for entries := range 4 {
 		f.Add(randomMessage(random, entries).Encode())
 	}
-	f.Add(tells(1, 10*second, Silent, 0).Encode())
-	f.Fuzz(func(t *testing.T, data []byte) { feed(t, data) })
+	f.Add(messageAboutA(1, 10*second, Silent, 0).Encode())
+	f.Fuzz(func(t *testing.T, data []byte) { deliverDatagram(t, data) })
 }
 
-func feed(t *testing.T, data []byte) {
-	m := front(t, 0, zonesOf(1, 4), 10*second)
+func deliverDatagram(t *testing.T, data []byte) {
+	m := newTestMonitor(t, 0, zonesOf(1, 4), 10*second)
 	message, err := Decode(data)
 	if err != nil {
 		m.Unreadable()
 		return
 	}
-	if again, err := Decode(message.Encode()); err != nil || !reflect.DeepEqual(again, message) {
-		t.Fatalf("%v: %+v, not %+v", err, again, message)
+	if decoded, err := Decode(message.Encode()); err != nil || !reflect.DeepEqual(decoded, message) {
+		t.Fatalf("error %v, decoded %+v, want %+v", err, decoded, message)
 	}
 	for from := range 4 {
 		m.Step(10*second+scheduler.Micros(from), []Event{MessageReceived{from, message}})
 	}
 	if m.avoids("a") && len(message.Entries) == 0 {
-		t.Error("condemned by nothing")
+		t.Error("node avoided because of a message without entries")
 	}
 	m.Step(30*second, []Event{TimerFired{}})
 	if m.avoids("a") || m.avoids("b") {
-		t.Error("still avoided 20 s later")
+		t.Error("node still avoided 20 s later")
 	}
 }
 
-// Datagrams changed at random do no harm.
-func TestChangedMessagesDoNoHarm(t *testing.T) {
+// Randomly corrupted and truncated datagrams are handled like those of FuzzDecode.
+func TestCorruptedMessagesAreHarmless(t *testing.T) {
 	random := newRandom(5)
 	for range 20_000 {
-		data := tells(1, 10*second, Silent, 0).Encode()
+		data := messageAboutA(1, 10*second, Silent, 0).Encode()
 		for range 1 + random.IntN(4) {
 			data[random.IntN(len(data))] = byte(random.Uint32())
 		}
-		feed(t, data[:random.IntN(len(data)+1)])
+		deliverDatagram(t, data[:random.IntN(len(data)+1)])
 	}
 }
--- a/internal/fleet/health/faults_test.go
+++ b/internal/fleet/health/faults_test.go
@@ -6,25 +6,25 @@
 	"otterturn/scheduler"
 )
 
-// avoiding counts the fronts that avoid the first node.
-func (w *world) avoiding() (count int) {
+// avoiding returns the number of pairs of a front and a node that it avoids.
+func (w *simulation) avoiding() (count int) {
 	for _, f := range w.fronts {
 		count += f.monitor.Counters().Avoided
 	}
 	return count
 }
 
-// A front that was paused takes nothing for silent that it did not look at meanwhile.
-func TestPausedFrontCondemnsNothing(t *testing.T) {
-	w := newWorld(2, zonesOf(1, 4), 3, nil)
+// A front that was paused must not suspect nodes or find them silent because it read their answers late.
+func TestPausedFrontReportsNoSilentNodes(t *testing.T) {
+	w := newSimulation(2, zonesOf(1, 4), 3, nil)
 	begin := w.now
 	w.load(20, w.nodes, begin+10*second)
-	told := 0
-	w.each = func(_ *simFront, a Action) {
+	negativeEntries := 0
+	w.onAction = func(_ *simFront, a Action) {
 		if s, ok := a.(SendMessage); ok {
 			for _, e := range s.Message.Entries {
 				if e.State != Reachable {
-					told++
+					negativeEntries++
 				}
 			}
 		}
@@ -34,17 +34,17 @@
 		w.at(at+700_000, func() { w.resume(w.fronts[0]) })
 	}
 	w.run(begin + 10*second)
-	if told > 0 || w.avoiding() > 0 {
-		t.Errorf("%d entries told against nodes, %d avoided", told, w.avoiding())
+	if negativeEntries > 0 || w.avoiding() > 0 {
+		t.Errorf("%d entries sent that report nodes silent or suspected, %d nodes avoided", negativeEntries, w.avoiding())
 	}
 }
 
-// When probers die, are paused or can't be heard the next in rank follow, and all fronts avoid the node.
-func TestOthersTakeOverFromProbers(t *testing.T) {
-	for name, fail := range map[string]func(w *world, f *simFront){
-		"dead":   func(_ *world, f *simFront) { f.life++ },
-		"paused": func(_ *world, f *simFront) { f.paused = true },
-		"cut": func(w *world, f *simFront) {
+// When probers crash, are paused or are disconnected, the next fronts by rank take over, and all fronts avoid the node.
+func TestNextFrontsTakeOverFromFailedProbers(t *testing.T) {
+	for name, fail := range map[string]func(w *simulation, f *simFront){
+		"crashed": func(_ *simulation, f *simFront) { f.generation++ },
+		"paused":  func(_ *simulation, f *simFront) { f.paused = true },
+		"disconnected": func(w *simulation, f *simFront) {
 			link := w.link
 			w.link = func(from, to int) []scheduler.Micros {
 				if from == f.number || to == f.number {
@@ -55,7 +55,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(3, zonesOf(1, 12), 1, nil)
+			w := newSimulation(3, zonesOf(1, 12), 1, nil)
 			begin := w.now
 			w.load(5, w.nodes, begin+20*second)
 			failed := rankFronts(w.fronts[0].monitor.zone, NodeKey("node-0"))[:DefaultProbers]
@@ -68,7 +68,7 @@
 			w.run(begin + 4*second)
 			for _, f := range w.fronts {
 				if c := f.monitor.Counters(); c.Avoided == 0 && f.number != failed[0] && f.number != failed[1] && f.number != failed[2] {
-					t.Errorf("front %d sends to a silent node 3 s later", f.number)
+					t.Errorf("front %d does not avoid a node that has been silent for 3 s", f.number)
 				}
 			}
 		})
--- a/internal/fleet/health/list.go
+++ b/internal/fleet/health/list.go
@@ -6,57 +6,58 @@
 	"otterturn/scheduler"
 )
 
-// endpointsChanged takes in news of the node list. It counts for more than all evidence.
+// endpointsChanged handles a change of the endpoint list. The list overrides all evidence.
 func (m *Monitor) endpointsChanged(e EndpointsChanged) {
-	named := map[string]bool{}
-	for _, l := range e.Nodes {
-		named[l.Node] = true
-		m.updateEndpoint(l)
+	listed := map[string]bool{}
+	for _, endpoint := range e.Nodes {
+		listed[endpoint.Node] = true
+		m.updateEndpoint(endpoint)
 	}
 	if !e.Full {
 		return
 	}
-	var gone []*node
+	var removed []*node
 	for _, n := range m.byName {
-		if !named[n.name] {
-			gone = append(gone, n)
+		if !listed[n.name] {
+			removed = append(removed, n)
 		}
 	}
-	slices.SortFunc(gone, byName)
-	for _, n := range gone {
+	slices.SortFunc(removed, byName)
+	for _, n := range removed {
 		m.remove(n)
 	}
 	m.rekey()
 }
 
-func (m *Monitor) updateEndpoint(l scheduler.Endpoint) {
-	n := m.byName[l.Node]
-	if l.State == scheduler.Removed {
+func (m *Monitor) updateEndpoint(endpoint scheduler.Endpoint) {
+	n := m.byName[endpoint.Node]
+	if endpoint.State == scheduler.Removed {
 		if n != nil {
 			m.remove(n)
 		}
 		return
 	}
 	if n == nil {
-		m.insert(l)
+		m.insert(endpoint)
 		return
 	}
-	if l.StartedAt != n.start {
-		n.start, n.encodedStart = l.StartedAt, wireSince(l.StartedAt)
-		n.outstanding, n.usualLatency, n.lastSuspected = 0, 0, never
+	if endpoint.StartedAt != n.start {
+		n.start, n.encodedStart = endpoint.StartedAt, encodeStart(endpoint.StartedAt)
+		n.outstanding, n.meanLatency, n.lastSuspected = 0, 0, never
 		m.dropInvestigation(n)
 	}
-	if l.State != n.state {
-		n.state = l.State
+	if endpoint.State != n.state {
+		n.state = endpoint.State
 		m.dropInvestigation(n)
 	}
 	m.scheduleReview(n)
 }
 
-func (m *Monitor) insert(l scheduler.Endpoint) {
+func (m *Monitor) insert(endpoint scheduler.Endpoint) {
 	n := &node{
-		name: l.Node, key: NodeKey(l.Node), start: l.StartedAt, encodedStart: wireSince(l.StartedAt), state: l.State,
-		answered: never, owingSince: never, lastSuspected: never,
+		name: endpoint.Node, key: NodeKey(endpoint.Node),
+		start: endpoint.StartedAt, encodedStart: encodeStart(endpoint.StartedAt), state: endpoint.State,
+		answeredAt: never, unansweredSince: never, lastSuspected: never,
 	}
 	m.byName[n.name] = n
 	if other := m.byKey[n.key]; other != nil {
@@ -67,7 +68,7 @@
 	m.byKey[n.key] = n
 }
 
-// rekey finds nodes by their keys anew: of two with the same one may have gone.
+// rekey rebuilds the index of nodes by key if keys collide: one of the colliding nodes may have been removed.
 func (m *Monitor) rekey() {
 	if len(m.byKey) == len(m.byName) {
 		return
@@ -90,7 +91,7 @@
 
 func (m *Monitor) remove(n *node) {
 	m.dropInvestigation(n)
-	if n.investigation != nil && n.probe.running { // its end finds no node
+	if n.investigation != nil && n.probe.running { // ProbeEnded will find no node
 		n.investigation = nil
 	}
 	m.due.remove(n)
@@ -100,8 +101,8 @@
 	}
 }
 
-// dropInvestigation forgets what was found out about a node. A probe that the scheduler waits for is answered as failed: what the
-// list says has come to the scheduler as well.
+// dropInvestigation discards all evidence about a node. It answers a probe that the scheduler waits for as failed: the
+// scheduler receives the same endpoint list. A running probe is kept, and its failure ignored.
 func (m *Monitor) dropInvestigation(n *node) {
 	if n.investigation == nil {
 		return
@@ -112,11 +113,11 @@
 	if n.avoided {
 		m.avoidedNodes--
 	}
-	out := n.probe
+	runningProbe := n.probe
 	n.investigation = nil
-	if out.running {
-		out.inconclusive, out.forScheduler = true, false
-		n.investigate().probe = out
+	if runningProbe.running {
+		runningProbe.inconclusive, runningProbe.forScheduler = true, false
+		n.investigate().probe = runningProbe
 	}
 	m.scheduleReview(n)
 }
--- a/internal/fleet/monitor/monitor_test.go
+++ b/internal/fleet/monitor/monitor_test.go
@@ -24,31 +24,31 @@
 
 var testBounds = Bounds{Inbox: 16, MaxProbeWait: standin.Patience}
 
-// zone is two fronts' monitors that hear each other, with what they act through.
+// zone contains the monitors of two fronts that exchange messages, and the channels behind their hooks.
 type zone struct {
 	monitors [2]*Monitor
 	reports  [2]chan scheduler.Event
 	probes   chan string
-	answers  atomic.Bool // whether the nodes do
-	lines    chan string
+	answers  atomic.Bool // whether nodes answer probes
+	logLines chan string
 }
 
-// newZone starts two monitors that know the node "a".
+// newZone starts two monitors with the node "a".
 func newZone(t *testing.T, b Bounds) *zone {
-	z := &zone{probes: make(chan string, 1024), lines: make(chan string, 1024)}
+	z := &zone{probes: make(chan string, 1024), logLines: make(chan string, 1024)}
 	z.answers.Store(true)
-	began := time.Now()
+	start := time.Now()
 	for i := range z.monitors {
 		z.reports[i] = make(chan scheduler.Event, 16)
 		m, err := New(testConfig(i), b, Hooks{
-			Now: func() scheduler.Micros { return scheduler.Micros(time.Since(began)/time.Microsecond) + 1 },
+			Now: func() scheduler.Micros { return scheduler.Micros(time.Since(start)/time.Microsecond) + 1 },
 			Probe: func(node string) scheduler.HealthChecked {
 				z.probes <- node
 				return scheduler.HealthChecked{Node: node, OK: z.answers.Load(), Queue: -1}
 			},
 			Report: func(e scheduler.Event) { z.reports[i] <- e },
 			Send:   func(to int, message []byte) { z.monitors[to].Intercept(i, message) },
-			Log:    standin.Log(func(line string) { z.lines <- line }),
+			Log:    standin.Log(func(line string) { z.logLines <- line }),
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -62,29 +62,29 @@
 	return z
 }
 
-// A probe of a node that nobody suspects goes to the node at once.
-func TestProbeOfANodeThatNobodySuspects(t *testing.T) {
+// A requested probe of a node that no front suspects starts immediately.
+func TestProbeOfUnsuspectedNodeStartsImmediately(t *testing.T) {
 	z := newZone(t, testBounds)
 	if p := z.monitors[0].Probe("a"); !p.OK || p.Node != "a" {
-		t.Errorf("%+v", p)
+		t.Errorf("probe result %+v, want success", p)
 	}
 	if node := standin.Await(t, "a probe", z.probes); node != "a" {
 		t.Errorf("probed %q", node)
 	}
 }
 
-// An attempt that failed at one front has both probe and both avoid the node; the scheduler's probe is held back until
-// it answers again.
-func TestZoneFindsANodeSilentAndBack(t *testing.T) {
+// After a failed attempt at one front, both fronts probe and avoid the node. The scheduler's probe is deferred until the
+// node answers again.
+func TestZoneDetectsSilentAndReturnedNode(t *testing.T) {
 	z := newZone(t, testBounds)
 	z.answers.Store(false)
 	if !z.monitors[0].AttemptStarted("a", "x", 0) {
-		t.Fatal("no room")
+		t.Fatal("attempt was not accepted")
 	}
 	z.monitors[0].AttemptEnded("a", scheduler.AttemptEnded{ID: "x", Result: scheduler.Unreachable})
 	for _, reports := range z.reports {
 		if e := standin.Await(t, "a report", reports); e.(scheduler.NodeSilent).Node != "a" {
-			t.Errorf("reported %+v", e)
+			t.Errorf("reported %+v, want node a silent", e)
 		}
 	}
 	answered := make(chan scheduler.HealthChecked, 1)
@@ -92,103 +92,109 @@
 	standin.Until(t, "further probes", func() bool { return len(z.probes) > 4 })
 	select {
 	case p := <-answered:
-		t.Errorf("answered %+v while the node is silent", p)
+		t.Errorf("probe answered with %+v while the node is silent", p)
 	default:
 	}
 	z.answers.Store(true)
 	if p := standin.Await(t, "the answer", answered); !p.OK {
-		t.Errorf("%+v", p)
+		t.Errorf("probe result %+v, want success", p)
 	}
 	c, err := z.monitors[0].Counters(t.Context())
 	if err != nil || c.Avoided != 0 || c.Probes == 0 || c.Sent == 0 || c.SentBytes < c.Sent || c.Received == 0 || c.Drops() != 0 {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("counters %+v, error %v", c, err)
 	}
 }
 
-// Whoever waits for a probe is answered within the bound, and at the monitor's end.
-func TestProbeEnds(t *testing.T) {
-	blocked := Hooks{Now: func() scheduler.Micros { return 1 }, Probe: func(string) scheduler.HealthChecked { select {} }, Log: standin.Log(func(string) {})}
-	for what, hold := range map[string]time.Duration{"the bound": time.Millisecond, "the monitor's end": time.Hour} {
-		m, err := New(testConfig(0), Bounds{Inbox: 16, MaxProbeWait: hold}, blocked)
+// A call of Probe returns as failed after MaxProbeWait, and when the monitor ends, even if the probe hook blocks forever.
+func TestProbeWaitIsBounded(t *testing.T) {
+	blockingHooks := Hooks{
+		Now: func() scheduler.Micros { return 1 }, Probe: func(string) scheduler.HealthChecked { select {} }, Log: standin.Log(func(string) {}),
+	}
+	for what, maxWait := range map[string]time.Duration{"the bound": time.Millisecond, "the monitor's end": time.Hour} {
+		m, err := New(testConfig(0), Bounds{Inbox: 16, MaxProbeWait: maxWait}, blockingHooks)
 		if err != nil {
 			t.Fatal(err)
 		}
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		go m.Run(ctx)
 		answered := make(chan scheduler.HealthChecked, 1)
 		go func() { answered <- m.Probe("a") }()
-		if hold == time.Hour {
+		if maxWait == time.Hour {
 			standin.Until(t, "the call", func() bool {
 				m.waiters.mu.Lock()
 				defer m.waiters.mu.Unlock()
 				return len(m.waiters.byNode["a"]) == 1
 			})
-			end()
+			cancel()
 		}
 		if p := standin.Await(t, what, answered); p.OK || p.Node != "a" || p.Queue != -1 {
-			t.Errorf("%s: %+v", what, p)
+			t.Errorf("%s: probe result %+v, want failure", what, p)
 		}
-		end()
+		cancel()
 		<-m.stopped
 		m.waiters.mu.Lock()
 		if n := len(m.waiters.byNode); n != 0 {
-			t.Errorf("%s: %d nodes are waited for", what, n)
+			t.Errorf("%s: %d nodes still have waiting calls", what, n)
 		}
 		m.waiters.mu.Unlock()
 		if _, err := m.Counters(t.Context()); !errors.Is(err, ErrStopped) {
-			t.Errorf("%s: counters: %v", what, err)
+			t.Errorf("%s: error of Counters: %v, want ErrStopped", what, err)
 		}
 	}
 }
 
-// Nobody who observes is ever held up: what finds no room is counted, and the end of what found some has room.
-func TestFullInboxHoldsNobodyUp(t *testing.T) {
-	m, err := New(testConfig(0), Bounds{Inbox: 3, MaxProbeWait: time.Hour}, Hooks{Now: func() scheduler.Micros { return 1 }, Log: standin.Log(func(string) {})})
+// A full inbox never blocks its senders: it drops and counts starts of attempts and messages, and still accepts the ends
+// of accepted attempts.
+func TestFullInboxDoesNotBlockSenders(t *testing.T) {
+	m, err := New(testConfig(0), Bounds{Inbox: 3, MaxProbeWait: time.Hour}, Hooks{
+		Now: func() scheduler.Micros { return 1 }, Log: standin.Log(func(string) {}),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken := 0
+	accepted := 0
 	for range 10 {
 		if m.AttemptStarted("a", "x", 0) {
-			taken++
+			accepted++
 		}
 	}
-	for range taken {
+	for range accepted {
 		m.AttemptEnded("a", scheduler.AttemptEnded{ID: "x"})
 	}
 	message := health.Message{Incarnation: 1, Sequence: 1, Sent: 1, Entries: []health.Entry{{Node: 1, State: health.Silent}}}
 	if !m.Intercept(1, message.Encode()) {
-		t.Error("a message was taken for none")
+		t.Error("a health message was not recognized")
 	}
-	if got := m.inbox.droppedCount(); taken != 3 || got != 8 || len(m.inbox.drain()) != 6 {
-		t.Errorf("%d taken, %d lost, want 3 and 8", taken, got)
+	if got := m.inbox.droppedCount(); accepted != 3 || got != 8 || len(m.inbox.drain()) != 6 {
+		t.Errorf("%d accepted, %d dropped, want 3 and 8", accepted, got)
 	}
 }
 
-// What can't be read is counted, and each kind is logged once.
+// Every drop of a datagram or entry is counted, and each reason is logged once.
 func TestDropsAreCountedAndLoggedOnce(t *testing.T) {
 	z := newZone(t, testBounds)
 	m := z.monitors[0]
 	if m.Intercept(1, []byte("grant 1 2 a")) {
-		t.Error("a note was taken for a message")
+		t.Error("a message of another kind was taken for a health message")
 	}
 	good := health.Message{Incarnation: 1, Sequence: 1, Sent: 1, Entries: []health.Entry{{Node: 1, State: health.Silent}}}.Encode()
 	for range 5 {
 		if !m.Intercept(1, good[:5]) {
-			t.Error("a message that is cut was taken for none")
+			t.Error("a truncated health message was not recognized")
 		}
 		m.Drop(DropUnknownSender, "from", "nowhere")
 	}
-	m.Intercept(1, good) // of an unknown node
-	m.Intercept(1, good) // and repeated
+	m.Intercept(1, good) // about an unknown node
+	m.Intercept(1, good) // repeated
 	standin.Until(t, "the counts", func() bool {
 		c, err := m.Counters(t.Context())
 		d := c.Dropped
-		return err == nil && c.Drops() == 12 && d[health.DropUnreadable] == 5 && d[DropUnknownSender] == 5 && d[health.DropUnknown] == 1 && d[health.DropRepeated] == 1
+		return err == nil && c.Drops() == 12 && d[health.DropUnreadable] == 5 && d[DropUnknownSender] == 5 &&
+			d[health.DropUnknown] == 1 && d[health.DropRepeated] == 1
 	})
 	logged := map[health.Drop]int{}
 	for range 4 {
-		line := standin.Await(t, "a line", z.lines)
+		line := standin.Await(t, "a line", z.logLines)
 		for _, why := range []health.Drop{health.DropUnreadable, DropUnknownSender, health.DropUnknown, health.DropRepeated} {
 			if strings.Contains(line, string(why)) {
 				logged[why]++
@@ -198,21 +204,21 @@
 	if len(logged) != 4 {
 		t.Errorf("logged %v, want each reason once", logged)
 	}
-	if len(z.lines) != 0 {
-		t.Errorf("logged %q", <-z.lines)
+	if len(z.logLines) != 0 {
+		t.Errorf("logged a further line %q", <-z.logLines)
 	}
 }
 
-// A configuration that is wrong is refused with the field's name, at the start and while it runs; then the old one holds.
-func TestWrongConfiguration(t *testing.T) {
-	wrong := testConfig(0)
-	wrong.Quorum = 1
-	if _, err := New(wrong, testBounds, Hooks{}); err == nil || !strings.Contains(err.Error(), "quorum") {
-		t.Errorf("at the start: %v", err)
+// New and Reconfigure reject an invalid configuration with the name of the field.
+func TestInvalidConfigurationIsRejected(t *testing.T) {
+	invalid := testConfig(0)
+	invalid.Quorum = 1
+	if _, err := New(invalid, testBounds, Hooks{}); err == nil || !strings.Contains(err.Error(), "quorum") {
+		t.Errorf("New: error %v, want one about quorum", err)
 	}
 	z := newZone(t, testBounds)
-	if err := z.monitors[0].Reconfigure(t.Context(), wrong); err == nil || !strings.Contains(err.Error(), "quorum") {
-		t.Errorf("while it runs: %v", err)
+	if err := z.monitors[0].Reconfigure(t.Context(), invalid); err == nil || !strings.Contains(err.Error(), "quorum") {
+		t.Errorf("Reconfigure: error %v, want one about quorum", err)
 	}
 	if err := z.monitors[0].Reconfigure(t.Context(), testConfig(0)); err != nil {
 		t.Error(err)
--- a/internal/fleet/monitor/waiters.go
+++ b/internal/fleet/monitor/waiters.go
@@ -7,14 +7,14 @@
 	"otterturn/scheduler"
 )
 
-// waiters are the calls of Probe that wait for an answer, by node. Each call leaves by itself.
+// waiters holds the calls of Probe that wait for an answer, by node. A call that gives up removes itself.
 type waiters struct {
 	mu     sync.Mutex
 	byNode map[string][]chan scheduler.HealthChecked
 }
 
-// enter adds a call, which is answered over the channel.
-func (w *waiters) enter(node string) chan scheduler.HealthChecked {
+// add adds a call and returns the channel for its answer.
+func (w *waiters) add(node string) chan scheduler.HealthChecked {
 	answer := make(chan scheduler.HealthChecked, 1)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -25,7 +25,7 @@
 	return answer
 }
 
-// answer answers all calls that wait for a node: what was asked again in the meantime is told the same.
+// answer passes a result to all calls that wait for the node.
 func (w *waiters) answer(p scheduler.HealthChecked) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -35,8 +35,8 @@
 	delete(w.byNode, p.Node)
 }
 
-// leave takes a call out that waits no more.
-func (w *waiters) leave(node string, answer chan scheduler.HealthChecked) {
+// remove removes a call that no longer waits.
+func (w *waiters) remove(node string, answer chan scheduler.HealthChecked) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	left := slices.DeleteFunc(w.byNode[node], func(c chan scheduler.HealthChecked) bool { return c == answer })
