--- a/internal/program/appliance.go
+++ b/internal/program/appliance.go
@@ -27,27 +27,27 @@
 	"otterturn/scheduler"
 )
 
-// Appliance is one site's front as the operator's file sets it up.
+// Appliance is a front that runs for one site as the operator's file configures it.
 type Appliance struct {
 	operator Operator
-	lines    *logs.Writer // under log
+	lines    *logs.Writer // the output of log
 	log      *slog.Logger
 	limits   limits.Limits
 	core     *routing.Core
-	files    *sftp.Front // nil where it is off
+	files    *sftp.Front // nil without sftp.listen
 	client   *sftp.Client
 	nodes    *transport.Nodes
-	saver    *saver.Saver     // nil where nothing is kept
-	certs    *manager.Manager // nil where no front speaks TLS
+	saver    *saver.Saver     // nil without learned.folder
+	certs    *manager.Manager // nil where no front has TLS
 	failed   chan error
 	stops    []func()
 
 	mu      sync.Mutex
-	listed  Operator        // the file as last read, for its nodes
-	drained map[string]bool // nodes that the operator drains
+	listed  Operator        // the file as last read; only its node list is used
+	drained map[string]bool // nodes that an operator drains, by name
 }
 
-// Serve runs the appliance until SIGTERM or an interrupt. At SIGHUP it reads the operator's file again.
+// Serve runs the appliance until SIGTERM or SIGINT. On SIGHUP it reads the operator's file again.
 func Serve(path string) error {
 	shutdown, hangups := notifyShutdown(), notifyReload()
 	ignoreClosedLog()
@@ -130,7 +130,7 @@
 	return a, nil
 }
 
-// serve runs a server on a listener of its own. An error that ends it ends the appliance.
+// serve opens a listener and runs a server on it. If the server fails, the appliance stops.
 func (a *Appliance) serve(field, addr string, run func(net.Listener) error, stop func(net.Listener)) error {
 	l, err := listen(addr)
 	if err != nil {
@@ -153,7 +153,7 @@
 	return a.serve("sftp.listen", a.operator.SFTP.Listen, a.secure(a.operator.SFTP.TLS, a.files.Serve), a.files.Stop)
 }
 
-// startHTTP starts the HTTP front.
+// startHTTP starts the HTTP front, with an admission gate if door.room is set.
 func (a *Appliance) startHTTP(context.Context) error {
 	o := a.operator
 	if o.HTTP.Listen == "" {
@@ -175,7 +175,7 @@
 
 func noAddress(_, _ string) string { return "" }
 
-// drain tells the scheduler that a node gets nothing new, or takes that back.
+// drain starts or ends the draining of a node, which gets no new requests meanwhile.
 func (a *Appliance) drain(node string, on bool) error {
 	a.mu.Lock()
 	known := a.hasNode(node)
@@ -190,11 +190,11 @@
 	return nil
 }
 
-// quiet is the log of servers whose clients' mistakes are no news.
+// quiet discards the log of HTTP servers, which report errors of their clients only.
 var quiet = log.New(io.Discard, "", 0)
 
-// follow takes over the nodes of the operator's file and the certificates that it names at each hangup; all else in it
-// holds from the next start on.
+// follow reads the operator's file again at each SIGHUP and applies its node list and its certificate files. All other
+// settings take effect at the next start.
 func (a *Appliance) follow(ctx context.Context, hangups <-chan os.Signal, path string) {
 	for {
 		o, ok := reread(ctx, hangups, LoadOperator, path, a.log)
@@ -214,7 +214,7 @@
 	}
 }
 
-// hosts is the node list with what the operator drains, and the addresses that dial picks. The lock is held.
+// hosts returns the node list with the addresses that dial chooses; drained nodes are marked. The caller holds the lock.
 func (a *Appliance) hosts(dial func(sftp, http string) string) protocol.List {
 	list := a.listed.list(dial)
 	for i, h := range list.Hosts {
@@ -225,7 +225,7 @@
 	return list
 }
 
-// tellNodes hands the node list to the pools and the scheduler.
+// tellNodes applies the node list to the connection pools and the scheduler.
 func (a *Appliance) tellNodes() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/program/beside.go
+++ b/internal/program/beside.go
@@ -9,7 +9,7 @@
 	"otterturn/internal/handover"
 )
 
-// receiveFromOther takes in what the other process says, until it ends.
+// receiveFromOther handles the messages of the front's other process until that process ends.
 func (p *platform) receiveFromOther(c *handover.Channel) {
 	for {
 		k, text, socket, err := c.Receive()
@@ -21,7 +21,7 @@
 			p.log.Warn("message from other process ignored", "error", err)
 		}
 		if socket != nil {
-			socket.Close() // what was taken has a copy
+			socket.Close() // an adopted connection has a duplicate descriptor
 		}
 	}
 }
@@ -42,14 +42,14 @@
 	case k == handover.KindUnban:
 		p.byHand("node unbanned by other process", node, by, p.roster.Unban)
 	default:
-		return fmt.Errorf("a message of kind %d", k)
+		return fmt.Errorf("unexpected message of kind %d", k)
 	}
 	return nil
 }
 
-// sendToOther has the other process, where there is one, hear of a node that is kept out or called back.
+// sendToOther tells the front's other process, if there is one, of a ban or the end of a ban.
 func (p *platform) sendToOther(k handover.Kind, node, by string) {
 	if c := p.otherProcess.Load(); c != nil {
-		c.Send(k, []byte(node+"\n"+by), nil) // one that is gone has no use for it
+		c.Send(k, []byte(node+"\n"+by), nil) // an error means that the process has ended and needs no message
 	}
 }
--- a/internal/program/certificates.go
+++ b/internal/program/certificates.go
@@ -20,10 +20,10 @@
 	"otterturn/internal/net/transport"
 )
 
-// operatorWait bounds what an operator waits for at the console: an exchange with an authority.
+// operatorWait is the timeout of a console command that talks to a certificate authority.
 const operatorWait = 30 * time.Second
 
-// startCertificates sets up the certificates, and their renewal where there is an authority.
+// startCertificates loads the certificates and starts their renewal if authorities are configured.
 func (a *Appliance) startCertificates(ctx context.Context) error {
 	o := a.operator
 	if !o.secured() {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// authority is an authority as the client needs it. Its error names the field.
+// authority converts the settings for the ACME client. Its error names the field.
 func (x Authority) authority() (order.Authority, error) {
 	out := order.Authority{Name: x.Name, Directory: x.Directory, Email: x.Email, BindingID: x.BindingID}
 	var err error
@@ -90,7 +90,7 @@
 	}
 	out.Roots = x509.NewCertPool()
 	if !out.Roots.AppendCertsFromPEM(text) {
-		return out, fmt.Errorf(".roots: %s holds no certificate", x.Roots)
+		return out, fmt.Errorf(".roots: %s contains no certificate", x.Roots)
 	}
 	return out, nil
 }
@@ -103,7 +103,7 @@
 	return out
 }
 
-// secure puts TLS ahead of a server, where its front has it.
+// secure makes a server run on TLS connections if its front has TLS enabled.
 func (a *Appliance) secure(on bool, run func(net.Listener) error) func(net.Listener) error {
 	if !on {
 		return run
@@ -111,7 +111,7 @@
 	return func(l net.Listener) error { return run(transport.NewHandshakes(l, a.certs.TLS(), a.limits)) }
 }
 
-// certificates tells of each certificate.
+// certificates describes each certificate in a line.
 func (a *Appliance) certificates() (string, error) {
 	if a.certs == nil {
 		return "", errNoTLS
@@ -135,10 +135,10 @@
 	return out.String(), nil
 }
 
-// errNoTLS tells that no front speaks TLS.
-var errNoTLS = errors.New("no front has tls set")
+// errNoTLS is the error of certificate commands where no front has TLS.
+var errNoTLS = errors.New("certificates are not in use: neither http.tls nor sftp.tls is set")
 
-// renew, revoke and rollKey carry out an operator's wish.
+// certificateCommand carries out the console commands renew, revoke and rollkey.
 func (a *Appliance) certificateCommand(word, name string) error {
 	if a.certs == nil {
 		return errNoTLS
--- a/internal/program/console.go
+++ b/internal/program/console.go
@@ -17,10 +17,10 @@
 
 // Bounds of the console.
 const (
-	consoles     = 8                // at a time
-	consoleIdle  = 10 * time.Minute // without a command
-	consoleWrite = 10 * time.Second // for an answer to be taken
-	consoleLine  = 1 << 10          // bytes of a command
+	consoles     = 8                // connections at a time
+	consoleIdle  = 10 * time.Minute // a connection without a command is closed after this time
+	consoleWrite = 10 * time.Second // for writing an answer
+	consoleLine  = 1 << 10          // bytes per command
 	endOfAnswer  = "."
 )
 
@@ -39,8 +39,8 @@
                  drop what was learned of it
 quit             end this console`
 
-// console answers commands on a socket in the file system: a line each, answered by "ok" or "error: ...", lines
-// of text, and a line with a dot alone.
+// console answers operators' commands on a Unix socket. A command is one line; its answer is a line "ok" or "error: ...",
+// any lines of text, and a line with a single dot.
 type console struct {
 	appliance *Appliance
 	room      chan struct{}
@@ -99,7 +99,7 @@
 	}
 }
 
-// answer carries out one command.
+// answer carries out one command; quit reports whether it ends the connection.
 func (c *console) answer(line string) (text string, quit bool, err error) {
 	a := c.appliance
 	cmd, err := parseCommand(line)
@@ -133,7 +133,7 @@
 	return text, cmd.Plain == "quit", err
 }
 
-// ruleFigures tells what the guard denied, and what was done against the rules.
+// ruleFigures lists the denied operations, the violations and the dropped log lines.
 func (a *Appliance) ruleFigures() string {
 	var denied int64
 	for _, c := range a.core.Guard.Counts() {
@@ -164,8 +164,8 @@
 	return out.String()
 }
 
-// Console sends commands to a running appliance: the words as one, or else the lines of in, until quit. It
-// fails if one of them did.
+// Console sends commands to a running appliance: words as one command, or without words each line of in up to quit. It
+// returns ErrCommand if a command failed.
 func Console(path string, words []string, in io.Reader, out io.Writer) error {
 	o, err := LoadOperator(path)
 	if err != nil {
@@ -176,7 +176,7 @@
 	}
 	conn, err := net.Dial("unix", o.Console.Socket)
 	if err != nil {
-		return fmt.Errorf("%w: %w; 'otterturn serve' starts one", ErrNotRunning, err)
+		return fmt.Errorf("%w: %w; start one with 'otterturn serve'", ErrNotRunning, err)
 	}
 	defer conn.Close()
 	prompt := ""
@@ -208,14 +208,14 @@
 	return errors.Join(failed, lines.Err())
 }
 
-// What commands may end with, beside other errors.
+// Errors that the program's exit status distinguishes.
 var (
 	ErrCommand       = errors.New("a command failed")
-	ErrNotRunning    = errors.New("no appliance answers")
-	ErrConfiguration = errors.New("the configuration can't be used")
+	ErrNotRunning    = errors.New("no appliance answers at the console socket")
+	ErrConfiguration = errors.New("invalid configuration")
 )
 
-// show copies one answer.
+// show copies one answer to out, without its first line if that is "ok". It returns ErrCommand for a failed command.
 func show(answers *bufio.Reader, out io.Writer) error {
 	var failed error
 	for first := true; ; first = false {
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -14,19 +14,19 @@
 	"otterturn/scheduler"
 )
 
-// fleetVariable names the operator's file of what the fronts do together. Where it is not set each acts for itself.
+// fleetVariable is the environment variable with the path of the fleet file. Without it a front shares no node health.
 const fleetVariable = "RELAY_FLEET"
 
-// longestEvidence is the most that evidence may live.
+// longestEvidence is the maximum lifetime of evidence.
 const longestEvidence = time.Duration(health.MaxEvidenceLife) * time.Microsecond
 
-// Fleet is the operator's file of what the fronts do together.
+// Fleet is the operators' fleet file: the settings of features that the fronts of a fleet share.
 type Fleet struct {
 	Health FleetHealth
 	Zones  []FleetZone
 }
 
-// FleetHealth sets up the zones' shared health of nodes, see health.Config.
+// FleetHealth configures the node health that the fronts of a zone share, see health.Config.
 type FleetHealth struct {
 	Enabled       bool
 	Probers       int
@@ -39,21 +39,21 @@
 	MessageBytes  float64       `toml:"message_bytes"`
 }
 
-// FleetZone is a zone of fronts, which are told by their numbers: single ones, or ranges such as "0-119".
+// FleetZone is a zone of fronts. Fronts lists their numbers, as single numbers or as ranges such as "0-119".
 type FleetZone struct {
 	Name   string
 	Region string
 	Fronts []string
 }
 
-// frontConfig is what a fleet's file has to fit: this front's configuration.
+// frontConfig is the part of this front's configuration that the fleet file must be consistent with.
 type frontConfig struct {
-	self, fronts int  // its number, and of how many
-	peers        bool // fronts have addresses for messages to each other
-	probing      bool // nodes may be probed
+	self, fronts int  // the number of this front, and the number of fronts
+	peers        bool // the configuration has addresses for messages between fronts
+	probing      bool // health checks of nodes are enabled
 }
 
-// loadFleet reads and checks the file. Its errors name the field.
+// loadFleet reads and validates the fleet file. Its errors name the field.
 func loadFleet(path string, s frontConfig) (Fleet, error) {
 	var f Fleet
 	meta, err := toml.DecodeFile(path, &f)
@@ -76,7 +76,7 @@
 	return f, nil
 }
 
-// config is what the monitor is told at a front, whose process began at a time in Unix microseconds.
+// config returns the monitor's configuration. began, the start of the process in Unix microseconds, is its incarnation.
 func (f *Fleet) config(s frontConfig, began int64) (health.Config, error) {
 	switch {
 	case !s.peers:
@@ -103,32 +103,32 @@
 	return c, nil
 }
 
-// check tells the first figure that is wrong by itself.
+// check validates each setting without regard to the zones.
 func (h *FleetHealth) check() error {
 	switch {
 	case h.Probers < 1:
-		return fmt.Errorf("health.probers: %d, must be 1 at least", h.Probers)
+		return fmt.Errorf("health.probers: %d, must be at least 1", h.Probers)
 	case h.Quorum < 2 || h.Quorum > h.Probers:
-		return fmt.Errorf("health.quorum: %d, must be 2 at least and no more than health.probers, %d", h.Quorum, h.Probers)
+		return fmt.Errorf("health.quorum: %d, must be at least 2 and at most health.probers, %d", h.Quorum, h.Probers)
 	case !(h.ProbesPerNode > 0):
 		return errors.New("health.probes_per_node: must be above 0")
 	case !(h.MessageBytes >= health.MessageLimit):
-		return fmt.Errorf("health.message_bytes: must be %d at least, for one message a second", health.MessageLimit)
+		return fmt.Errorf("health.message_bytes: must be at least %d, for one message per second", health.MessageLimit)
 	case h.EvidenceLife > longestEvidence:
-		return fmt.Errorf("health.evidence_life: %v, must be %v at most", h.EvidenceLife, longestEvidence)
+		return fmt.Errorf("health.evidence_life: %v, must be at most %v", h.EvidenceLife, longestEvidence)
 	}
 	for _, t := range []struct {
 		field string
 		value time.Duration
 	}{{"suspect_after", h.SuspectAfter}, {"probe_late", h.ProbeLate}, {"evidence_life", h.EvidenceLife}, {"takeover_after", h.TakeoverAfter}} {
 		if t.value < time.Microsecond {
-			return fmt.Errorf("health.%s: must be a time above 0", t.field)
+			return fmt.Errorf("health.%s: must be a duration above 0", t.field)
 		}
 	}
 	return nil
 }
 
-// zones tells each front's zone by the front's number. Every front must be in one, and in one alone.
+// zones returns each front's zone, indexed by the front's number. Every front must be in exactly one zone.
 func (f *Fleet) zones(fronts int) ([]int, error) {
 	if len(f.Zones) == 0 {
 		return nil, errors.New("zones: missing")
@@ -141,7 +141,7 @@
 	names, members := map[string]bool{}, make([]int, len(f.Zones))
 	for i, z := range f.Zones {
 		if z.Name == "" || names[z.Name] {
-			return nil, fmt.Errorf("zones[%d].name: missing or taken", i)
+			return nil, fmt.Errorf("zones[%d].name: missing or used before", i)
 		}
 		names[z.Name] = true
 		for _, text := range z.Fronts {
@@ -171,7 +171,7 @@
 	return out, nil
 }
 
-// parseFronts reads a number or a range of numbers, of so many fronts.
+// parseFronts reads a front's number or a range of numbers below fronts.
 func parseFronts(text string, fronts int) (first, last int, err error) {
 	from, to, ranged := strings.Cut(text, "-")
 	if !ranged {
@@ -187,7 +187,7 @@
 	case first > last:
 		return 0, 0, fmt.Errorf("%q ends before it begins", text)
 	case last >= fronts:
-		return 0, 0, fmt.Errorf("%q is out of range: settings.balancers is %d, numbers begin at 0", text, fronts)
+		return 0, 0, fmt.Errorf("%q is out of range: settings.balancers is %d, front numbers start at 0", text, fronts)
 	}
 	return first, last, nil
 }
--- a/internal/program/fleet_health.go
+++ b/internal/program/fleet_health.go
@@ -14,23 +14,23 @@
 	"otterturn/scheduler"
 )
 
-// Bounds of the monitor of the zone's health.
+// Bounds of the health monitor.
 const (
-	leastInbox   = 1024        // observations and messages that may wait for it, where the core's own inbox is shorter
-	longestProbe = time.Minute // the scheduler is answered within this that a node is silent still
+	leastInbox   = 1024        // events that may wait for the monitor, if the core's inbox is shorter
+	longestProbe = time.Minute // the scheduler's health check of a silent node is answered after at most this time
 )
 
-// sharedHealth is a front's part in the zones' shared health of nodes. It is empty where no file of the fleet is named.
+// sharedHealth is the state of the node health that fronts share. It is empty without a fleet file.
 type sharedHealth struct {
 	monitor      *monitor.Monitor // nil where health is not shared
 	sharesHealth bool
 	fleetPath    string
-	site         frontConfig // as of the start
+	site         frontConfig // at the start
 	began        int64       // Unix time in microseconds
 }
 
-// newMonitor sets up the monitor of the zone's health as the operator's file tells. It is nil where that is off. The
-// figures of the start, which the file has to fit, hold while the process runs.
+// newMonitor returns the health monitor that the fleet file configures, or nil where shared health is off. The front's
+// configuration at the start, which the file must be consistent with, applies as long as the process runs.
 func (p *platform) newMonitor(probe func(string) scheduler.HealthChecked) (*monitor.Monitor, error) {
 	path := os.Getenv(fleetVariable)
 	if path == "" {
@@ -60,14 +60,15 @@
 	})
 }
 
-// sendToFront sends a datagram to the front of a number, where there is a socket for that.
+// sendToFront sends a datagram to the front with number to, if the socket for peer messages is open.
 func (p *platform) sendToFront(to int, message []byte) {
 	if p.peers != nil {
 		p.peers.SendBytes(to, message)
 	}
 }
 
-// runMonitor starts the monitor, where there is one, and has it hear what other fronts say. The messages' socket is open.
+// runMonitor starts the monitor, if there is one, and connects it to the core and to the messages of other fronts. It
+// must be called after the socket for peer messages was opened.
 func (p *platform) runMonitor(ctx context.Context) {
 	if p.monitor == nil {
 		return
@@ -79,7 +80,7 @@
 	go p.monitor.Run(ctx)
 }
 
-// dropped counts a datagram that is of no use.
+// dropped counts and logs an invalid datagram by the kind of the fault.
 func (p *platform) dropped(from netip.AddrPort, why error) {
 	kind := monitor.DropUnknownKind
 	switch {
@@ -91,15 +92,16 @@
 	p.monitor.Drop(kind, "from", from.String(), "error", why)
 }
 
-// updateMonitor hands news of the node list on, where anybody wants it.
+// updateMonitor passes a change of the endpoint list to the monitor, if there is one.
 func (p *platform) updateMonitor(news scheduler.EndpointsChanged) {
 	if p.monitor != nil {
 		p.monitor.UpdateEndpoints(news)
 	}
 }
 
-// reloadFleet reads the fleet's file anew, for settings that are about to hold. What it brings holds once the returned
-// function was called, which does not fail for what the file says. Whether health is shared holds from a start on.
+// reloadFleet reads and validates the fleet file again, together with set, the scheduler settings that are about to be
+// applied. The returned function applies it and does not fail because of the file's content. health.enabled can't change
+// while the process runs.
 func (p *platform) reloadFleet(set scheduler.Settings) (apply func() error, err error) {
 	if p.fleetPath == "" {
 		return func() error { return nil }, nil
@@ -123,7 +125,7 @@
 	return func() error { return p.monitor.Reconfigure(context.Background(), config) }, nil
 }
 
-// healthFigures are the figures of the zone's health, nil where it is not shared.
+// healthFigures returns the counters of the health monitor, nil where health is not shared.
 func (p *platform) healthFigures(ctx context.Context) (*protocol.HealthFigures, error) {
 	if p.monitor == nil {
 		return nil, nil
--- a/internal/program/fleet_test.go
+++ b/internal/program/fleet_test.go
@@ -49,19 +49,19 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(c.Zones, []int{0, 0, 1, 1, 0}) {
-		t.Errorf("zones %v", c.Zones)
+		t.Errorf("zones %v, want [0 0 1 1 0]", c.Zones)
 	}
 	c.Zones = nil
 	if c.Self != 3 || c.Incarnation != 17 || c.Probers != 2 || c.Quorum != 2 || c.SuspectAfter != 50_000 || c.ProbeTimeout != 100_000 ||
 		c.EvidenceLifetime != 6_000_000 || c.TakeoverAfter != 1_000_000 || c.ProbesPerNode != 40 || c.MessageRate != 8192 {
-		t.Errorf("%+v", c)
+		t.Errorf("unexpected health configuration %+v", c)
 	}
 	if _, err := loadFleet("../../deploy/fleet.toml", frontConfig{fronts: 1200, peers: true, probing: true}); err != nil {
 		t.Error(err)
 	}
 }
 
-// Each wrong field is named, and nothing else is said.
+// An error names the invalid field, in a single line.
 func TestWrongFleetFileNamesTheField(t *testing.T) {
 	zones := fleetFile[strings.Index(fleetFile, "[[zones]]"):]
 	for _, c := range []struct{ old, with, says string }{
@@ -95,12 +95,12 @@
 	} {
 		_, err := loadText(t, strings.Replace(fleetFile, c.old, c.with, 1), goodSite)
 		if err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q for %q: %v, want %q", c.with, c.old, err, c.says)
+			t.Errorf("%q instead of %q: %v, want %q", c.with, c.old, err, c.says)
 		}
 	}
 }
 
-// The file has to fit the front's configuration, and one that is off needs nothing.
+// A file must be consistent with the front's configuration; one with health disabled is accepted in any case.
 func TestFleetFileFitsTheConfiguration(t *testing.T) {
 	for _, c := range []struct {
 		edit func(*frontConfig)
@@ -118,10 +118,10 @@
 		}
 		off := strings.Replace(fleetFile, "enabled = true", "enabled = false", 1)
 		if f, err := loadText(t, off, site); err != nil || f.Health.Enabled {
-			t.Errorf("%+v, off: %v", site, err)
+			t.Errorf("%+v, health disabled: %v", site, err)
 		}
 	}
 	if _, err := loadFleet(filepath.Join(t.TempDir(), "missing.toml"), goodSite); err == nil || !strings.Contains(err.Error(), "RELAY_FLEET") {
-		t.Errorf("a missing file: %v", err)
+		t.Errorf("missing file: %v, want an error that names RELAY_FLEET", err)
 	}
 }
--- a/internal/program/handover.go
+++ b/internal/program/handover.go
@@ -17,11 +17,11 @@
 	"otterturn/scheduler"
 )
 
-// handoverSocket stands in $TMPDIR, which the processes of a front share.
+// handoverSocket is the socket's file name in $TMPDIR, which the processes of a front share.
 const handoverSocket = "handover"
 
-// handoverPath is where the process that serves is asked to hand over, "" where the platform holds no clients' socket
-// that two could serve.
+// handoverPath returns the path of the socket on which the serving process accepts handover requests. It is empty unless
+// the platform passes the listening socket to the process, since two processes of a front can only share that one.
 func handoverPath(accept, folder string) string {
 	if accept == "" || folder == "" {
 		return ""
@@ -29,13 +29,13 @@
 	return filepath.Join(folder, handoverSocket)
 }
 
-// takeOver takes over from a predecessor of this front, where there is one. On a fault before the predecessor has let go
-// this process begins as after a restart, and promises no more than that allows; beside one that lives and says nothing
-// it promises nothing.
+// takeOver takes over the state of a predecessor of this front, if one runs. If that fails before the predecessor has
+// released its state, this process starts without state, as after a restart. If the predecessor runs but does not answer
+// in time, this process suspends the limits until the predecessor ends.
 func (p *platform) takeOver(path string) {
 	c, err := handover.Dial(path)
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-		return // none runs
+		return // no predecessor runs
 	}
 	if err == nil {
 		if err = p.receive(c); err == nil {
@@ -52,8 +52,8 @@
 	p.log.Error("handover failed, starting without state", "error", err)
 }
 
-// awaitPredecessorEnd waits for the end of a predecessor that did not hand over, and may go on at any time: until then this one
-// promises nothing.
+// awaitPredecessorEnd waits for the end of a predecessor that did not hand over. The predecessor may resume at any time, so
+// the limits stay suspended until it has ended.
 func (p *platform) awaitPredecessorEnd(c *handover.Channel) {
 	defer c.Close()
 	for err := c.SetTimeout(0); err == nil; {
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// listenForSuccessors hands over to each successor that asks, one at a time, until ctx ends. The first may ask from its return
-// on: one that found nobody to ask would begin as after a restart beside this one.
+// listenForSuccessors hands over to each successor that asks, one at a time, until ctx ends. The socket is open when it
+// returns: a successor that can't connect would start without state while this process still serves.
 func (p *platform) listenForSuccessors(ctx context.Context, path string) {
 	l, err := retryStart(func() (*net.UnixListener, error) { return handover.Listen(path) })
 	if err != nil {
@@ -135,7 +135,7 @@
 	}
 }
 
-// awaitSuccessor takes the one successor that asks next.
+// awaitSuccessor accepts the next successor's connection and closes the listener.
 func awaitSuccessor(ctx context.Context, l *net.UnixListener, retry time.Duration) (*handover.Channel, error) {
 	defer l.Close()
 	defer context.AfterFunc(ctx, func() { l.Close() })()
@@ -146,11 +146,11 @@
 	return handover.NewChannel(c.(*net.UnixConn)), nil
 }
 
-// queuedIDs is how many ids of requests may wait to be announced to the successor.
+// queuedIDs is how many request ids may wait to be announced to the successor.
 const queuedIDs = 4096
 
-// announcer returns a function that tells the successor of a request's id, until ended. No request waits for it. It may be called
-// behind the end: a request may still hold it then.
+// announcer returns a function that announces a request's id to the successor until ended is closed. The function never
+// blocks, and may be called after ended was closed because a request may still hold it.
 func (p *platform) announcer(c *handover.Channel, ended <-chan struct{}) func(id string) {
 	ids := make(chan string, queuedIDs)
 	go func() {
@@ -166,14 +166,15 @@
 	return func(id string) {
 		select {
 		case ids <- id:
-		default: // the successor stands still
+		default: // the successor is not reading
 			p.log.Warn("request id not announced to successor", "request", id)
 		}
 	}
 }
 
-// handOver is the predecessor's part, from the successor's question to its end. It returns while this process serves,
-// with the cause, never nil: where the successor did take over, this process ends meanwhile.
+// handOver is the predecessor's side of a handover, from the successor's request to the successor's end. It returns only
+// if this process continues to serve, always with an error that names the cause: after a complete handover this process
+// shuts down while handOver is still running.
 func (p *platform) handOver(c *handover.Channel) error {
 	if err := c.SetTimeout(p.limits.Stop.HandoverTimeout); err != nil {
 		return err
@@ -204,10 +205,10 @@
 	p.log.Info("handover sent")
 	p.receiveFromOther(c)
 	p.takeBack(scheduler.Learned{})
-	return errors.New("it has ended")
+	return errors.New("successor has ended")
 }
 
-// sendState stops promising and gives the state, until the successor may go on.
+// sendState stops granting capacity and accepting clients, sends the state, and lets the successor proceed.
 func (p *platform) sendState(c *handover.Channel) (routing.HandoverState, error) {
 	var socket syscall.Conn
 	if p.peers != nil {
@@ -231,7 +232,7 @@
 	return given, errors.Join(c.SendState(text, socket), c.ReleaseSuccessor(), c.SetTimeout(0))
 }
 
-// takeBack has this process serve again, as the successor is gone. unused is what that one never used.
+// takeBack makes this process serve again after the successor has ended. unused is state that the successor never used.
 func (p *platform) takeBack(unused scheduler.Learned) {
 	p.otherProcess.Store(nil)
 	p.core.AnnounceIDs(nil)
--- a/internal/program/handover_test.go
+++ b/internal/program/handover_test.go
@@ -8,8 +8,8 @@
 	"otterturn/internal/logs"
 )
 
-// Guards against the end of the program where a request announces its id as the successor has gone: it may hold the function that
-// tells of it beyond that.
+// Guards against a crash when a request announces its id after the successor has ended: a request may hold the announcing
+// function longer than that.
 func TestIDIsAnnouncedToNobodyBehindTheEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "handover")
 	l, err := handover.Listen(path)
--- a/internal/program/listener.go
+++ b/internal/program/listener.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// acceptVariable names the descriptor of the clients' listening socket, where the platform holds it: it stays open
-// while one process of the front follows another.
+// acceptVariable is the environment variable with the descriptor of the clients' listening socket, if the platform holds
+// the socket. The socket stays open while one process of the front replaces another.
 const acceptVariable = "RELAY_ACCEPT_FD"
 
-// A start goes on where a system call fails for a moment.
+// Retries of system calls that fail temporarily at the start.
 const (
 	startRetry    = 50 * time.Millisecond
 	startPatience = 2 * time.Second
 )
 
-// retryStart tries again what a start needs, while it fails as the system lacks something for a moment: a listener whose address is
-// in use, or a descriptor. The error is the last one.
+// retryStart calls open again every startRetry, up to startPatience, while it fails with a transient system error, such as
+// an address in use or a lack of descriptors. It returns the last error.
 func retryStart[T any](open func() (T, error)) (T, error) {
 	for began := time.Now(); ; time.Sleep(startRetry) {
 		value, err := open()
@@ -31,7 +31,7 @@
 	}
 }
 
-// isMomentary reports whether an error of a system call may pass by itself.
+// isMomentary reports whether an error of a system call is likely to be transient.
 func isMomentary(err error) bool {
 	for _, errno := range []syscall.Errno{
 		syscall.EAGAIN, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRINUSE,
@@ -44,7 +44,7 @@
 	return false
 }
 
-// clientsListener is where clients connect: the socket that was handed down, or one of its own.
+// clientsListener returns the listener for clients: the inherited socket of descriptor, or a new one at addr without it.
 func clientsListener(addr, descriptor string) (net.Listener, error) {
 	if descriptor == "" {
 		l, err := retryStart(func() (net.Listener, error) { return net.Listen("tcp", addr) })
@@ -55,31 +55,31 @@
 	}
 	fd, err := strconv.Atoi(descriptor)
 	if err != nil || fd < 3 {
-		return nil, misuse{fmt.Errorf("%s: %q is no descriptor above 2", acceptVariable, descriptor)}
+		return nil, misuse{fmt.Errorf("%s: %q is not a file descriptor above 2", acceptVariable, descriptor)}
 	}
 	file := os.NewFile(uintptr(fd), acceptVariable)
-	defer file.Close() // the listener has a copy
+	defer file.Close() // the listener has a duplicate
 	l, err := net.FileListener(file)
 	if err != nil {
-		return nil, misuse{fmt.Errorf("%s: %d is no listening socket: %w", acceptVariable, fd, err)}
+		return nil, misuse{fmt.Errorf("%s: descriptor %d is not a listening socket: %w", acceptVariable, fd, err)}
 	}
 	if _, ok := l.(*net.TCPListener); !ok {
 		l.Close()
-		return nil, misuse{fmt.Errorf("%s: %d is no TCP socket", acceptVariable, fd)}
+		return nil, misuse{fmt.Errorf("%s: descriptor %d is not a TCP socket", acceptVariable, fd)}
 	}
 	return l, nil
 }
 
-// listen opens an address with a port, or a socket in the file system that the operator's user alone may use.
+// listen opens a TCP address with a port, or a Unix socket that only the process's user may use.
 func listen(addr string) (net.Listener, error) {
 	if address(addr) {
 		return retryStart(func() (net.Listener, error) { return net.Listen("tcp", addr) })
 	}
 	if c, err := net.Dial("unix", addr); err == nil {
 		c.Close()
-		return nil, fmt.Errorf("%s: another program serves it", addr)
+		return nil, fmt.Errorf("%s: another program listens on the socket", addr)
 	}
-	if err := os.Remove(addr); err != nil && !errors.Is(err, os.ErrNotExist) { // left by one that was killed
+	if err := os.Remove(addr); err != nil && !errors.Is(err, os.ErrNotExist) { // left by a killed process
 		return nil, err
 	}
 	old := syscall.Umask(0o177)
