--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink lets the scheduler of package scheduler decide on the bench: batches of events come in on
-// standard input, actions leave on standard output.
+// Command benchlink runs package scheduler for the test bench: it reads batches of events from standard input and writes
+// the scheduler's actions to standard output.
 package main
 
 import (
--- a/internal/grammar/grammar.go
+++ b/internal/grammar/grammar.go
@@ -1,4 +1,4 @@
-// Package grammar reads text by a parser and says where it went wrong, for people: by the column.
+// Package grammar parses lines of text with a participle parser and reports syntax errors with their column.
 package grammar
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/alecthomas/participle/v2"
 )
 
-// Parse reads one line.
+// Parse parses one line.
 func Parse[T any](p *participle.Parser[T], line string) (T, error) {
 	v, err := p.ParseString("", line)
 	if at := participle.Error(nil); errors.As(err, &at) {
--- a/internal/logs/logger.go
+++ b/internal/logs/logger.go
@@ -11,9 +11,10 @@
 	"github.com/mattn/go-isatty"
 )
 
-// New gives the logger of the program: tinted lines where w is a terminal, JSON lines otherwise (the platform, a
-// file, a pipe), at level and above, under the quota of Burst lines a message in each Span. The field "held" of a
-// line says how many of the same message were not written before it. Where w is a Writer, a line tells of those that it dropped.
+// New returns the program's logger: colored text if w is a terminal, JSON lines otherwise (the platform, a file, a pipe),
+// at level and above, limited to Burst lines per message in each Span. The attribute "held" of a line is the number of
+// lines of the same message that were suppressed before it. If w is a Writer, the lines that it drops are counted in a
+// line of their own.
 func New(w io.Writer, level slog.Leveler) *slog.Logger {
 	h := newHandler(w, level)
 	if queued, ok := w.(*Writer); ok {
@@ -23,7 +24,7 @@
 	return slog.New(&quota{next: h, shared: &shared{quota: NewQuota(Burst, Span, MaxKeys)}})
 }
 
-// newHandler writes for a person where w leads to a terminal, for a machine otherwise.
+// newHandler returns a text handler if w leads to a terminal, a JSON handler otherwise.
 func newHandler(w io.Writer, level slog.Leveler) slog.Handler {
 	to := w
 	if queued, ok := w.(*Writer); ok {
@@ -35,16 +36,17 @@
 	return slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level})
 }
 
-// Quiet gives a logger that writes nothing, for tests and for parts whose lines nobody reads.
+// Quiet returns a logger that discards everything, for tests and for components whose log is not needed.
 func Quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// quota is the shell around Quota: it hands it each record's time, which slog took when the line was made.
+// quota is a handler that applies a Quota, with the time that slog set in each record.
 type quota struct {
 	next   slog.Handler
 	shared *shared
 }
 
-// shared is the one quota of a logger and of all that With makes of it: a message counts alike wherever it is said.
+// shared is the quota that a logger shares with all loggers derived from it by With and WithGroup, so that a message is
+// counted whichever of them logs it.
 type shared struct {
 	mu    sync.Mutex
 	quota *Quota
--- a/internal/logs/quota.go
+++ b/internal/logs/quota.go
@@ -1,21 +1,20 @@
-// Package logs is the program's one logger: lines for a person on a terminal, JSON for a machine otherwise, and a
-// quota on what repeats, so that a fault met on every request neither floods the operator nor costs a core.
+// Package logs provides the program's logger: text on a terminal, JSON lines otherwise, with a quota for repeated messages,
+// so that a fault that occurs on every request neither floods the log nor uses up a core.
 //
-// The quota is decided by Quota, which keeps no clock and does no I/O; the handler around it is the shell that
-// hands it each record's time.
+// Quota makes the decisions without a clock and without I/O; the slog handler around it passes each record's time.
 package logs
 
 import "time"
 
-// The quota's bounds: a message is said Burst times in Span, then counted until its span ends. Keys past MaxKeys
-// share one quota, so that memory stays bounded whatever is logged: our messages are constant texts, a few dozen.
+// Parameters of the logger's quota: a message is written up to Burst times in a Span, further ones are counted until the
+// span ends. Keys beyond MaxKeys share one quota, which bounds the memory; the program has a few dozen constant messages.
 const (
 	Burst   = 10
 	Span    = 10 * time.Second
 	MaxKeys = 256
 )
 
-// Quota decides which lines are said. The zero value is not usable; make one with NewQuota.
+// Quota decides which lines are written. Create one with NewQuota; the zero value is not usable.
 type Quota struct {
 	burst   int
 	span    time.Duration
@@ -23,24 +22,24 @@
 	spans   map[string]*span
 }
 
-// span is what one key has said since start, and what it held back.
+// span counts the lines of one key since start: written ones, and suppressed ones.
 type span struct {
 	start      time.Time
 	said, held int
 }
 
-// overflow is the key of every message past maxKeys.
+// overflow is the common key of all messages beyond maxKeys.
 const overflow = "\x00others"
 
-// NewQuota gives a quota of burst lines a key in each span of length, for at most maxKeys keys and one that those past them share. burst and maxKeys are at least
-// 1, length more than 0; smaller values are taken as those.
+// NewQuota returns a quota of burst lines per key in each span of the given length. Keys beyond maxKeys share one quota.
+// burst and maxKeys below 1 count as 1; a length of 0 or less counts as 1 ns.
 func NewQuota(burst int, length time.Duration, maxKeys int) *Quota {
 	return &Quota{burst: max(burst, 1), span: max(length, time.Nanosecond), maxKeys: max(maxKeys, 1), spans: map[string]*span{}}
 }
 
-// Say tells whether the line of key at now is to be said and, where it is, how many lines of that key were held
-// back since the last one said. A span starts at the first line of a key and lasts the quota's span; a time that
-// goes back (another goroutine's record, a stepped clock) counts as inside the span.
+// Say reports whether a line with key at time now is to be written and, if so, how many lines of the key the previous span
+// suppressed. A span starts with the first line of a key. A time before its start, from another goroutine's record or
+// after a clock step, counts as inside the span.
 func (q *Quota) Say(key string, now time.Time) (say bool, held int) {
 	s, ok := q.spans[key]
 	if !ok {
@@ -66,7 +65,7 @@
 	return true, held
 }
 
-// forget drops the spans that ended with nothing held back: they have nothing left to tell.
+// forget deletes the spans that have ended and have no suppressed lines to report.
 func (q *Quota) forget(now time.Time) {
 	for key, s := range q.spans {
 		if s.held == 0 && now.Sub(s.start) >= q.span {
--- a/internal/logs/quota_test.go
+++ b/internal/logs/quota_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A message is said Burst times in a span and then counted; the first line of the next span carries the count.
+// A message is written burst times in a span, then counted; the first line of the next span has the count.
 func TestQuotaCountsWhatRepeats(t *testing.T) {
 	q := NewQuota(10, 10*time.Second, 4)
 	at := time.Unix(1000, 0)
@@ -17,25 +17,25 @@
 		if ok, held := q.Say("a", at.Add(time.Duration(i)*time.Millisecond)); ok {
 			said++
 			if held != 0 {
-				t.Errorf("line %d: %d held inside the first span", i, held)
+				t.Errorf("line %d: %d suppressed lines reported inside the first span", i, held)
 			}
 		}
 	}
 	if said != 10 {
-		t.Errorf("%d of 25 said in one span, want 10", said)
+		t.Errorf("%d of 25 lines written in one span, want 10", said)
 	}
 	if ok, _ := q.Say("b", at); !ok {
-		t.Error("another message was held back by the first one's quota")
+		t.Error("the quota of one message suppressed another message")
 	}
 	if ok, held := q.Say("a", at.Add(10*time.Second)); !ok || held != 15 {
-		t.Errorf("the next span's first line: said %v, held %d, want true and 15", ok, held)
+		t.Errorf("first line of the next span: written %v, suppressed before it %d, want true and 15", ok, held)
 	}
 	if ok, _ := q.Say("a", at.Add(9*time.Second)); !ok {
-		t.Error("a time that goes back started no span of its own and was not said")
+		t.Error("a line with a time before the span's start was suppressed")
 	}
 }
 
-// Keys past the bound share one quota, so memory stays bounded; spans that have nothing left to tell are forgotten.
+// Keys beyond the maximum share one quota, so memory stays bounded; ended spans without suppressed lines are deleted.
 func TestQuotaKeysAreBounded(t *testing.T) {
 	q := NewQuota(1, time.Second, 3)
 	at := time.Unix(1000, 0)
@@ -43,20 +43,20 @@
 		q.Say(key, at)
 	}
 	if ok, _ := q.Say("d", at); !ok {
-		t.Error("the first line past the bound was not said")
+		t.Error("the first line of a key beyond the maximum was suppressed")
 	}
 	if ok, _ := q.Say("e", at); ok {
-		t.Error("a second key past the bound had a quota of its own")
+		t.Error("a second key beyond the maximum had its own quota")
 	}
 	if len(q.spans) != 4 {
-		t.Errorf("%d spans kept, want 4: three keys and the one shared past them", len(q.spans))
+		t.Errorf("%d spans, want 4: three keys and the shared one", len(q.spans))
 	}
 	if ok, _ := q.Say("f", at.Add(time.Second)); !ok {
-		t.Error("ended spans were not forgotten to make room")
+		t.Error("ended spans were not deleted to make room")
 	}
 }
 
-// The logger writes JSON where its output is no terminal, and says on the next line said how many it held back.
+// The logger writes JSON if its output is not a terminal, and adds the number of suppressed lines to the next line written.
 func TestLoggerHoldsRepeatsBack(t *testing.T) {
 	var out bytes.Buffer
 	log := New(&out, slog.LevelInfo)
@@ -70,12 +70,12 @@
 	}
 	var line map[string]any
 	if err := json.Unmarshal(lines[0], &line); err != nil || line["msg"] != "node answers errors" || line["node"] != "n1" {
-		t.Errorf("not the JSON line logged: %s (%v)", lines[0], err)
+		t.Errorf("unexpected JSON line: %s (%v)", lines[0], err)
 	}
 	h := log.Handler().(*quota)
 	h.shared.quota.spans["WARN node answers errors"].start = time.Time{} // as if its span had ended
 	log.With("node", "n2").Warn("node answers errors")
 	if err := json.Unmarshal(bytes.TrimSpace(out.Bytes()[bytes.LastIndexByte(bytes.TrimSpace(out.Bytes()), '\n')+1:]), &line); err != nil || line["held"] != float64(5) {
-		t.Errorf("the line after the span: %v (%v), want held 5", line, err)
+		t.Errorf("line after the span: %v (%v), want held 5", line, err)
 	}
 }
--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// queuedLines is how many lines may wait to be written: a burst of them, and not the memory of a log that stands still.
+// queuedLines is how many lines may wait to be written: enough for a burst, and a bound on memory when the output blocks.
 const queuedLines = 512
 
-// Writer writes lines in a goroutine of its own, so that a full pipe or a disk that hangs holds up nobody who logs. A line that
-// finds no room, or can't be written, is dropped and counted.
+// Writer writes lines in its own goroutine, so that a full pipe or a hanging disk does not block the goroutines that log.
+// Lines that find the queue full or can't be written are dropped and counted.
 type Writer struct {
 	to      io.Writer
 	lines   chan []byte
@@ -19,10 +19,10 @@
 	dropped atomic.Int64
 
 	mu       sync.Mutex
-	announce func(dropped int64) // writes how many lines were dropped since the last one
+	announce func(dropped int64) // logs how many lines were dropped since its last call
 }
 
-// NewWriter returns a writer ahead of another one. Its goroutine lasts as long as the process.
+// NewWriter returns a Writer that writes to another writer. Its goroutine runs until the process ends.
 func NewWriter(to io.Writer) *Writer {
 	w := &Writer{to: to, lines: make(chan []byte, queuedLines), flushes: make(chan chan struct{})}
 	go w.run()
@@ -39,10 +39,10 @@
 	return len(line), nil
 }
 
-// Dropped tells how many lines were not written since the process started.
+// Dropped returns the number of lines dropped since the process started.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Flush waits until all lines queued before are written, no longer than most.
+// Flush waits until all lines queued so far are written, or until most has passed.
 func (w *Writer) Flush(most time.Duration) {
 	timeout := time.NewTimer(most)
 	defer timeout.Stop()
@@ -58,7 +58,7 @@
 	}
 }
 
-// onDropped sets what announces dropped lines.
+// onDropped sets the function that logs dropped lines.
 func (w *Writer) onDropped(announce func(dropped int64)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// write writes a line, ahead of it how many were dropped since told, and returns the number told now.
+// write writes a line. If more lines than told were dropped, it reports them first. It returns the total reported so far.
 func (w *Writer) write(line []byte, told int64) int64 {
 	w.mu.Lock()
 	announce := w.announce
--- a/internal/logs/writer_test.go
+++ b/internal/logs/writer_test.go
@@ -9,19 +9,20 @@
 	"time"
 )
 
-// Guards against a log that holds up who writes it: nobody reads the pipe, and all lines but the first ones are dropped and counted.
+// Guards against a blocked log output that blocks the caller: nobody reads the pipe, so all lines except the queued ones
+// are dropped and counted.
 func TestLogThatBlocksHoldsUpNobody(t *testing.T) {
 	unread, pipe := io.Pipe()
 	w := NewWriter(pipe)
 	log := New(w, slog.LevelInfo)
 	const lines = 2 * queuedLines
 	for i := range lines {
-		log.Info(strings.Repeat("x", i%200+1)) // the quota counts by message
+		log.Info(strings.Repeat("x", i%200+1)) // different messages, since the quota counts per message
 	}
 	if n := w.Dropped(); n < lines-queuedLines-1 {
 		t.Errorf("%d of %d lines dropped", n, lines)
 	}
-	w.Flush(time.Millisecond) // returns, whatever is written
+	w.Flush(time.Millisecond) // returns although nothing can be written
 	read := make(chan string)
 	go func() {
 		var text bytes.Buffer
@@ -33,11 +34,11 @@
 	w.Flush(time.Minute)
 	pipe.Close()
 	if text := <-read; !strings.Contains(text, `"msg":"log lines dropped","lines":`) || !strings.Contains(text, `"again"`) {
-		t.Errorf("read at last: %q", text[max(0, len(text)-400):])
+		t.Errorf("end of the log: %q, want a line with the dropped lines and one with \"again\"", text[max(0, len(text)-400):])
 	}
 }
 
-// A log that fails is counted, and used again once it works.
+// Lines that can't be written are counted as dropped, and later lines are written once the output works again.
 func TestLogThatFailsIsUsedAgain(t *testing.T) {
 	var out failing
 	w := NewWriter(&out)
@@ -49,7 +50,7 @@
 	log.Info("kept")
 	w.Flush(time.Minute)
 	if text := out.text.String(); w.Dropped() != 1 || strings.Contains(text, "lost") || !strings.Contains(text, "kept") {
-		t.Errorf("%d dropped, %q", w.Dropped(), text)
+		t.Errorf("%d lines dropped, want 1; log %q", w.Dropped(), text)
 	}
 }
 
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -11,7 +11,7 @@
 	files "otterturn/internal/net/protocol/sftp"
 )
 
-// Operator is the operator's file: an appliance's nodes, projects, fronts and limits.
+// Operator is the content of the operator's file: an appliance's nodes, projects, fronts and limits.
 type Operator struct {
 	Limits struct {
 		MemoryMB   int `toml:"memory_mb"`
@@ -61,17 +61,17 @@
 	Projects []Project
 }
 
-// Door says who is taken when the HTTP front is full. Without room there is none.
+// Door configures the admission of requests to the HTTP front. Without room every request is admitted.
 type Door struct {
-	Room     int           // requests taken at a time
-	Waiting  int           // that wait for it, by fair queues
-	Patience time.Duration // and for so long at the most
+	Room     int           // maximum number of admitted requests
+	Waiting  int           // maximum number of requests that wait for admission, in fair queues
+	Patience time.Duration // maximum time of a request in the queues
 }
 
-// Log says how much is logged.
+// Log configures the logger.
 type Log struct{ Level string }
 
-// level is that of a checked file.
+// level returns the log level of a validated file, info by default.
 func (l Log) level() slog.Level {
 	var out slog.Level
 	if l.Level != "" {
@@ -80,7 +80,7 @@
 	return out
 }
 
-// Project is a customer's tree of files.
+// Project is a customer's tree of files, all paths below Prefix.
 type Project struct {
 	Name   string
 	Prefix string
@@ -88,14 +88,14 @@
 	Shard  int
 }
 
-// ACME is what the operator says of certificates that authorities are asked for.
+// ACME configures the certificates that are ordered from certificate authorities.
 type ACME struct {
 	Folder       string        // for accounts, keys and certificates
-	Challenge    string        // address of the HTTP-01 answers; without one TLS-ALPN-01 alone is answered
-	RenewBefore  time.Duration `toml:"renew_before"` // 0 for a third of the lifetime
-	Try          time.Duration // a try takes so long at the most
-	Least        time.Duration // between two tries at the least, and
-	Most         time.Duration // at the most
+	Challenge    string        // listening address for HTTP-01 challenges; without it only TLS-ALPN-01 is used
+	RenewBefore  time.Duration `toml:"renew_before"` // how long before its end a certificate is renewed; 0 for a third of the lifetime
+	Try          time.Duration // maximum duration of a try
+	Least        time.Duration // minimum time between two tries
+	Most         time.Duration // maximum time between two tries
 	Authorities  []Authority
 	Certificates []struct {
 		Name  string
@@ -103,41 +103,40 @@
 	}
 }
 
-// Authority is a certificate authority, the first one preferred.
+// Authority is a certificate authority. The first one of the file is preferred.
 type Authority struct {
 	Name       string
 	Directory  string
-	Roots      string // file of the authority's own root certificates, if the system has none for it
-	Email      string // where the authority may write
-	BindingID  string `toml:"binding_id"`  // of an external account
-	BindingKey string `toml:"binding_key"` // its key, in base64url
-	Tries      int    // it allows so many tries
+	Roots      string // file with the root certificates for the authority's HTTPS server, if the system has none
+	Email      string // contact address for the authority
+	BindingID  string `toml:"binding_id"`  // key identifier of an external account
+	BindingKey string `toml:"binding_key"` // MAC key of the external account, in base64url
+	Tries      int    // maximum number of tries per Window
 	Window     time.Duration
 }
 
-// File is a certificate that the operator brings.
+// File names the files of a certificate that the operator provides.
 type File struct{ Cert, Key string }
 
-// Learned is what the operator says of knowledge that survives a restart. Without a folder none is kept.
+// Learned configures the saving of learned state across restarts. Without a folder nothing is saved.
 type Learned struct {
 	Folder   string
-	Front    string        // name of this front: what another one learned is not used
-	Interval time.Duration // between two saves
-	Lease    time.Duration // what a limit lets flow in so long may be drawn ahead of the next save
+	Front    string        // name of this front: snapshots of another front are not used
+	Interval time.Duration // time between two saves
+	Lease    time.Duration // tokens that a limit refills in this time may be drawn before the next save
 }
 
-// recordLasts is for how many intervals a record of what was drawn from a limit may be read back. While none can be
-// written, a project's commands wait that long at the most.
+// recordLasts is the lifetime, in save intervals, of a record of the tokens drawn from a limit. While no record can be
+// written, a project's commands wait at most that long.
 const recordLasts = 6
 
-// mostUnits is the most that a file command counts.
+// mostUnits is the maximum number of units of a file command.
 const mostUnits = 8
 
-// classNames are the operator's classes in the order of their roles; a write that must not be repeated follows
-// the figures of write.
+// classNames lists the operator's classes by role. A write that must not be repeated has the settings of class write.
 var classNames = []string{files.RoleRead: "read", files.RoleBulkRead: "bulk-read", files.RoleWrite: "write"}
 
-// LoadOperator reads and checks the operator's file. Its errors name the field, and are ErrConfiguration.
+// LoadOperator reads and validates the operator's file. Its errors name the field and match ErrConfiguration.
 func LoadOperator(path string) (Operator, error) {
 	o, err := readOperator(path)
 	if err != nil {
@@ -146,7 +145,7 @@
 	return o, nil
 }
 
-// misuse marks an error of the configuration.
+// misuse marks an error as a configuration error.
 type misuse struct{ error }
 
 func (m misuse) Is(target error) bool { return target == ErrConfiguration }
--- a/internal/program/operator_settings.go
+++ b/internal/program/operator_settings.go
@@ -10,8 +10,7 @@
 	"otterturn/scheduler"
 )
 
-// This file turns an operator's file into what the parts are told.
-
+// plan returns the index of a plan by its name, -1 if there is none.
 func (o *Operator) plan(name string) int {
 	for i, p := range o.Plans {
 		if p.Name == name {
@@ -21,7 +20,7 @@
 	return -1
 }
 
-// limits fills the limits of the appliance.
+// limits computes the limits of the appliance.
 func (o *Operator) limits() limits.Limits {
 	longest := time.Duration(0)
 	for _, c := range o.Classes {
@@ -33,7 +32,7 @@
 	})
 }
 
-// Settings are the figures of the scheduler and of the HTTP front.
+// Settings returns the settings of the scheduler and of the HTTP front.
 func (o *Operator) Settings() protocol.Settings {
 	out := protocol.Settings{
 		Classes: classNames, MaxOpen: o.Limits.Open, ConnIdle: o.Limits.NodeIdle,
@@ -71,7 +70,7 @@
 	return out
 }
 
-// site is what the SFTP front is told.
+// site returns the settings of the SFTP front.
 func (o *Operator) site() sftp.Site {
 	out := sftp.Site{
 		Retry: o.Limits.RetryAfter,
@@ -90,7 +89,7 @@
 	return out
 }
 
-// list is the node list with the addresses of one front.
+// list returns the node list with the address that dial chooses for each node.
 func (o *Operator) list(dial func(sftp, http string) string) protocol.List {
 	out := protocol.List{Whole: true}
 	for _, n := range o.Nodes {
--- a/internal/program/operators.go
+++ b/internal/program/operators.go
@@ -8,11 +8,11 @@
 	"otterturn/internal/net/routing"
 )
 
-// Ready tells whether this process serves clients.
+// Ready reports whether this process serves clients.
 func (p *platform) Ready() bool { return p.ready.Load() }
 
-// Ban leaves a node out until it is called back, whatever the list says of it meanwhile. False is for a node that
-// nobody has.
+// Ban excludes a node until the ban is lifted, regardless of changes of the node list meanwhile. by names the operator. It
+// returns false for an unknown node.
 func (p *platform) Ban(node, by string) bool {
 	known := p.byHand("node banned", node, by, p.roster.Ban)
 	if known {
@@ -21,7 +21,7 @@
 	return known
 }
 
-// Lift lets a node serve again.
+// Lift ends the ban of a node. It returns false for an unknown node.
 func (p *platform) Lift(node, by string) bool {
 	known := p.byHand("node unbanned", node, by, p.roster.Unban)
 	if known {
@@ -41,7 +41,7 @@
 	return known
 }
 
-// Figures are what operators are told of this process.
+// Figures returns the metrics of this process.
 func (p *platform) Figures() (protocol.Figures, error) {
 	ctx, end := context.WithTimeout(context.Background(), p.limits.Control.ReportTimeout)
 	defer end()
--- a/internal/program/platform.go
+++ b/internal/program/platform.go
@@ -1,4 +1,4 @@
-// Package program wires the parts together: configuration, limits, signals, and the fronts before the core.
+// Package program assembles the program from its components: configuration, limits, signals, fronts and the routing core.
 package program
 
 import (
@@ -24,35 +24,35 @@
 	"otterturn/internal/roster"
 )
 
-// platform is the platform's front.
+// platform is a front that the platform runs, configured by its JSON file.
 type platform struct {
-	path   string // of the configuration
-	text   []byte // of it, as it is in force
+	path   string // of the configuration file
+	text   []byte // of the configuration that is in force
 	config protocol.Config
 	limits limits.Limits
-	lines  *logs.Writer // under log
+	lines  *logs.Writer // the output of log
 	log    *slog.Logger
 	guard  *lifecycle.Guard
 	nodes  *transport.Nodes
 	core   *routing.Core
 	front  *transport.Front
 
-	peers        *transport.Peers                 // nil where fronts don't talk
-	otherProcess atomic.Pointer[handover.Channel] // to the other process of this front, while there are two
-	succeeded    bool                             // state was handed over
-	peerMessages bool                             // fronts may say something to each other
+	peers        *transport.Peers                 // nil without messages between fronts
+	otherProcess atomic.Pointer[handover.Channel] // to the predecessor or successor, while there is one
+	succeeded    bool                             // this process received the state of a predecessor
+	peerMessages bool                             // messages between fronts are enabled
 
 	sharedHealth
 
-	ready                    atomic.Bool // clients are served
+	ready                    atomic.Bool // the process serves clients
 	reloads, reloadsRejected atomic.Int64
 
-	mu     sync.Mutex // held from news of the list until pool and scheduler have it, so that they hear it in order
+	mu     sync.Mutex // held while a change of the node list is applied, so that pools and scheduler see the changes in order
 	roster *roster.Roster
 }
 
-// Platform runs the platform's front, as the RELAY_ variables tell, until SIGTERM or an interrupt. At SIGHUP it
-// reads the configuration again, follows the discovery that it names then and takes over its settings.
+// Platform runs the platform's front, configured by the RELAY_ environment variables, until SIGTERM or SIGINT. On SIGHUP
+// it reads the configuration again, applies its settings and follows the discovery service that it names.
 func Platform() error {
 	shutdown, hangups := notifyShutdown(), notifyReload()
 	ignoreClosedLog()
@@ -94,7 +94,8 @@
 	return p.serve(listener, config.Listen)
 }
 
-// serve serves clients until a shutdown. Where accepting has failed for good, what was taken is answered as in a shutdown.
+// serve serves clients until a shutdown. If accepting fails permanently, it answers the accepted requests as in a
+// shutdown and returns the error.
 func (p *platform) serve(listener net.Listener, address string) error {
 	p.log.Info("serving", "address", address)
 	served := make(chan error, 1)
@@ -114,7 +115,7 @@
 	return errors.Join(failed, err)
 }
 
-// newPlatform builds the parts. None of them runs yet.
+// newPlatform builds the components without starting them.
 func newPlatform(path string, text []byte, config protocol.Config, level slog.Level) (*platform, error) {
 	set := config.Settings
 	l := limitsOf(config)
@@ -154,10 +155,10 @@
 	})
 }
 
-// run starts the parts that go on beside the clients.
+// run starts the background components.
 func (p *platform) run(ctx context.Context, hangups <-chan os.Signal) {
 	if len(p.config.Peers) > 0 && p.peers == nil {
-		// Messages may be lost, so a front without its socket serves: cold nodes get less of it.
+		// Peer messages may be lost at any time, so a front serves without its socket: its cold nodes get less load.
 		peers, err := retryStart(func() (*transport.Peers, error) {
 			return transport.ListenPeers(p.config.PeerListen, p.config.Peers, p.limits, p.log)
 		})
@@ -175,16 +176,16 @@
 	}
 	go p.core.Run(ctx)
 	go p.nodes.Run(ctx)
-	if !p.succeeded { // else the list is newer than the one that it was started with
+	if !p.succeeded { // a list that was handed over is newer than the configured one
 		p.told(p.config.Known)
 	}
 	go p.follow(ctx, hangups)
 }
 
-// startControl opens the operators' address, where there is one.
+// startControl serves the operators' HTTP interface if an address is configured.
 func (p *platform) startControl() error {
 	addr := p.config.Control
-	if own := os.Getenv("RELAY_CONTROL"); own != "" { // a second process of a front has its own
+	if own := os.Getenv("RELAY_CONTROL"); own != "" { // during an upgrade the second process of a front needs an address of its own
 		addr = own
 	}
 	if addr == "" {
@@ -202,7 +203,7 @@
 	return nil
 }
 
-// limitRuntime keeps the run time within the machine: one core, and collections before the memory limit is near.
+// limitRuntime limits the Go runtime to one core and sets its memory limit, near which it collects garbage more often.
 func limitRuntime(l limits.Limits) {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(l.Memory)
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -13,7 +13,7 @@
 	"otterturn/internal/net/transport"
 )
 
-// retireAfter is for how long clients may still name a class that a new file no longer has: they hear of it late.
+// retireAfter is how long clients may still name a class that a reload removed, as they learn of it late.
 const retireAfter = 2 * time.Second
 
 func readConfig(path string) (protocol.Config, []byte, error) {
@@ -28,10 +28,10 @@
 	return config, text, nil
 }
 
-// follow keeps a watch on discovery until ctx ends. At each hangup the file is read again whole: one that is bad
-// leaves all as it is. A good one's classes, plans and attempts hold at once, and it moves the watch: the new one
-// begins once the old one has ended, with the whole list, as versions may not carry over. Addresses and limits hold
-// until the program is started anew.
+// follow watches discovery until ctx ends and reloads the configuration at each SIGHUP. An invalid file changes nothing.
+// The classes, plans and attempt settings of a valid file apply at once. The watch then starts again with the file's
+// discovery, after the old watch has ended, and requests the full list because sequence numbers may not carry over.
+// Addresses and limits on sizes and counts take effect at the next start.
 func (p *platform) follow(ctx context.Context, hangups <-chan os.Signal) {
 	seq := p.config.Known.Seq
 	if p.succeeded {
@@ -54,7 +54,7 @@
 	}
 }
 
-// change reads the file anew and has its settings hold, whole or not at all.
+// change reloads the configuration and counts and logs the outcome.
 func (p *platform) change(path string) (protocol.Config, error) {
 	config, err := p.retune(path)
 	if err != nil {
@@ -66,6 +66,7 @@
 	return config, nil
 }
 
+// retune reads the file and applies its settings, all of them or, if one is invalid, none.
 func (p *platform) retune(path string) (protocol.Config, error) {
 	text, err := retryStart(func() ([]byte, error) { return os.ReadFile(path) })
 	if err != nil {
@@ -79,7 +80,7 @@
 	if err != nil {
 		return protocol.Config{}, err
 	}
-	// The scheduler has a class before the first request of it comes. A class that is no more has its number kept.
+	// The scheduler gets a new class before the front accepts requests of it. A removed class keeps its number.
 	if err := p.core.Reconfigure(config.Settings.Scheduler); err != nil {
 		return protocol.Config{}, fmt.Errorf("%s: %w", path, err)
 	}
@@ -95,22 +96,22 @@
 	return config, nil
 }
 
-// applyLimits has bounds hold that follow from the settings: when a shutdown ends, how long ids are remembered, how long a node
-// keeps an idle connection. Sizes and counts hold from the start on.
+// applyLimits applies the limits that a reload may change: the times of a shutdown, the retention of request ids, and the
+// idle time of connections to nodes. Sizes and counts are fixed at the start.
 func (p *platform) applyLimits(l limits.Limits) {
 	p.guard.Reconfigure(l.Stop)
 	p.core.RetainIDs(l.Requests.IDRetention)
 	p.nodes.Reconfigure(l.Nodes)
 }
 
-// told takes in news of the node list: the pools learn of it before the scheduler does.
+// told applies a list from discovery: first to the connection pools, then to the scheduler.
 func (p *platform) told(list protocol.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tell(p.roster.Update(list))
 }
 
-// tell hands news on. The lock is held.
+// tell applies a change of the node list. The caller holds the lock.
 func (p *platform) tell(list protocol.List) {
 	if len(list.Hosts) > 0 || list.Whole {
 		news := p.nodes.Apply(list)
@@ -119,7 +120,7 @@
 	}
 }
 
-// reread waits for a hangup at which read brings a configuration, or for the end of ctx.
+// reread waits for a SIGHUP after which read returns a valid configuration. It returns false when ctx ends.
 func reread[T any](ctx context.Context, hangups <-chan os.Signal, read func(path string) (T, error), path string, log *slog.Logger) (T, bool) {
 	for {
 		select {
--- a/internal/program/signals.go
+++ b/internal/program/signals.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// levelVariable names the lowest level of lines that the platform's front logs: debug, info, warn or error; info without it.
+// levelVariable is the environment variable with the platform's log level: debug, info (the default), warn or error.
 const levelVariable = "RELAY_LOG_LEVEL"
 
-// flushTimeout is how long the end of the program may wait for its last log lines.
+// flushTimeout is how long the program waits at its end for its last log lines to be written.
 const flushTimeout = 100 * time.Millisecond
 
-// notifyShutdown delivers the moment of the first SIGTERM or interrupt. It is to be called first of all: whatever the program does
-// when the signal comes, the time until SIGKILL runs from then.
+// notifyShutdown returns a channel that delivers the time of the first SIGTERM or SIGINT. It must be called before any
+// other work: the time until SIGKILL starts at the signal, whatever the program is doing then.
 func notifyShutdown() <-chan time.Time {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
@@ -28,22 +28,23 @@
 	return began
 }
 
-// ignoreClosedLog has a write to standard output or error fail where nobody reads it any more, in the place of ending the program.
+// ignoreClosedLog ignores SIGPIPE, so that a write to a closed standard output or error fails instead of ending the program.
 func ignoreClosedLog() { signal.Ignore(syscall.SIGPIPE) }
 
-// notifyReload delivers SIGHUP, which would end the program, from here to its end: one may come while it stops.
+// notifyReload returns a channel that delivers SIGHUP. It is registered for the whole life of the process, since SIGHUP
+// would otherwise end the program, also during a shutdown.
 func notifyReload() <-chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGHUP)
 	return c
 }
 
-// logLevel reads the level of the environment.
+// logLevel returns the log level that the environment sets.
 func logLevel() (slog.Level, error) {
 	level := slog.LevelInfo
 	if text := os.Getenv(levelVariable); text != "" {
 		if err := level.UnmarshalText([]byte(text)); err != nil {
-			return level, misuse{fmt.Errorf("%s: %q is no level", levelVariable, text)}
+			return level, misuse{fmt.Errorf("%s: %q is not a log level", levelVariable, text)}
 		}
 	}
 	return level, nil
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -15,16 +15,16 @@
 	"otterturn/scheduler"
 )
 
-// Bounds of saving.
+// Times of saving learned state.
 const (
-	minSaveInterval = 200 * time.Millisecond // between two saves, however low leases run
-	saveTimeout     = 10 * time.Second       // the last one at a stop, and one that an operator asks for
+	minSaveInterval = 200 * time.Millisecond // minimum time between two saves, even when leases run out
+	saveTimeout     = 10 * time.Second       // timeout of the last save at a shutdown and of a save at an operator's request
 )
 
-// forgetAll is the word for everything.
+// forgetAll is the argument of forget for all nodes and projects.
 const forgetAll = "all"
 
-// restoreLearned opens the folder of what is learned, if there is to be one, and hands the core what still counts.
+// restoreLearned opens the folder of the learned state, if one is configured, and restores the state that is still valid.
 func (a *Appliance) restoreLearned() error {
 	set := a.operator.Learned
 	if set.Folder == "" {
@@ -48,25 +48,25 @@
 	return nil
 }
 
-// runSaver saves until ctx ends.
+// runSaver saves the learned state at intervals until ctx ends.
 func (a *Appliance) runSaver(ctx context.Context) {
 	if a.saver != nil {
 		a.saver.Run(ctx)
 	}
 }
 
-// saveLast makes the last save, once the core has ended.
+// saveLast saves the final state. The core must have ended.
 func (a *Appliance) saveLast() error {
 	if a.saver == nil {
 		return nil
 	}
 	if err := a.saver.Close(); err != nil {
-		return fmt.Errorf("learned: the last save: %w", err)
+		return fmt.Errorf("learned: last save failed: %w", err)
 	}
 	return nil
 }
 
-// listing is the node list as the operator has it, with the addresses that nodes are learned under.
+// listing returns the configured nodes with the addresses that identify them in a snapshot: both, separated by a space.
 func (a *Appliance) listing() []snapshot.Node {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -77,12 +77,12 @@
 	return out
 }
 
-// hasNode tells whether a node is in the operator's file.
+// hasNode reports whether a node is in the operator's file. The caller holds the lock, or nothing else runs yet.
 func (a *Appliance) hasNode(node string) bool {
 	return slices.ContainsFunc(a.listed.list(noAddress).Hosts, func(h protocol.Host) bool { return h.Node == node })
 }
 
-// learned saves, and shows what the folder holds then.
+// learned saves the learned state and describes the saved snapshot.
 func (a *Appliance) learned() (string, error) {
 	if a.saver == nil {
 		return "", errNotKept
@@ -100,7 +100,7 @@
 	return out.String(), errors.Join(failed, err)
 }
 
-// forget drops what was learned of a node, of a project or of all, and saves.
+// forget deletes the learned state of a node, of a project or of all, and saves.
 func (a *Appliance) forget(what []string) error {
 	if a.saver == nil {
 		return errNotKept
@@ -140,8 +140,8 @@
 	return a.saver.Save(ctx)
 }
 
-// errNotKept tells that the operator's file names no folder.
-var errNotKept = errors.New("nothing is kept: learned.folder is not set")
+// errNotKept is the error of commands on learned state without learned.folder.
+var errNotKept = errors.New("learned state is not saved: learned.folder is not set")
 
 func checkForget(what []string) error {
 	if len(what) == 1 && what[0] == forgetAll || len(what) == 2 && (what[0] == "node" || what[0] == "project") {
--- a/internal/program/state_command.go
+++ b/internal/program/state_command.go
@@ -16,8 +16,8 @@
 	"otterturn/scheduler"
 )
 
-// Kept carries out an operator's command on what is kept: show, check, or forget. Where an appliance runs on the
-// folder, its console does the work.
+// Kept carries out an operator's command on the saved state: show, check or forget. If an appliance uses the folder, show
+// and forget are sent to its console.
 func Kept(path string, words []string, out io.Writer) error {
 	o, err := LoadOperator(path)
 	if err != nil {
@@ -28,7 +28,7 @@
 	case folder == "":
 		return fmt.Errorf("%s: %w", path, errNotKept)
 	case len(words) == 0:
-		return errors.New("learned takes 'show', 'check' or 'forget'")
+		return errors.New("state: command missing, must be 'show', 'check' or 'forget'")
 	case words[0] == "check" && len(words) == 1:
 		return check(o, out)
 	}
@@ -54,10 +54,10 @@
 	case words[0] == "forget":
 		return forgetStopped(s, folder, words[1:])
 	}
-	return fmt.Errorf("learned knows no %q: it takes 'show', 'check' or 'forget'", strings.Join(words, " "))
+	return fmt.Errorf("state: unknown command %q, must be 'show', 'check' or 'forget'", strings.Join(words, " "))
 }
 
-// check tells of each file in the folder whether a start would use it. It fails if one would not be used.
+// check reports for each snapshot in the folder whether a start would use it. It returns an error if one is unusable.
 func check(o Operator, out io.Writer) error {
 	now := decay.Current{
 		At: scheduler.Micros(time.Now().UnixMicro()), Front: o.Learned.Front,
@@ -87,7 +87,7 @@
 	return errors.Join(failed, err)
 }
 
-// forgetStopped drops what the folder holds of a node, a project or all, in both generations.
+// forgetStopped deletes the state of a node, of a project or of all from both generations in the folder. No appliance runs.
 func forgetStopped(s *store.Store, folder string, what []string) error {
 	if err := checkForget(what); err != nil {
 		return err
@@ -108,7 +108,7 @@
 	if !known {
 		return fmt.Errorf("nothing is kept of a %s %q", what[0], what[1])
 	}
-	for range 2 { // the second pushes the old one out of the generation before
+	for range 2 { // the second save replaces the previous generation as well
 		if _, err := s.Save(snap); err != nil {
 			return err
 		}
@@ -120,7 +120,7 @@
 	return now.Sub(time.UnixMicro(int64(s.Saved))).Round(time.Millisecond)
 }
 
-// describe writes a snapshot for people. Latencies are in milliseconds, sizes in units.
+// describe writes a snapshot as text. Latencies are in milliseconds, budgets and tokens in units.
 func describe(out io.Writer, s snapshot.Snapshot) {
 	fmt.Fprintf(out, "front %s, saved %s, %v ago, after %d others%s\n", s.Front,
 		time.UnixMicro(int64(s.Saved)).UTC().Format(time.RFC3339), ago(s, time.Now()), s.Count,
--- a/internal/program/words.go
+++ b/internal/program/words.go
@@ -9,7 +9,7 @@
 	"otterturn/internal/grammar"
 )
 
-// command is a line of the console.
+// command is a parsed line of the console. Plain holds a command without arguments.
 type command struct {
 	Plain  string  `parser:"  @('help'|'status'|'nodes'|'projects'|'certificate'|'learned'|'quit')"`
 	Node   *onNode `parser:"| @@"`
@@ -33,7 +33,7 @@
 	Name string `parser:"@Word )"`
 }
 
-// words are what was asked to be forgotten.
+// words returns the arguments of a forget command: "all", or a kind and a name.
 func (f forget) words() []string {
 	if f.Kind != "" {
 		return []string{f.Kind}
@@ -41,12 +41,12 @@
 	return []string{f.One, f.Name}
 }
 
-// commandParser is built with the first command: the platform's front, which has no console, starts without it.
+// commandParser is built at the first command, because the platform's front has no console and need not spend the time.
 var commandParser = sync.OnceValue(func() *participle.Parser[command] {
 	return participle.MustBuild[command](participle.Elide("Space"), participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
 		{Name: "Word", Pattern: `\S+`}, {Name: "Space", Pattern: `\s+`},
 	})))
 })
 
-// parseCommand reads a line. Its errors point at the column.
+// parseCommand parses a line. Its errors name the column.
 func parseCommand(line string) (command, error) { return grammar.Parse(commandParser(), line) }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster is the list of nodes as a front goes by it: what discovery told, less what operators keep out by
-// hand. It does no I/O and reads no clock. Its owner sees to it that one caller at a time uses it.
+// Package roster keeps a front's node list: the list from discovery, with the operators' bans applied. It does no I/O and
+// reads no clock. A Roster is not safe for concurrent use.
 package roster
 
 import (
@@ -10,19 +10,20 @@
 	"otterturn/scheduler"
 )
 
-// Roster is the list. A ban is a node's name, not its process: it outlasts restarts of the node and whatever the
-// list says of it, and holds until it is lifted.
+// Roster is the node list with bans. A ban applies to a node's name: it survives restarts of the node and changes of the
+// list until an operator ends it.
 type Roster struct {
 	hosts map[string]protocol.Host
-	bans  map[string]string // who told, by node
+	bans  map[string]string // the operator who banned a node, by the node's name
 }
 
-// New returns an empty one.
+// New returns an empty Roster.
 func New() *Roster {
 	return &Roster{hosts: map[string]protocol.Host{}, bans: map[string]string{}}
 }
 
-// Update takes in what discovery told, and returns it as it is to be acted on.
+// Update applies a list from discovery and returns it with the bans applied. Nodes whose entries in a full list are invalid
+// keep their former entries.
 func (r *Roster) Update(list protocol.List) protocol.List {
 	out := list
 	out.Hosts = slices.Clone(list.Hosts)
@@ -46,7 +47,7 @@
 	return out
 }
 
-// effective is a node's entry as it is acted on: one that is banned takes nothing new, as one that drains.
+// effective returns a node's entry with the bans applied: a banned node is draining.
 func (r *Roster) effective(h protocol.Host) protocol.Host {
 	if _, banned := r.bans[h.Node]; banned && h.State == scheduler.Running {
 		h.State = scheduler.Draining
@@ -54,7 +55,8 @@
 	return h
 }
 
-// Ban keeps a node out, and returns the change to act on; twice is once. It is false for a node that nobody has.
+// Ban bans a node in the name of by and returns the resulting change of the list. Banning a node again only replaces the
+// name. It returns false for an unknown node.
 func (r *Roster) Ban(node, by string) (protocol.List, bool) {
 	if _, listed := r.hosts[node]; !listed && r.bans[node] == "" {
 		return protocol.List{}, false
@@ -63,8 +65,8 @@
 	return r.change(node), true
 }
 
-// Unban lets a node serve again as the list has it, however often it was banned, and returns the change to act on.
-// It is false for a node that nobody has.
+// Unban ends the ban of a node, however often it was banned, and returns the resulting change of the list. It returns false
+// for an unknown node.
 func (r *Roster) Unban(node, _ string) (protocol.List, bool) {
 	if _, listed := r.hosts[node]; !listed && r.bans[node] == "" {
 		return protocol.List{}, false
@@ -80,16 +82,16 @@
 	return out
 }
 
-// Bans are the nodes that are kept out by hand, with who told.
+// Bans returns the banned nodes with the operators who banned them.
 func (r *Roster) Bans() map[string]string { return maps.Clone(r.bans) }
 
-// RestoreBans has nodes kept out that another process of the front kept out.
+// RestoreBans adds the bans of another process of the front.
 func (r *Roster) RestoreBans(bans map[string]string) { maps.Copy(r.bans, bans) }
 
-// Len tells how many nodes are on the list.
+// Len returns the number of nodes on the list.
 func (r *Roster) Len() int { return len(r.hosts) }
 
-// FullList is the whole list as discovery told it.
+// FullList returns the full list from discovery, without the bans, ordered by name.
 func (r *Roster) FullList() protocol.List {
 	out := protocol.List{Whole: true}
 	for _, name := range slices.Sorted(maps.Keys(r.hosts)) {
--- a/internal/wire/remote.go
+++ b/internal/wire/remote.go
@@ -12,27 +12,27 @@
 	"otterturn/scheduler"
 )
 
-// Remote is the other end of the line protocol: schedulers of another build of this program, which run behind a pipe.
-// It is used by one goroutine.
+// Remote is a client of the line protocol. It runs schedulers of another build of this program, in a process at the other
+// end of a pipe. It is not safe for concurrent use.
 type Remote struct {
 	in  *bufio.Reader
 	out *bufio.Writer
 	seq int
 }
 
-// NewRemote returns the far end of a Serve.
+// NewRemote returns a client of a process that runs Serve.
 func NewRemote(in io.Reader, out io.Writer) *Remote {
 	return &Remote{in: bufio.NewReader(in), out: bufio.NewWriter(out)}
 }
 
-// Instance is one scheduler behind the pipe.
+// Instance is one scheduler in the remote process.
 type Instance struct {
 	remote *Remote
 	name   string
 	err    error
 }
 
-// Launch starts a scheduler.
+// Launch starts a scheduler in the remote process.
 func (r *Remote) Launch(name string, set scheduler.Settings, seed int64) (*Instance, error) {
 	facts, err := json.Marshal(protocol.FormatSettings(set))
 	if err != nil {
@@ -43,10 +43,10 @@
 	return i, err
 }
 
-// Err is the first error that a Step met. After it the instance does nothing.
+// Err returns the first error of Step. After an error Step does nothing.
 func (i *Instance) Err() error { return i.err }
 
-// Step has the scheduler take events.
+// Step passes events to the scheduler and returns its actions.
 func (i *Instance) Step(now scheduler.Micros, events []scheduler.Event) []scheduler.Action {
 	if i.err != nil {
 		return nil
@@ -66,12 +66,12 @@
 		}
 	}
 	if err != nil {
-		i.err = fmt.Errorf("the other build: %w", err)
+		i.err = fmt.Errorf("remote scheduler: %w", err)
 	}
 	return out
 }
 
-// batch sends one batch and returns what is answered to it.
+// batch sends one batch and returns the lines of its answer.
 func (r *Remote) batch(now scheduler.Micros, text string) (lines []*line, err error) {
 	r.seq++
 	fmt.Fprintf(r.out, "BEGIN_BATCH\ttimeUs=%d\tseq=%d\n%sEOB\n", now, r.seq, text)
@@ -88,13 +88,13 @@
 		case "DONE":
 			return lines, nil
 		case "INTERNAL_ERROR":
-			return nil, fmt.Errorf("it reports %s", l.fields["text"])
+			return nil, fmt.Errorf("remote process reports an internal error: %s", l.fields["text"])
 		}
 		lines = append(lines, l)
 	}
 }
 
-// words are a message's words by value: the other way round than they are read.
+// words inverts a map, for writing the words that a message is parsed with.
 func words[K, V comparable](of map[K]V) map[V]K {
 	out := map[V]K{}
 	for k, v := range of {
@@ -149,7 +149,7 @@
 	fmt.Fprintf(w, "NOTE_FROM\ti=%s\toriginPeer=%d\toctets=%s\n", i.name, from, base64.StdEncoding.EncodeToString(protocol.FormatNote(a)))
 }
 
-// action reads an action.
+// action parses a line as an action, nil if the line is invalid.
 func (l *line) action() scheduler.Action {
 	id := l.fields["requestId"]
 	switch l.name {
--- a/internal/wire/remote_test.go
+++ b/internal/wire/remote_test.go
@@ -11,7 +11,7 @@
 	"otterturn/scheduler/slowstart"
 )
 
-// A scheduler behind the pipe decides as one that is called: the same events have the same actions.
+// A remote scheduler returns the same actions for the same events as a local one.
 func TestRemoteDecidesAsCalled(t *testing.T) {
 	set := scheduler.Settings{
 		Fronts: 2, PeerMessages: true, Tick: 2000, MeanUnits: 2, MaxUnits: 8, MaxAttempts: 3, HealthChecks: true, CancelAttempts: true,
@@ -68,7 +68,7 @@
 		events = append(events, scheduler.TimerFired{}, scheduler.HealthChecked{Node: "n0", OK: step%3 > 0, Queue: float64(step % 5)}, scheduler.ClientLeft{ID: strconv.Itoa(step - 900)},
 			scheduler.CapacityRequested{From: 1, Node: "n" + strconv.Itoa(step%4), CapacityRequest: slowstart.CapacityRequest{Units: 2, MinUnits: 1, Report: slowstart.LoadReport{Units: 8, Time: 0.125}}})
 		a, b := called.Step(now, events), far.Step(now, events)
-		for i, x := range a { // the reasons don't cross the pipe
+		for i, x := range a { // the protocol does not transmit reasons
 			switch x := x.(type) {
 			case scheduler.Reject:
 				x.Reason = ""
@@ -82,11 +82,11 @@
 			}
 		}
 		if far.Err() != nil || len(a)+len(b) > 0 && !reflect.DeepEqual(a, b) {
-			t.Fatalf("step %d: called %v, behind the pipe %v, %v", step, a, b, far.Err())
+			t.Fatalf("step %d: local actions %v, remote actions %v, error %v", step, a, b, far.Err())
 		}
 		actions += len(a)
 	}
 	if actions < 3000 {
-		t.Errorf("only %d actions", actions)
+		t.Errorf("%d actions in 3000 steps, want at least 3000", actions)
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the line protocol of the bench and the scheduler's events and actions.
-// Values pass through; nothing is decided here.
+// Package wire translates between the line protocol of the test bench and the scheduler's events and actions. It passes
+// the values through unchanged.
 package wire
 
 import (
@@ -24,7 +24,7 @@
 	"14": scheduler.Unreachable, "10": scheduler.Reset, "1": scheduler.Cancelled, "9": scheduler.NotStarted,
 }
 
-// parseFacts reads the settings object of a LAUNCH.
+// parseFacts parses the settings object of a LAUNCH message.
 func parseFacts(text string) (scheduler.Settings, error) {
 	set, err := protocol.ParseSettings([]byte(text))
 	if err != nil {
@@ -33,7 +33,7 @@
 	return set.Scheduler, nil
 }
 
-// line is one message: its name and its fields.
+// line is one message: its name, its fields and the first error in it.
 type line struct {
 	name   string
 	fields map[string]string
@@ -46,10 +46,10 @@
 	for i, p := range parts[1:] {
 		k, v, ok := strings.Cut(p, "=")
 		if !ok {
-			l.fail("a part without '='")
+			l.fail("field without '='")
 			continue
 		}
-		if k == "facts" { // a text field runs to the end of the line
+		if k == "facts" { // this field extends to the end of the line and may contain tabs
 			v = strings.TrimPrefix(strings.Join(parts[i+1:], "\t"), "facts=")
 			l.fields[k] = v
 			break
@@ -65,16 +65,16 @@
 	}
 }
 
-// text returns a field that must be there.
+// text returns a mandatory field.
 func (l *line) text(key string) string {
 	v, ok := l.fields[key]
 	if !ok || v == "" {
-		l.fail("no " + key)
+		l.fail("missing field " + key)
 	}
 	return v
 }
 
-// number returns a field that must be there and be a number.
+// number returns a mandatory numeric field.
 func (l *line) number(key string) float64 {
 	v, err := strconv.ParseFloat(l.text(key), 64)
 	if err != nil {
@@ -83,16 +83,16 @@
 	return v
 }
 
-// integer returns a field that must be there and be a whole number.
+// integer returns a mandatory integer field.
 func (l *line) integer(key string) int64 {
 	v, err := strconv.ParseInt(l.text(key), 10, 64)
 	if err != nil {
-		l.fail(key + " is not a whole number")
+		l.fail(key + " is not an integer")
 	}
 	return v
 }
 
-// optional returns a numeric field, 0 where it is absent.
+// optional returns a numeric field, 0 if it is absent.
 func (l *line) optional(key string) float64 {
 	if l.fields[key] == "" {
 		return 0
@@ -120,7 +120,7 @@
 	}
 }
 
-// note reads a message between instances; the field named tells the other one's number.
+// note parses a message between instances. The field named other holds the number of the other instance.
 func (l *line) note(other string) scheduler.Event {
 	text, err := base64.StdEncoding.DecodeString(l.text("octets"))
 	if err != nil {
@@ -156,16 +156,16 @@
 	return p
 }
 
-// Link hosts the schedulers of many instances behind one stream of batches.
+// Link runs the schedulers of many instances for one stream of batches.
 type Link struct {
 	banks     map[string][]scheduler.Endpoint
 	instances map[string]*scheduler.Scheduler
 	pending   map[string][]scheduler.Event
-	order     []string // instances with an event, in the order of their first
+	order     []string // instances with pending events, ordered by their first event
 	log       io.Writer
 }
 
-// Serve answers batches until the input ends.
+// Serve answers the batches of in on out until the input ends. Invalid messages are reported on log and skipped.
 func Serve(in io.Reader, out, log io.Writer) error {
 	link := &Link{
 		banks: map[string][]scheduler.Endpoint{}, instances: map[string]*scheduler.Scheduler{},
@@ -203,7 +203,7 @@
 	for {
 		text, err := r.ReadString('\n')
 		if err != nil {
-			return fmt.Errorf("the input ended inside batch %s", seq)
+			return fmt.Errorf("input ended inside batch %s", seq)
 		}
 		if text = strings.TrimRight(text, "\r\n"); text == "" {
 			continue
@@ -230,7 +230,7 @@
 	}
 }
 
-// instanceLine handles a message of one instance; a bad one is reported and left out.
+// instanceLine handles a message to one instance. An invalid message is skipped; its error is left in l.
 func (k *Link) instanceLine(w io.Writer, now scheduler.Micros, l *line) {
 	inst := l.text("i")
 	if l.err != nil {
@@ -271,7 +271,7 @@
 	k.pending[inst] = append(k.pending[inst], event)
 }
 
-// event translates a message; ok is false where there is nothing to tell the scheduler.
+// event translates a message to an event; ok is false if the message holds none for the scheduler.
 func (k *Link) event(l *line) (e scheduler.Event, ok bool) {
 	switch l.name {
 	case "PEERS_KNOWN":
@@ -303,7 +303,7 @@
 	return nil, false
 }
 
-// flush steps each instance that has events and writes its actions.
+// flush runs a step of each instance that has pending events and writes the resulting actions.
 func (k *Link) flush(w io.Writer, now scheduler.Micros) {
 	for _, inst := range k.order {
 		events, s := k.pending[inst], k.instances[inst]
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -35,25 +35,25 @@
 	cases := []struct{ name, in, out, log string }{
 		{"empty", batch("1", ""), "DONE\tseq=1\n", ""},
 		{
-			"a request is sent", batch("1", start+job),
+			"a request is sent to the node", batch("1", start+job),
 			"TRY\ti=initiator/0\trequestId=rq_x\ttarget=t-a\nDONE\tseq=1\n", "",
 		},
 		{
-			"one that can't be served is refused", batch("1", start+strings.Replace(job, "leftUs=900000", "leftUs=0", 1)),
+			"a request without time left is rejected", batch("1", start+strings.Replace(job, "leftUs=900000", "leftUs=0", 1)),
 			"SHED\ti=initiator/0\trequestId=rq_x\tcomeBackUs=0\nDONE\tseq=1\n", "",
 		},
-		{"killed in the same batch", batch("1", start+job+"CRASH_NOW\ti=initiator/0\n"), "DONE\tseq=1\n", ""},
-		{"killed and started again", batch("1", start+job+"CRASH_NOW\ti=initiator/0\n"+start), "DONE\tseq=1\n", ""},
+		{"instance crashes in the same batch", batch("1", start+job+"CRASH_NOW\ti=initiator/0\n"), "DONE\tseq=1\n", ""},
+		{"instance crashes and starts again in the same batch", batch("1", start+job+"CRASH_NOW\ti=initiator/0\n"+start), "DONE\tseq=1\n", ""},
 		{"unknown message", batch("1", start+"HELLO\ti=initiator/0\n"), "DONE\tseq=1\n", "unknown message"},
 		{"missing field", batch("1", start+strings.Replace(job, "leftUs=900000\t", "", 1)), "DONE\tseq=1\n", "leftUs"},
 		{"not a number", batch("1", start+strings.Replace(job, "grade=0", "grade=x", 1)), "DONE\tseq=1\n", "grade"},
 		{
-			"unregistered list", batch("1", start+"PEERS_KNOWN\ti=initiator/0\thow=full\tindex=2\tbank=5\n"),
+			"unknown endpoint list", batch("1", start+"PEERS_KNOWN\ti=initiator/0\thow=full\tindex=2\tbank=5\n"),
 			"DONE\tseq=1\n", "bank 5",
 		},
 		{"not started", batch("1", job), "DONE\tseq=1\n", "not started"},
 		{
-			"unusable settings", batch("1", "LAUNCH\ti=initiator/0\tseed=7\tfacts={}\n"),
+			"invalid settings", batch("1", "LAUNCH\ti=initiator/0\tseed=7\tfacts={}\n"),
 			"INTERNAL_ERROR\ti=initiator/0\ttext=settings: Tick must be above 0\nDONE\tseq=1\n", "",
 		},
 		{"failed discovery", batch("1", start+"PEERS_KNOWN\ti=initiator/0\thow=failed\tindex=2\n"), "DONE\tseq=1\n", ""},
@@ -102,7 +102,7 @@
 func TestInputEndsInsideABatch(t *testing.T) {
 	var o, l strings.Builder
 	if err := Serve(strings.NewReader("BEGIN_BATCH\ttimeUs=1\tseq=1\n"), &o, &l); err == nil {
-		t.Error("no error")
+		t.Error("no error for an incomplete batch")
 	}
 }
 
