--- a/internal/grammar/grammar.go
+++ b/internal/grammar/grammar.go
@@ -11,8 +11,8 @@
 // Parse parses one line.
 func Parse[T any](p *participle.Parser[T], line string) (T, error) {
 	v, err := p.ParseString("", line)
-	if at := participle.Error(nil); errors.As(err, &at) {
-		return *new(T), fmt.Errorf("column %d: %s", at.Position().Column, at.Message())
+	if syntaxErr := participle.Error(nil); errors.As(err, &syntaxErr) {
+		return *new(T), fmt.Errorf("column %d: %s", syntaxErr.Position().Column, syntaxErr.Message())
 	} else if err != nil {
 		return *new(T), err
 	}
--- a/internal/logs/logger.go
+++ b/internal/logs/logger.go
@@ -21,7 +21,7 @@
 		direct := slog.New(newHandler(queued.to, level))
 		queued.onDropped(func(lines int64) { direct.Warn("log lines dropped", "lines", lines) })
 	}
-	return slog.New(&quota{next: h, shared: &shared{quota: NewQuota(Burst, Span, MaxKeys)}})
+	return slog.New(&quotaHandler{next: h, shared: &sharedQuota{quota: NewQuota(Burst, Span, MaxKeys)}})
 }
 
 // newHandler returns a text handler if w leads to a terminal, a JSON handler otherwise.
@@ -39,39 +39,39 @@
 // Quiet returns a logger that discards everything, for tests and for components whose log is not needed.
 func Quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// quota is a handler that applies a Quota, with the time that slog set in each record.
-type quota struct {
+// quotaHandler is a handler that applies a Quota, with the time that slog set in each record.
+type quotaHandler struct {
 	next   slog.Handler
-	shared *shared
+	shared *sharedQuota
 }
 
-// shared is the quota that a logger shares with all loggers derived from it by With and WithGroup, so that a message is
+// sharedQuota is the quota that a logger shares with all loggers derived from it by With and WithGroup, so that a message is
 // counted whichever of them logs it.
-type shared struct {
+type sharedQuota struct {
 	mu    sync.Mutex
 	quota *Quota
 }
 
-func (h *quota) Enabled(ctx context.Context, l slog.Level) bool { return h.next.Enabled(ctx, l) }
+func (h *quotaHandler) Enabled(ctx context.Context, l slog.Level) bool { return h.next.Enabled(ctx, l) }
 
-func (h *quota) Handle(ctx context.Context, r slog.Record) error {
+func (h *quotaHandler) Handle(ctx context.Context, r slog.Record) error {
 	h.shared.mu.Lock()
-	say, held := h.shared.quota.Say(r.Level.String()+" "+r.Message, r.Time)
+	allowed, suppressed := h.shared.quota.Allow(r.Level.String()+" "+r.Message, r.Time)
 	h.shared.mu.Unlock()
-	if !say {
+	if !allowed {
 		return nil
 	}
-	if held > 0 {
+	if suppressed > 0 {
 		r = r.Clone()
-		r.AddAttrs(slog.Int("held", held))
+		r.AddAttrs(slog.Int("held", suppressed))
 	}
 	return h.next.Handle(ctx, r)
 }
 
-func (h *quota) WithAttrs(as []slog.Attr) slog.Handler {
-	return &quota{next: h.next.WithAttrs(as), shared: h.shared}
+func (h *quotaHandler) WithAttrs(as []slog.Attr) slog.Handler {
+	return &quotaHandler{next: h.next.WithAttrs(as), shared: h.shared}
 }
 
-func (h *quota) WithGroup(name string) slog.Handler {
-	return &quota{next: h.next.WithGroup(name), shared: h.shared}
+func (h *quotaHandler) WithGroup(name string) slog.Handler {
+	return &quotaHandler{next: h.next.WithGroup(name), shared: h.shared}
 }
--- a/internal/logs/quota.go
+++ b/internal/logs/quota.go
@@ -24,12 +24,12 @@
 
 // span counts the lines of one key since start: written ones, and suppressed ones.
 type span struct {
-	start      time.Time
-	said, held int
+	start               time.Time
+	written, suppressed int
 }
 
-// overflow is the common key of all messages beyond maxKeys.
-const overflow = "\x00others"
+// overflowKey is the common key of all messages beyond maxKeys.
+const overflowKey = "\x00others"
 
 // NewQuota returns a quota of burst lines per key in each span of the given length. Keys beyond maxKeys share one quota.
 // burst and maxKeys below 1 count as 1; a length of 0 or less counts as 1 ns.
@@ -37,17 +37,17 @@
 	return &Quota{burst: max(burst, 1), span: max(length, time.Nanosecond), maxKeys: max(maxKeys, 1), spans: map[string]*span{}}
 }
 
-// Say reports whether a line with key at time now is to be written and, if so, how many lines of the key the previous span
+// Allow reports whether a line with key at time now is to be written and, if so, how many lines of the key the previous span
 // suppressed. A span starts with the first line of a key. A time before its start, from another goroutine's record or
 // after a clock step, counts as inside the span.
-func (q *Quota) Say(key string, now time.Time) (say bool, held int) {
+func (q *Quota) Allow(key string, now time.Time) (allowed bool, suppressed int) {
 	s, ok := q.spans[key]
 	if !ok {
 		if len(q.spans) >= q.maxKeys {
-			q.forget(now)
+			q.deleteEnded(now)
 		}
 		if len(q.spans) >= q.maxKeys {
-			key = overflow
+			key = overflowKey
 		}
 		if s, ok = q.spans[key]; !ok {
 			s = &span{start: now}
@@ -55,20 +55,20 @@
 		}
 	}
 	if now.Sub(s.start) >= q.span {
-		held, s.start, s.said, s.held = s.held, now, 0, 0
+		suppressed, s.start, s.written, s.suppressed = s.suppressed, now, 0, 0
 	}
-	if s.said >= q.burst {
-		s.held++
+	if s.written >= q.burst {
+		s.suppressed++
 		return false, 0
 	}
-	s.said++
-	return true, held
+	s.written++
+	return true, suppressed
 }
 
-// forget deletes the spans that have ended and have no suppressed lines to report.
-func (q *Quota) forget(now time.Time) {
+// deleteEnded deletes the spans that have ended and have no suppressed lines to report.
+func (q *Quota) deleteEnded(now time.Time) {
 	for key, s := range q.spans {
-		if s.held == 0 && now.Sub(s.start) >= q.span {
+		if s.suppressed == 0 && now.Sub(s.start) >= q.span {
 			delete(q.spans, key)
 		}
 	}
--- a/internal/logs/quota_test.go
+++ b/internal/logs/quota_test.go
@@ -9,55 +9,55 @@
 )
 
 // A message is written burst times in a span, then counted; the first line of the next span has the count.
-func TestQuotaCountsWhatRepeats(t *testing.T) {
+func TestQuotaCountsSuppressedLines(t *testing.T) {
 	q := NewQuota(10, 10*time.Second, 4)
 	at := time.Unix(1000, 0)
-	said := 0
+	written := 0
 	for i := range 25 {
-		if ok, held := q.Say("a", at.Add(time.Duration(i)*time.Millisecond)); ok {
-			said++
-			if held != 0 {
-				t.Errorf("line %d: %d suppressed lines reported inside the first span", i, held)
+		if ok, suppressed := q.Allow("a", at.Add(time.Duration(i)*time.Millisecond)); ok {
+			written++
+			if suppressed != 0 {
+				t.Errorf("line %d: %d suppressed lines reported inside the first span", i, suppressed)
 			}
 		}
 	}
-	if said != 10 {
-		t.Errorf("%d of 25 lines written in one span, want 10", said)
+	if written != 10 {
+		t.Errorf("%d of 25 lines written in one span, want 10", written)
 	}
-	if ok, _ := q.Say("b", at); !ok {
+	if ok, _ := q.Allow("b", at); !ok {
 		t.Error("the quota of one message suppressed another message")
 	}
-	if ok, held := q.Say("a", at.Add(10*time.Second)); !ok || held != 15 {
-		t.Errorf("first line of the next span: written %v, suppressed before it %d, want true and 15", ok, held)
+	if ok, suppressed := q.Allow("a", at.Add(10*time.Second)); !ok || suppressed != 15 {
+		t.Errorf("first line of the next span: written %v, suppressed before it %d, want true and 15", ok, suppressed)
 	}
-	if ok, _ := q.Say("a", at.Add(9*time.Second)); !ok {
+	if ok, _ := q.Allow("a", at.Add(9*time.Second)); !ok {
 		t.Error("a line with a time before the span's start was suppressed")
 	}
 }
 
 // Keys beyond the maximum share one quota, so memory stays bounded; ended spans without suppressed lines are deleted.
-func TestQuotaKeysAreBounded(t *testing.T) {
+func TestQuotaBoundsKeys(t *testing.T) {
 	q := NewQuota(1, time.Second, 3)
 	at := time.Unix(1000, 0)
 	for _, key := range []string{"a", "b", "c"} {
-		q.Say(key, at)
+		q.Allow(key, at)
 	}
-	if ok, _ := q.Say("d", at); !ok {
+	if ok, _ := q.Allow("d", at); !ok {
 		t.Error("the first line of a key beyond the maximum was suppressed")
 	}
-	if ok, _ := q.Say("e", at); ok {
+	if ok, _ := q.Allow("e", at); ok {
 		t.Error("a second key beyond the maximum had its own quota")
 	}
 	if len(q.spans) != 4 {
 		t.Errorf("%d spans, want 4: three keys and the shared one", len(q.spans))
 	}
-	if ok, _ := q.Say("f", at.Add(time.Second)); !ok {
+	if ok, _ := q.Allow("f", at.Add(time.Second)); !ok {
 		t.Error("ended spans were not deleted to make room")
 	}
 }
 
 // The logger writes JSON if its output is not a terminal, and adds the number of suppressed lines to the next line written.
-func TestLoggerHoldsRepeatsBack(t *testing.T) {
+func TestLoggerReportsSuppressedLines(t *testing.T) {
 	var out bytes.Buffer
 	log := New(&out, slog.LevelInfo)
 	log.Debug("below the level")
@@ -72,7 +72,7 @@
 	if err := json.Unmarshal(lines[0], &line); err != nil || line["msg"] != "node answers errors" || line["node"] != "n1" {
 		t.Errorf("unexpected JSON line: %s (%v)", lines[0], err)
 	}
-	h := log.Handler().(*quota)
+	h := log.Handler().(*quotaHandler)
 	h.shared.quota.spans["WARN node answers errors"].start = time.Time{} // as if its span had ended
 	log.With("node", "n2").Warn("node answers errors")
 	if err := json.Unmarshal(bytes.TrimSpace(out.Bytes()[bytes.LastIndexByte(bytes.TrimSpace(out.Bytes()), '\n')+1:]), &line); err != nil || line["held"] != float64(5) {
--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// queuedLines is how many lines may wait to be written: enough for a burst, and a bound on memory when the output blocks.
-const queuedLines = 512
+// maxQueuedLines is how many lines may wait to be written: enough for a burst, and a bound on memory when the output blocks.
+const maxQueuedLines = 512
 
 // Writer writes lines in its own goroutine, so that a full pipe or a hanging disk does not block the goroutines that log.
 // Lines that find the queue full or can't be written are dropped and counted.
@@ -18,13 +18,13 @@
 	flushes chan chan struct{}
 	dropped atomic.Int64
 
-	mu       sync.Mutex
-	announce func(dropped int64) // logs how many lines were dropped since its last call
+	mu            sync.Mutex
+	reportDropped func(dropped int64) // logs how many lines were dropped since its last call
 }
 
 // NewWriter returns a Writer that writes to another writer. Its goroutine runs until the process ends.
 func NewWriter(to io.Writer) *Writer {
-	w := &Writer{to: to, lines: make(chan []byte, queuedLines), flushes: make(chan chan struct{})}
+	w := &Writer{to: to, lines: make(chan []byte, maxQueuedLines), flushes: make(chan chan struct{})}
 	go w.run()
 	return w
 }
@@ -43,37 +43,37 @@
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
 // Flush waits until all lines queued so far are written, or until most has passed.
-func (w *Writer) Flush(most time.Duration) {
-	timeout := time.NewTimer(most)
-	defer timeout.Stop()
+func (w *Writer) Flush(maxWait time.Duration) {
+	timer := time.NewTimer(maxWait)
+	defer timer.Stop()
 	done := make(chan struct{})
 	select {
 	case w.flushes <- done:
-	case <-timeout.C:
+	case <-timer.C:
 		return
 	}
 	select {
 	case <-done:
-	case <-timeout.C:
+	case <-timer.C:
 	}
 }
 
 // onDropped sets the function that logs dropped lines.
-func (w *Writer) onDropped(announce func(dropped int64)) {
+func (w *Writer) onDropped(report func(dropped int64)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.announce = announce
+	w.reportDropped = report
 }
 
 func (w *Writer) run() {
-	var told int64
+	var reported int64
 	for {
 		select {
 		case line := <-w.lines:
-			told = w.write(line, told)
+			reported = w.write(line, reported)
 		case done := <-w.flushes:
-			for waiting := len(w.lines); waiting > 0; waiting-- {
-				told = w.write(<-w.lines, told)
+			for remaining := len(w.lines); remaining > 0; remaining-- {
+				reported = w.write(<-w.lines, reported)
 			}
 			close(done)
 		}
@@ -81,16 +81,16 @@
 }
 
 // write writes a line. If more lines than told were dropped, it reports them first. It returns the total reported so far.
-func (w *Writer) write(line []byte, told int64) int64 {
+func (w *Writer) write(line []byte, reported int64) int64 {
 	w.mu.Lock()
-	announce := w.announce
+	report := w.reportDropped
 	w.mu.Unlock()
-	if dropped := w.dropped.Load(); dropped > told && announce != nil {
-		announce(dropped - told)
-		told = dropped
+	if dropped := w.dropped.Load(); dropped > reported && report != nil {
+		report(dropped - reported)
+		reported = dropped
 	}
 	if _, err := w.to.Write(line); err != nil {
 		w.dropped.Add(1)
 	}
-	return told
+	return reported
 }
--- a/internal/logs/writer_test.go
+++ b/internal/logs/writer_test.go
@@ -11,15 +11,15 @@
 
 // Guards against a blocked log output that blocks the caller: nobody reads the pipe, so all lines except the queued ones
 // are dropped and counted.
-func TestLogThatBlocksHoldsUpNobody(t *testing.T) {
+func TestBlockedOutputDoesNotBlockLoggers(t *testing.T) {
 	unread, pipe := io.Pipe()
 	w := NewWriter(pipe)
 	log := New(w, slog.LevelInfo)
-	const lines = 2 * queuedLines
+	const lines = 2 * maxQueuedLines
 	for i := range lines {
 		log.Info(strings.Repeat("x", i%200+1)) // different messages, since the quota counts per message
 	}
-	if n := w.Dropped(); n < lines-queuedLines-1 {
+	if n := w.Dropped(); n < lines-maxQueuedLines-1 {
 		t.Errorf("%d of %d lines dropped", n, lines)
 	}
 	w.Flush(time.Millisecond) // returns although nothing can be written
@@ -39,8 +39,8 @@
 }
 
 // Lines that can't be written are counted as dropped, and later lines are written once the output works again.
-func TestLogThatFailsIsUsedAgain(t *testing.T) {
-	var out failing
+func TestOutputIsUsedAgainAfterAnError(t *testing.T) {
+	var out faultyWriter
 	w := NewWriter(&out)
 	log := New(w, slog.LevelInfo)
 	out.broken = true
@@ -54,12 +54,12 @@
 	}
 }
 
-type failing struct {
+type faultyWriter struct {
 	broken bool
 	text   bytes.Buffer
 }
 
-func (f *failing) Write(p []byte) (int, error) {
+func (f *faultyWriter) Write(p []byte) (int, error) {
 	if f.broken {
 		return 0, io.ErrClosedPipe
 	}
--- a/internal/program/appliance.go
+++ b/internal/program/appliance.go
@@ -42,53 +42,53 @@
 	failed   chan error
 	stops    []func()
 
-	mu      sync.Mutex
-	listed  Operator        // the file as last read; only its node list is used
-	drained map[string]bool // nodes that an operator drains, by name
+	mu       sync.Mutex
+	lastRead Operator        // the file as last read; only its node list is used
+	drained  map[string]bool // nodes that an operator drains, by name
 }
 
 // Serve runs the appliance until SIGTERM or SIGINT. On SIGHUP it reads the operator's file again.
 func Serve(path string) error {
-	shutdown, hangups := notifyShutdown(), notifyReload()
+	shutdown, reloadSignals := notifyShutdown(), notifyReload()
 	ignoreClosedLog()
-	o, err := LoadOperator(path)
+	operator, err := LoadOperator(path)
 	if err != nil {
 		return err
 	}
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
-	a, err := newAppliance(o)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	a, err := newAppliance(operator)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	defer a.lines.Flush(flushTimeout)
 	guard := a.core.Guard
 	go func() { guard.BeginShutdown(<-shutdown) }()
-	limitRuntime(a.limits)
+	setRuntimeLimits(a.limits)
 	if err := a.restoreLearned(); err != nil {
 		return fmt.Errorf("%s: learned.folder: %w", path, err)
 	}
-	coreEnded, saved := make(chan struct{}), make(chan struct{})
+	coreEnded, saverEnded := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(coreEnded)
 		a.core.Run(ctx)
 	}()
-	saving, endSaving := context.WithCancel(ctx)
-	defer endSaving()
+	saverCtx, stopSaver := context.WithCancel(ctx)
+	defer stopSaver()
 	go func() {
-		defer close(saved)
-		a.runSaver(saving)
+		defer close(saverEnded)
+		a.runSaver(saverCtx)
 	}()
 	go a.client.Run(ctx)
 	go a.nodes.Run(ctx)
-	a.tellNodes()
-	go a.follow(ctx, hangups, path)
+	a.updateNodes()
+	go a.watchReloads(ctx, reloadSignals, path)
 	for _, start := range []func(context.Context) error{a.startCertificates, a.startFiles, a.startHTTP, a.startConsole} {
 		if err := start(ctx); err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	a.log.Info("serving", "sftp", o.SFTP.Listen, "http", o.HTTP.Listen, "console", o.Console.Socket)
+	a.log.Info("serving", "sftp", operator.SFTP.Listen, "http", operator.HTTP.Listen, "console", operator.Console.Socket)
 	select {
 	case err = <-a.failed:
 		guard.BeginShutdown(time.Now())
@@ -99,34 +99,34 @@
 		wait.Go(stop)
 	}
 	wait.Wait()
-	endSaving()
-	<-saved
-	end()
+	stopSaver()
+	<-saverEnded
+	cancel()
 	<-coreEnded
-	err = errors.Join(err, a.saveLast())
+	err = errors.Join(err, a.saveFinal())
 	a.log.Info("stopped", "after", guard.Since().String(), "violations", guard.Violations())
 	return err
 }
 
-func newAppliance(o Operator) (*Appliance, error) {
-	l := o.limits()
+func newAppliance(operator Operator) (*Appliance, error) {
+	siteLimits := operator.limits()
 	lines := logs.NewWriter(os.Stderr)
 	a := &Appliance{
-		operator: o, lines: lines, log: logs.New(lines, o.Log.level()), listed: o, limits: l, client: sftp.NewClient(l), nodes: transport.NewNodes(l),
+		operator: operator, lines: lines, log: logs.New(lines, operator.Log.level()), lastRead: operator, limits: siteLimits, client: sftp.NewClient(siteLimits), nodes: transport.NewNodes(siteLimits),
 		failed: make(chan error, 4), drained: map[string]bool{},
 	}
-	probe := a.client.Probe(l)
-	if o.SFTP.Listen == "" {
+	probe := a.client.Probe(siteLimits)
+	if operator.SFTP.Listen == "" {
 		probe = transport.NewHealthChecker(a.nodes, protocol.Settings{}, a.log).Check
 	}
 	var err error
-	set := o.Settings().Scheduler
-	set.MaxOpen = l.Requests.Scheduled
-	a.core, err = routing.New(set, rand.Int64(), l, probe)
+	settings := operator.Settings().Scheduler
+	settings.MaxOpen = siteLimits.Requests.Scheduled
+	a.core, err = routing.New(settings, rand.Int64(), siteLimits, probe)
 	if err != nil {
 		return nil, err
 	}
-	a.core.Log, a.core.Guard = a.log, lifecycle.New(l.Stop, a.log)
+	a.core.Log, a.core.Guard = a.log, lifecycle.New(siteLimits.Stop, a.log)
 	return a, nil
 }
 
@@ -149,21 +149,21 @@
 	if a.operator.SFTP.Listen == "" {
 		return nil
 	}
-	a.files = sftp.NewFront(a.operator.site(), a.limits, a.core, a.client.Attempt)
-	return a.serve("sftp.listen", a.operator.SFTP.Listen, a.secure(a.operator.SFTP.TLS, a.files.Serve), a.files.Stop)
+	a.files = sftp.NewFront(a.operator.sftpSite(), a.limits, a.core, a.client.Attempt)
+	return a.serve("sftp.listen", a.operator.SFTP.Listen, a.withTLS(a.operator.SFTP.TLS, a.files.Serve), a.files.Stop)
 }
 
 // startHTTP starts the HTTP front, with an admission gate if door.room is set.
 func (a *Appliance) startHTTP(context.Context) error {
-	o := a.operator
-	if o.HTTP.Listen == "" {
+	operator := a.operator
+	if operator.HTTP.Listen == "" {
 		return nil
 	}
-	front := transport.NewFront(o.Settings(), a.limits, transport.NewRoundTripper(a.core, a.nodes))
-	if d := o.Door; d.Room > 0 {
-		front.Admission = gate.New(admission.Config{Room: d.Room, Waiting: d.Waiting, MaxRetryAfter: o.Limits.RetryAfter.Microseconds()}, d.Patience)
+	front := transport.NewFront(operator.Settings(), a.limits, transport.NewRoundTripper(a.core, a.nodes))
+	if door := operator.Door; door.Room > 0 {
+		front.Admission = gate.New(admission.Config{Room: door.Room, Waiting: door.Waiting, MaxRetryAfter: operator.Limits.RetryAfter.Microseconds()}, door.Patience)
 	}
-	return a.serve("http.listen", o.HTTP.Listen, a.secure(o.HTTP.TLS, front.Serve), func(net.Listener) { front.Stop(nil) })
+	return a.serve("http.listen", operator.HTTP.Listen, a.withTLS(operator.HTTP.TLS, front.Serve), func(net.Listener) { front.Stop(nil) })
 }
 
 func (a *Appliance) startConsole(context.Context) error {
@@ -186,37 +186,37 @@
 	if !known {
 		return fmt.Errorf("no node %q", node)
 	}
-	a.tellNodes()
+	a.updateNodes()
 	return nil
 }
 
-// quiet discards the log of HTTP servers, which report errors of their clients only.
-var quiet = log.New(io.Discard, "", 0)
+// discardLog discards the log of HTTP servers, which report errors of their clients only.
+var discardLog = log.New(io.Discard, "", 0)
 
-// follow reads the operator's file again at each SIGHUP and applies its node list and its certificate files. All other
+// watchDiscovery reads the operator's file again at each SIGHUP and applies its node list and its certificate files. All other
 // settings take effect at the next start.
-func (a *Appliance) follow(ctx context.Context, hangups <-chan os.Signal, path string) {
+func (a *Appliance) watchReloads(ctx context.Context, reloadSignals <-chan os.Signal, path string) {
 	for {
-		o, ok := reread(ctx, hangups, LoadOperator, path, a.log)
+		operator, ok := awaitReload(ctx, reloadSignals, LoadOperator, path, a.log)
 		if !ok {
 			return
 		}
 		a.mu.Lock()
-		a.listed = o
+		a.lastRead = operator
 		a.mu.Unlock()
-		a.tellNodes()
+		a.updateNodes()
 		if a.certs == nil {
 			continue
 		}
-		if err := a.certs.Load(brought(o)); err != nil {
+		if err := a.certs.Load(providedFiles(operator)); err != nil {
 			a.log.Error("reload of certificates failed, certificates unchanged", "error", err)
 		}
 	}
 }
 
-// hosts returns the node list with the addresses that dial chooses; drained nodes are marked. The caller holds the lock.
-func (a *Appliance) hosts(dial func(sftp, http string) string) protocol.List {
-	list := a.listed.list(dial)
+// nodeList returns the node list with the addresses that dial chooses; drained nodes are marked. The caller holds the lock.
+func (a *Appliance) nodeList(dial func(sftp, http string) string) protocol.List {
+	list := a.lastRead.nodeList(dial)
 	for i, h := range list.Hosts {
 		if a.drained[h.Node] {
 			list.Hosts[i].State = scheduler.Draining
@@ -225,10 +225,10 @@
 	return list
 }
 
-// tellNodes applies the node list to the connection pools and the scheduler.
-func (a *Appliance) tellNodes() {
+// updateNodes applies the node list to the connection pools and the scheduler.
+func (a *Appliance) updateNodes() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.nodes.Apply(a.hosts(func(_, http string) string { return http }))
-	a.core.UpdateEndpoints(a.client.Apply(a.hosts(func(sftp, _ string) string { return sftp })))
+	a.nodes.Apply(a.nodeList(func(_, http string) string { return http }))
+	a.core.UpdateEndpoints(a.client.Apply(a.nodeList(func(sftp, _ string) string { return sftp })))
 }
--- a/internal/program/certificates.go
+++ b/internal/program/certificates.go
@@ -20,53 +20,53 @@
 	"otterturn/internal/net/transport"
 )
 
-// operatorWait is the timeout of a console command that talks to a certificate authority.
-const operatorWait = 30 * time.Second
+// authorityTimeout is the timeout of a console command that talks to a certificate authority.
+const authorityTimeout = 30 * time.Second
 
 // startCertificates loads the certificates and starts their renewal if authorities are configured.
 func (a *Appliance) startCertificates(ctx context.Context) error {
-	o := a.operator
-	if !o.secured() {
+	operator := a.operator
+	if !operator.usesTLS() {
 		return nil
 	}
-	set := manager.Settings{
-		Try: o.ACME.Try, HTTP: o.ACME.Challenge != "", ALPN: o.HTTP.TLS, Log: a.log,
-		Policy: plan.Policy{Before: o.ACME.RenewBefore, Least: o.ACME.Least, Most: o.ACME.Most},
+	settings := manager.Settings{
+		Try: operator.ACME.Try, HTTP: operator.ACME.Challenge != "", ALPN: operator.HTTP.TLS, Log: a.log,
+		Policy: plan.Policy{Before: operator.ACME.RenewBefore, Least: operator.ACME.Least, Most: operator.ACME.Most},
 	}
-	for _, c := range o.ACME.Certificates {
-		set.Certificates = append(set.Certificates, manager.Certificate{Name: c.Name, Names: c.Names})
+	for _, c := range operator.ACME.Certificates {
+		settings.Certificates = append(settings.Certificates, manager.Certificate{Name: c.Name, Names: c.Names})
 	}
-	for i, x := range o.ACME.Authorities {
-		one, err := x.authority()
+	for i, authority := range operator.ACME.Authorities {
+		converted, err := authority.orderAuthority()
 		if err != nil {
 			return fmt.Errorf("acme.authorities[%d]%w", i, err)
 		}
-		set.Authorities = append(set.Authorities, one)
-		set.Policy.Authorities = append(set.Policy.Authorities, plan.Authority{Name: x.Name, Tries: x.Tries, Window: x.Window})
+		settings.Authorities = append(settings.Authorities, converted)
+		settings.Policy.Authorities = append(settings.Policy.Authorities, plan.Authority{Name: authority.Name, Tries: authority.Tries, Window: authority.Window})
 	}
 	var v *vault.Vault
-	if len(set.Certificates) > 0 {
+	if len(settings.Certificates) > 0 {
 		var err error
-		if v, err = vault.Open(o.ACME.Folder); err != nil {
+		if v, err = vault.Open(operator.ACME.Folder); err != nil {
 			return fmt.Errorf("acme.folder: %w", err)
 		}
 	}
-	a.certs = manager.New(set, v)
-	if err := a.certs.Load(brought(o)); err != nil {
+	a.certs = manager.New(settings, v)
+	if err := a.certs.Load(providedFiles(operator)); err != nil {
 		return fmt.Errorf("certificates: %w", err)
 	}
-	if set.HTTP {
-		answers := &http.Server{
+	if settings.HTTP {
+		server := &http.Server{
 			Handler: a.certs.HTTP(), ReadTimeout: a.limits.Clients.ChallengeTimeout, WriteTimeout: a.limits.Clients.WriteTimeout,
-			IdleTimeout: a.limits.Clients.IdleTimeout, MaxHeaderBytes: a.limits.Requests.HeaderBytes, ErrorLog: quiet,
+			IdleTimeout: a.limits.Clients.IdleTimeout, MaxHeaderBytes: a.limits.Requests.HeaderBytes, ErrorLog: discardLog,
 		}
 		serve := func(l net.Listener) error {
-			if err := answers.Serve(accept.New(l, a.limits.AcceptRetry, nil)); !errors.Is(err, http.ErrServerClosed) {
+			if err := server.Serve(accept.New(l, a.limits.AcceptRetry, nil)); !errors.Is(err, http.ErrServerClosed) {
 				return err
 			}
 			return nil
 		}
-		if err := a.serve("acme.challenge", o.ACME.Challenge, serve, func(net.Listener) { answers.Close() }); err != nil {
+		if err := a.serve("acme.challenge", operator.ACME.Challenge, serve, func(net.Listener) { server.Close() }); err != nil {
 			return err
 		}
 	}
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// authority converts the settings for the ACME client. Its error names the field.
-func (x Authority) authority() (order.Authority, error) {
+// orderAuthority converts the settings for the ACME client. Its error names the field.
+func (x Authority) orderAuthority() (order.Authority, error) {
 	out := order.Authority{Name: x.Name, Directory: x.Directory, Email: x.Email, BindingID: x.BindingID}
 	var err error
 	if out.BindingKey, err = base64.RawURLEncoding.DecodeString(strings.TrimRight(x.BindingKey, "=")); err != nil {
@@ -84,18 +84,18 @@
 	if x.Roots == "" {
 		return out, nil
 	}
-	text, err := os.ReadFile(x.Roots)
+	pemData, err := os.ReadFile(x.Roots)
 	if err != nil {
 		return out, fmt.Errorf(".roots: %w", err)
 	}
 	out.Roots = x509.NewCertPool()
-	if !out.Roots.AppendCertsFromPEM(text) {
+	if !out.Roots.AppendCertsFromPEM(pemData) {
 		return out, fmt.Errorf(".roots: %s contains no certificate", x.Roots)
 	}
 	return out, nil
 }
 
-func brought(o Operator) []manager.File {
+func providedFiles(o Operator) []manager.File {
 	var out []manager.File
 	for _, f := range o.Certificates {
 		out = append(out, manager.File{Cert: f.Cert, Key: f.Key})
@@ -103,32 +103,32 @@
 	return out
 }
 
-// secure makes a server run on TLS connections if its front has TLS enabled.
-func (a *Appliance) secure(on bool, run func(net.Listener) error) func(net.Listener) error {
+// withTLS makes a server run on TLS connections if its front has TLS enabled.
+func (a *Appliance) withTLS(on bool, run func(net.Listener) error) func(net.Listener) error {
 	if !on {
 		return run
 	}
 	return func(l net.Listener) error { return run(transport.NewHandshakes(l, a.certs.TLS(), a.limits)) }
 }
 
-// certificates describes each certificate in a line.
-func (a *Appliance) certificates() (string, error) {
+// describeCertificates describes each certificate in a line.
+func (a *Appliance) describeCertificates() (string, error) {
 	if a.certs == nil {
 		return "", errNoTLS
 	}
 	var out strings.Builder
-	for _, s := range a.certs.Status() {
-		fmt.Fprintf(&out, "%s for %s", s.Name, strings.Join(s.Names, ", "))
-		if s.Until.IsZero() {
+	for _, status := range a.certs.Status() {
+		fmt.Fprintf(&out, "%s for %s", status.Name, strings.Join(status.Names, ", "))
+		if status.Until.IsZero() {
 			out.WriteString(", none yet")
 		} else {
-			fmt.Fprintf(&out, ", serial %s until %s (%v left)", s.Serial, s.Until.UTC().Format(time.RFC3339), time.Until(s.Until).Round(time.Second))
+			fmt.Fprintf(&out, ", serial %s until %s (%v left)", status.Serial, status.Until.UTC().Format(time.RFC3339), time.Until(status.Until).Round(time.Second))
 		}
-		if s.Authority != "" {
-			fmt.Fprintf(&out, "; next try %s by %s, %s", s.Next.At.UTC().Format(time.RFC3339), s.Authority, s.Next.Why)
+		if status.Authority != "" {
+			fmt.Fprintf(&out, "; next try %s by %s, %s", status.Next.At.UTC().Format(time.RFC3339), status.Authority, status.Next.Why)
 		}
-		if s.Last.Detail != "" {
-			fmt.Fprintf(&out, "; last error %s: %s", s.LastAt.UTC().Format(time.RFC3339), s.Last.Detail)
+		if status.Last.Detail != "" {
+			fmt.Fprintf(&out, "; last error %s: %s", status.LastAt.UTC().Format(time.RFC3339), status.Last.Detail)
 		}
 		out.WriteString("\n")
 	}
@@ -138,14 +138,14 @@
 // errNoTLS is the error of certificate commands where no front has TLS.
 var errNoTLS = errors.New("certificates are not in use: neither http.tls nor sftp.tls is set")
 
-// certificateCommand carries out the console commands renew, revoke and rollkey.
-func (a *Appliance) certificateCommand(word, name string) error {
+// runCertificateCommand carries out the console commands renew, revoke and rollkey.
+func (a *Appliance) runCertificateCommand(command, name string) error {
 	if a.certs == nil {
 		return errNoTLS
 	}
-	ctx, end := context.WithTimeout(context.Background(), operatorWait)
-	defer end()
-	switch word {
+	ctx, cancel := context.WithTimeout(context.Background(), authorityTimeout)
+	defer cancel()
+	switch command {
 	case "renew":
 		return a.certs.Renew(name)
 	case "revoke":
--- a/internal/program/words.go
+++ b/internal/program/commands.go
@@ -11,30 +11,30 @@
 
 // command is a parsed line of the console. Plain holds a command without arguments.
 type command struct {
-	Plain  string  `parser:"  @('help'|'status'|'nodes'|'projects'|'certificate'|'learned'|'quit')"`
-	Node   *onNode `parser:"| @@"`
-	Cert   *onCert `parser:"| @@"`
-	Forget *forget `parser:"| @@"`
+	Plain  string         `parser:"  @('help'|'status'|'nodes'|'projects'|'certificate'|'learned'|'quit')"`
+	Node   *nodeCommand   `parser:"| @@"`
+	Cert   *certCommand   `parser:"| @@"`
+	Forget *forgetCommand `parser:"| @@"`
 }
 
-type onNode struct {
+type nodeCommand struct {
 	Do   string `parser:"@('drain'|'undrain')"`
 	Name string `parser:"@Word"`
 }
 
-type onCert struct {
+type certCommand struct {
 	Do   string `parser:"@('renew'|'revoke'|'rollkey')"`
 	Name string `parser:"@Word"`
 }
 
-type forget struct {
+type forgetCommand struct {
 	Kind string `parser:"'forget' ( @'all'"`
 	One  string `parser:"| @('node'|'project')"`
 	Name string `parser:"@Word )"`
 }
 
-// words returns the arguments of a forget command: "all", or a kind and a name.
-func (f forget) words() []string {
+// arguments returns the arguments of a forget command: "all", or a kind and a name.
+func (f forgetCommand) arguments() []string {
 	if f.Kind != "" {
 		return []string{f.Kind}
 	}
--- a/internal/program/words_test.go
+++ b/internal/program/commands_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-func TestConsoleWords(t *testing.T) {
+func TestParseCommand(t *testing.T) {
 	for line, want := range map[string]command{
-		"status": {Plain: "status"}, "  drain  node-a ": {Node: &onNode{"drain", "node-a"}},
-		"renew all": {Cert: &onCert{"renew", "all"}}, "forget all": {Forget: &forget{Kind: "all"}},
-		"forget node all": {Forget: &forget{One: "node", Name: "all"}},
+		"status": {Plain: "status"}, "  drain  node-a ": {Node: &nodeCommand{"drain", "node-a"}},
+		"renew all": {Cert: &certCommand{"renew", "all"}}, "forget all": {Forget: &forgetCommand{Kind: "all"}},
+		"forget node all": {Forget: &forgetCommand{One: "node", Name: "all"}},
 	} {
 		got, err := parseCommand(line)
 		if err != nil || got.Plain != want.Plain || (got.Node == nil) != (want.Node == nil) || got.Node != nil && *got.Node != *want.Node ||
--- a/internal/program/console.go
+++ b/internal/program/console.go
@@ -17,11 +17,11 @@
 
 // Bounds of the console.
 const (
-	consoles     = 8                // connections at a time
-	consoleIdle  = 10 * time.Minute // a connection without a command is closed after this time
-	consoleWrite = 10 * time.Second // for writing an answer
-	consoleLine  = 1 << 10          // bytes per command
-	endOfAnswer  = "."
+	maxConsoles         = 8                // connections at a time
+	consoleIdleTimeout  = 10 * time.Minute // a connection without a command is closed after this time
+	consoleWriteTimeout = 10 * time.Second // for writing an answer
+	maxCommandBytes     = 1 << 10          // bytes per command
+	endOfAnswer         = "."
 )
 
 const usage = `help             show this
@@ -43,11 +43,11 @@
 // any lines of text, and a line with a single dot.
 type console struct {
 	appliance *Appliance
-	room      chan struct{}
+	slots     chan struct{}
 }
 
 func newConsole(a *Appliance) *console {
-	return &console{appliance: a, room: make(chan struct{}, consoles)}
+	return &console{appliance: a, slots: make(chan struct{}, maxConsoles)}
 }
 
 func (c *console) serve(l net.Listener) error {
@@ -61,80 +61,80 @@
 			return err
 		}
 		select {
-		case c.room <- struct{}{}:
-			go c.host(conn)
+		case c.slots <- struct{}{}:
+			go c.serveConn(conn)
 		default:
 			conn.Close()
 		}
 	}
 }
 
-func (c *console) host(conn net.Conn) {
+func (c *console) serveConn(conn net.Conn) {
 	defer func() {
 		conn.Close()
-		<-c.room
+		<-c.slots
 	}()
 	lines := bufio.NewScanner(conn)
-	lines.Buffer(nil, consoleLine)
+	lines.Buffer(nil, maxCommandBytes)
 	for {
-		conn.SetReadDeadline(time.Now().Add(consoleIdle))
+		conn.SetReadDeadline(time.Now().Add(consoleIdleTimeout))
 		if !lines.Scan() {
 			return
 		}
 		if strings.TrimSpace(lines.Text()) == "" {
 			continue
 		}
-		text, quit, err := c.answer(lines.Text())
-		verdict := "ok"
+		text, quit, err := c.execute(lines.Text())
+		answer := "ok"
 		if err != nil {
-			verdict = "error: " + err.Error()
+			answer = "error: " + err.Error()
 		}
-		conn.SetWriteDeadline(time.Now().Add(consoleWrite))
+		conn.SetWriteDeadline(time.Now().Add(consoleWriteTimeout))
 		if text != "" {
-			verdict += "\n" + strings.TrimRight(text, "\n")
+			answer += "\n" + strings.TrimRight(text, "\n")
 		}
-		if _, err := fmt.Fprintf(conn, "%s\n%s\n", verdict, endOfAnswer); err != nil || quit {
+		if _, err := fmt.Fprintf(conn, "%s\n%s\n", answer, endOfAnswer); err != nil || quit {
 			return
 		}
 	}
 }
 
-// answer carries out one command; quit reports whether it ends the connection.
-func (c *console) answer(line string) (text string, quit bool, err error) {
+// execute carries out one command; quit reports whether it ends the connection.
+func (c *console) execute(line string) (text string, quit bool, err error) {
 	a := c.appliance
-	cmd, err := parseCommand(line)
+	command, err := parseCommand(line)
 	if err != nil {
 		return usage, false, err
 	}
 	switch {
-	case cmd.Node != nil:
-		return "", false, a.drain(cmd.Node.Name, cmd.Node.Do == "drain")
-	case cmd.Cert != nil:
-		return "", false, a.certificateCommand(cmd.Cert.Do, cmd.Cert.Name)
-	case cmd.Forget != nil:
-		return "", false, a.forget(cmd.Forget.words())
+	case command.Node != nil:
+		return "", false, a.drain(command.Node.Name, command.Node.Do == "drain")
+	case command.Cert != nil:
+		return "", false, a.runCertificateCommand(command.Cert.Do, command.Cert.Name)
+	case command.Forget != nil:
+		return "", false, a.forget(command.Forget.arguments())
 	}
-	switch cmd.Plain {
+	switch command.Plain {
 	case "status":
 		t := a.core.Tally()
 		text = fmt.Sprintf("open %d\nserved %d\nrefused %d\nfailed %d\nclients left %d\n%s", t.Open,
-			t.Sum(routing.Served), t.Sum(routing.Rejected), t.Sum(routing.Failed), t.ClientsLeft, a.ruleFigures())
+			t.Sum(routing.Served), t.Sum(routing.Rejected), t.Sum(routing.Failed), t.ClientsLeft, a.describeRules())
 	case "nodes":
 		text = c.nodes()
 	case "projects":
 		text = c.projects()
 	case "certificate":
-		text, err = a.certificates()
+		text, err = a.describeCertificates()
 	case "learned":
-		text, err = a.learned()
+		text, err = a.saveAndDescribe()
 	case "help":
 		text = usage
 	}
-	return text, cmd.Plain == "quit", err
+	return text, command.Plain == "quit", err
 }
 
-// ruleFigures lists the denied operations, the violations and the dropped log lines.
-func (a *Appliance) ruleFigures() string {
+// describeRules lists the denied operations, the violations and the dropped log lines.
+func (a *Appliance) describeRules() string {
 	var denied int64
 	for _, c := range a.core.Guard.Counts() {
 		denied += c.Denied
@@ -155,9 +155,9 @@
 	var out strings.Builder
 	for _, p := range c.appliance.operator.Projects {
 		fmt.Fprintf(&out, "%s %s plan %s shard %d", p.Name, p.Prefix, p.Plan, p.Shard)
-		if f := c.appliance.files; f != nil {
-			n := f.Count(p.Name)
-			fmt.Fprintf(&out, " served %d refused %d failed %d", n.Served, n.Refused, n.Failed)
+		if front := c.appliance.files; front != nil {
+			counts := front.Count(p.Name)
+			fmt.Fprintf(&out, " served %d refused %d failed %d", counts.Served, counts.Refused, counts.Failed)
 		}
 		out.WriteString("\n")
 	}
@@ -172,7 +172,7 @@
 		return err
 	}
 	if o.Console.Socket == "" {
-		return misuse{fmt.Errorf("%s: console.socket: missing", path)}
+		return configurationError{fmt.Errorf("%s: console.socket: missing", path)}
 	}
 	conn, err := net.Dial("unix", o.Console.Socket)
 	if err != nil {
@@ -188,7 +188,7 @@
 		prompt = ""
 	}
 	lines, answers := bufio.NewScanner(in), bufio.NewReader(conn)
-	var failed error
+	var commandErr error
 	for fmt.Fprint(out, prompt); lines.Scan(); fmt.Fprint(out, prompt) {
 		if strings.TrimSpace(lines.Text()) == "" {
 			continue
@@ -196,8 +196,8 @@
 		if _, err := fmt.Fprintln(conn, lines.Text()); err != nil {
 			return fmt.Errorf("console: %w", err)
 		}
-		if err := show(answers, out); errors.Is(err, ErrCommand) {
-			failed = err
+		if err := copyAnswer(answers, out); errors.Is(err, ErrCommand) {
+			commandErr = err
 		} else if err != nil {
 			return fmt.Errorf("console: %w", err)
 		}
@@ -205,7 +205,7 @@
 			break
 		}
 	}
-	return errors.Join(failed, lines.Err())
+	return errors.Join(commandErr, lines.Err())
 }
 
 // Errors that the program's exit status distinguishes.
@@ -215,9 +215,9 @@
 	ErrConfiguration = errors.New("invalid configuration")
 )
 
-// show copies one answer to out, without its first line if that is "ok". It returns ErrCommand for a failed command.
-func show(answers *bufio.Reader, out io.Writer) error {
-	var failed error
+// copyAnswer copies one answer to out, without its first line if that is "ok". It returns ErrCommand for a failed command.
+func copyAnswer(answers *bufio.Reader, out io.Writer) error {
+	var commandErr error
 	for first := true; ; first = false {
 		line, err := answers.ReadString('\n')
 		if err != nil {
@@ -226,10 +226,10 @@
 		line = strings.TrimRight(line, "\n")
 		switch {
 		case line == endOfAnswer:
-			return failed
+			return commandErr
 		case first && line == "ok":
 		case first:
-			failed = ErrCommand
+			commandErr = ErrCommand
 			fallthrough
 		default:
 			fmt.Fprintln(out, line)
--- a/internal/program/operators.go
+++ b/internal/program/control.go
@@ -14,7 +14,7 @@
 // Ban excludes a node until the ban is lifted, regardless of changes of the node list meanwhile. by names the operator. It
 // returns false for an unknown node.
 func (p *platform) Ban(node, by string) bool {
-	known := p.byHand("node banned", node, by, p.roster.Ban)
+	known := p.changeBan("node banned", node, by, p.roster.Ban)
 	if known {
 		p.sendToOther(handover.KindBan, node, by)
 	}
@@ -23,49 +23,49 @@
 
 // Lift ends the ban of a node. It returns false for an unknown node.
 func (p *platform) Lift(node, by string) bool {
-	known := p.byHand("node unbanned", node, by, p.roster.Unban)
+	known := p.changeBan("node unbanned", node, by, p.roster.Unban)
 	if known {
 		p.sendToOther(handover.KindUnban, node, by)
 	}
 	return known
 }
 
-func (p *platform) byHand(what, node, by string, do func(node, by string) (protocol.List, bool)) bool {
+func (p *platform) changeBan(message, node, by string, apply func(node, by string) (protocol.List, bool)) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	change, known := do(node, by)
+	change, known := apply(node, by)
 	if known {
-		p.tell(change)
-		p.log.Info(what, "node", node, "by", by)
+		p.applyNodes(change)
+		p.log.Info(message, "node", node, "by", by)
 	}
 	return known
 }
 
 // Figures returns the metrics of this process.
 func (p *platform) Figures() (protocol.Figures, error) {
-	ctx, end := context.WithTimeout(context.Background(), p.limits.Control.ReportTimeout)
-	defer end()
+	ctx, cancel := context.WithTimeout(context.Background(), p.limits.Control.ReportTimeout)
+	defer cancel()
 	avoided, err := p.core.AvoidedNodes(ctx)
 	if err != nil {
 		return protocol.Figures{}, err
 	}
-	shared, err := p.healthFigures(ctx)
+	healthMetrics, err := p.healthMetrics(ctx)
 	if err != nil {
 		return protocol.Figures{}, err
 	}
-	t := p.core.Tally()
+	tally := p.core.Tally()
 	out := protocol.Figures{
-		InFlight: t.Open, Attempts: p.nodes.Attempts(), Excluded: avoided,
-		ReloadsOK: p.reloads.Load(), ReloadsFailed: p.reloadsRejected.Load(), Health: shared,
+		InFlight: tally.Open, Attempts: p.nodes.Attempts(), Excluded: avoided,
+		ReloadsOK: p.reloads.Load(), ReloadsFailed: p.reloadsRejected.Load(), Health: healthMetrics,
 		Rules: protocol.RuleFigures{
-			EndedByShutdown: t.EndedByShutdown, EndedOverdue: t.EndedOverdue, AcceptErrors: p.front.AcceptErrors(), LogLinesDropped: p.lines.Dropped(),
+			EndedByShutdown: tally.EndedByShutdown, EndedOverdue: tally.EndedOverdue, AcceptErrors: p.front.AcceptErrors(), LogLinesDropped: p.lines.Dropped(),
 		},
 	}
 	for _, c := range p.guard.Counts() {
 		out.Rules.Operations = append(out.Rules.Operations, protocol.RuleCount{Operation: c.Operation.String(), Denied: c.Denied, Violations: c.Violations})
 	}
 	for i, name := range p.front.ClassNames() {
-		ended := t.Class(i)
+		ended := tally.Class(i)
 		out.Classes = append(out.Classes, protocol.Ended{
 			Class: name, Served: ended[routing.Served],
 			Refused: ended[routing.Rejected], Failed: ended[routing.Failed],
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -17,8 +17,8 @@
 // fleetVariable is the environment variable with the path of the fleet file. Without it a front shares no node health.
 const fleetVariable = "RELAY_FLEET"
 
-// longestEvidence is the maximum lifetime of evidence.
-const longestEvidence = time.Duration(health.MaxEvidenceLife) * time.Microsecond
+// maxEvidenceLife is the maximum lifetime of evidence.
+const maxEvidenceLife = time.Duration(health.MaxEvidenceLife) * time.Microsecond
 
 // Fleet is the operators' fleet file: the settings of features that the fronts of a fleet share.
 type Fleet struct {
@@ -54,48 +54,48 @@
 }
 
 // loadFleet reads and validates the fleet file. Its errors name the field.
-func loadFleet(path string, s frontConfig) (Fleet, error) {
-	var f Fleet
-	meta, err := toml.DecodeFile(path, &f)
+func loadFleet(path string, front frontConfig) (Fleet, error) {
+	var fleet Fleet
+	meta, err := toml.DecodeFile(path, &fleet)
 	if err != nil {
-		var at *os.PathError
-		if errors.As(err, &at) {
+		var pathErr *os.PathError
+		if errors.As(err, &pathErr) {
 			return Fleet{}, fmt.Errorf("%s: %w", fleetVariable, err)
 		}
 		return Fleet{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if odd := meta.Undecoded(); len(odd) > 0 {
-		return Fleet{}, fmt.Errorf("%s: %s: unknown", path, odd[0])
+	if unknown := meta.Undecoded(); len(unknown) > 0 {
+		return Fleet{}, fmt.Errorf("%s: %s: unknown", path, unknown[0])
 	}
-	if !f.Health.Enabled {
-		return f, nil
+	if !fleet.Health.Enabled {
+		return fleet, nil
 	}
-	if _, err := f.config(s, 0); err != nil {
+	if _, err := fleet.healthConfig(front, 0); err != nil {
 		return Fleet{}, fmt.Errorf("%s: %w", path, err)
 	}
-	return f, nil
+	return fleet, nil
 }
 
-// config returns the monitor's configuration. began, the start of the process in Unix microseconds, is its incarnation.
-func (f *Fleet) config(s frontConfig, began int64) (health.Config, error) {
+// healthConfig returns the monitor's configuration. began, the start of the process in Unix microseconds, is its incarnation.
+func (f *Fleet) healthConfig(front frontConfig, startedAt int64) (health.Config, error) {
 	switch {
-	case !s.peers:
+	case !front.peers:
 		return health.Config{}, errors.New("health.enabled: the configuration names no peers")
-	case !s.probing:
+	case !front.probing:
 		return health.Config{}, errors.New("health.enabled: settings.ceilings.probing is off in the configuration")
 	}
-	if err := f.Health.check(); err != nil {
+	if err := f.Health.validate(); err != nil {
 		return health.Config{}, err
 	}
-	zones, err := f.zones(s.fronts)
+	zones, err := f.zonesByFront(front.fronts)
 	if err != nil {
 		return health.Config{}, err
 	}
 	h := f.Health
 	c := health.Config{
-		Self: s.self, Incarnation: began, Zones: zones, Probers: h.Probers, Quorum: h.Quorum,
-		SuspectAfter: inMicros(h.SuspectAfter), ProbeTimeout: inMicros(h.ProbeLate), EvidenceLifetime: inMicros(h.EvidenceLife),
-		TakeoverAfter: inMicros(h.TakeoverAfter), ProbesPerNode: h.ProbesPerNode, MessageRate: h.MessageBytes,
+		Self: front.self, Incarnation: startedAt, Zones: zones, Probers: h.Probers, Quorum: h.Quorum,
+		SuspectAfter: toMicros(h.SuspectAfter), ProbeTimeout: toMicros(h.ProbeLate), EvidenceLifetime: toMicros(h.EvidenceLife),
+		TakeoverAfter: toMicros(h.TakeoverAfter), ProbesPerNode: h.ProbesPerNode, MessageRate: h.MessageBytes,
 	}
 	if err := c.Validate(); err != nil {
 		return health.Config{}, fmt.Errorf("health: %w", err)
@@ -103,8 +103,8 @@
 	return c, nil
 }
 
-// check validates each setting without regard to the zones.
-func (h *FleetHealth) check() error {
+// checkSnapshots validates each setting without regard to the zones.
+func (h *FleetHealth) validate() error {
 	switch {
 	case h.Probers < 1:
 		return fmt.Errorf("health.probers: %d, must be at least 1", h.Probers)
@@ -114,22 +114,22 @@
 		return errors.New("health.probes_per_node: must be above 0")
 	case !(h.MessageBytes >= health.MessageLimit):
 		return fmt.Errorf("health.message_bytes: must be at least %d, for one message per second", health.MessageLimit)
-	case h.EvidenceLife > longestEvidence:
-		return fmt.Errorf("health.evidence_life: %v, must be at most %v", h.EvidenceLife, longestEvidence)
+	case h.EvidenceLife > maxEvidenceLife:
+		return fmt.Errorf("health.evidence_life: %v, must be at most %v", h.EvidenceLife, maxEvidenceLife)
 	}
-	for _, t := range []struct {
+	for _, duration := range []struct {
 		field string
 		value time.Duration
 	}{{"suspect_after", h.SuspectAfter}, {"probe_late", h.ProbeLate}, {"evidence_life", h.EvidenceLife}, {"takeover_after", h.TakeoverAfter}} {
-		if t.value < time.Microsecond {
-			return fmt.Errorf("health.%s: must be a duration above 0", t.field)
+		if duration.value < time.Microsecond {
+			return fmt.Errorf("health.%s: must be a duration above 0", duration.field)
 		}
 	}
 	return nil
 }
 
-// zones returns each front's zone, indexed by the front's number. Every front must be in exactly one zone.
-func (f *Fleet) zones(fronts int) ([]int, error) {
+// zonesByFront returns each front's zone, indexed by the front's number. Every front must be in exactly one zone.
+func (f *Fleet) zonesByFront(fronts int) ([]int, error) {
 	if len(f.Zones) == 0 {
 		return nil, errors.New("zones: missing")
 	}
@@ -144,8 +144,8 @@
 			return nil, fmt.Errorf("zones[%d].name: missing or used before", i)
 		}
 		names[z.Name] = true
-		for _, text := range z.Fronts {
-			first, last, err := parseFronts(text, fronts)
+		for _, frontRange := range z.Fronts {
+			first, last, err := parseFrontRange(frontRange, fronts)
 			if err != nil {
 				return nil, fmt.Errorf("zones[%d].fronts: %w", i, err)
 			}
@@ -171,10 +171,10 @@
 	return out, nil
 }
 
-// parseFronts reads a front's number or a range of numbers below fronts.
-func parseFronts(text string, fronts int) (first, last int, err error) {
-	from, to, ranged := strings.Cut(text, "-")
-	if !ranged {
+// parseFrontRange reads a front's number or a range of numbers below fronts.
+func parseFrontRange(text string, fronts int) (first, last int, err error) {
+	from, to, isRange := strings.Cut(text, "-")
+	if !isRange {
 		to = from
 	}
 	first, err = strconv.Atoi(from)
@@ -192,4 +192,4 @@
 	return first, last, nil
 }
 
-func inMicros(d time.Duration) scheduler.Micros { return scheduler.Micros(d / time.Microsecond) }
+func toMicros(d time.Duration) scheduler.Micros { return scheduler.Micros(d / time.Microsecond) }
--- a/internal/program/fleet_health.go
+++ b/internal/program/fleet_health.go
@@ -16,17 +16,17 @@
 
 // Bounds of the health monitor.
 const (
-	leastInbox   = 1024        // events that may wait for the monitor, if the core's inbox is shorter
-	longestProbe = time.Minute // the scheduler's health check of a silent node is answered after at most this time
+	minInbox     = 1024        // events that may wait for the monitor, if the core's inbox is shorter
+	maxProbeWait = time.Minute // the scheduler's health check of a silent node is answered after at most this time
 )
 
 // sharedHealth is the state of the node health that fronts share. It is empty without a fleet file.
 type sharedHealth struct {
-	monitor      *monitor.Monitor // nil where health is not shared
-	sharesHealth bool
-	fleetPath    string
-	site         frontConfig // at the start
-	began        int64       // Unix time in microseconds
+	monitor       *monitor.Monitor // nil where health is not shared
+	healthEnabled bool
+	fleetPath     string
+	startConfig   frontConfig // at the start
+	startedAt     int64       // Unix time in microseconds
 }
 
 // newMonitor returns the health monitor that the fleet file configures, or nil where shared health is off. The front's
@@ -36,22 +36,22 @@
 	if path == "" {
 		return nil, nil
 	}
-	set := p.config.Settings.Scheduler
-	p.began = time.Now().UnixMicro()
-	p.fleetPath, p.site = path, frontConfig{self: set.FrontIndex, fronts: set.Fronts, peers: len(p.config.Peers) > 0, probing: set.HealthChecks}
-	fleet, err := loadFleet(path, p.site)
+	settings := p.config.Settings.Scheduler
+	p.startedAt = time.Now().UnixMicro()
+	p.fleetPath, p.startConfig = path, frontConfig{self: settings.FrontIndex, fronts: settings.Fronts, peers: len(p.config.Peers) > 0, probing: settings.HealthChecks}
+	fleet, err := loadFleet(path, p.startConfig)
 	if err != nil {
-		return nil, misuse{err}
+		return nil, configurationError{err}
 	}
-	p.sharesHealth = fleet.Health.Enabled
-	if !p.sharesHealth {
+	p.healthEnabled = fleet.Health.Enabled
+	if !p.healthEnabled {
 		return nil, nil
 	}
-	config, err := fleet.config(p.site, p.began)
+	config, err := fleet.healthConfig(p.startConfig, p.startedAt)
 	if err != nil {
-		return nil, misuse{fmt.Errorf("%s: %w", path, err)}
+		return nil, configurationError{fmt.Errorf("%s: %w", path, err)}
 	}
-	return monitor.New(config, monitor.Bounds{Inbox: max(leastInbox, p.limits.Requests.Inbox), MaxProbeWait: longestProbe}, monitor.Hooks{
+	return monitor.New(config, monitor.Bounds{Inbox: max(minInbox, p.limits.Requests.Inbox), MaxProbeWait: maxProbeWait}, monitor.Hooks{
 		Now:    func() scheduler.Micros { return p.core.Now() },
 		Probe:  probe,
 		Report: func(e scheduler.Event) { p.core.Handle(e) },
@@ -67,66 +67,66 @@
 	}
 }
 
-// runMonitor starts the monitor, if there is one, and connects it to the core and to the messages of other fronts. It
+// startMonitor starts the monitor, if there is one, and connects it to the core and to the messages of other fronts. It
 // must be called after the socket for peer messages was opened.
-func (p *platform) runMonitor(ctx context.Context) {
+func (p *platform) startMonitor(ctx context.Context) {
 	if p.monitor == nil {
 		return
 	}
 	if p.peers != nil {
-		p.peers.Intercept, p.peers.OnDrop = p.monitor.Intercept, p.dropped
+		p.peers.Intercept, p.peers.OnDrop = p.monitor.Intercept, p.countDrop
 	}
 	p.core.Observer = p.monitor
 	go p.monitor.Run(ctx)
 }
 
-// dropped counts and logs an invalid datagram by the kind of the fault.
-func (p *platform) dropped(from netip.AddrPort, why error) {
+// countDrop counts and logs an invalid datagram by the kind of the fault.
+func (p *platform) countDrop(from netip.AddrPort, reason error) {
 	kind := monitor.DropUnknownKind
 	switch {
-	case errors.Is(why, transport.ErrNoPeer):
+	case errors.Is(reason, transport.ErrNoPeer):
 		kind = monitor.DropUnknownSender
-	case errors.Is(why, transport.ErrTooLong):
+	case errors.Is(reason, transport.ErrTooLong):
 		kind = monitor.DropTooLong
 	}
-	p.monitor.Drop(kind, "from", from.String(), "error", why)
+	p.monitor.Drop(kind, "from", from.String(), "error", reason)
 }
 
 // updateMonitor passes a change of the endpoint list to the monitor, if there is one.
-func (p *platform) updateMonitor(news scheduler.EndpointsChanged) {
+func (p *platform) updateMonitor(change scheduler.EndpointsChanged) {
 	if p.monitor != nil {
-		p.monitor.UpdateEndpoints(news)
+		p.monitor.UpdateEndpoints(change)
 	}
 }
 
 // reloadFleet reads and validates the fleet file again, together with set, the scheduler settings that are about to be
 // applied. The returned function applies it and does not fail because of the file's content. health.enabled can't change
 // while the process runs.
-func (p *platform) reloadFleet(set scheduler.Settings) (apply func() error, err error) {
+func (p *platform) reloadFleet(settings scheduler.Settings) (apply func() error, err error) {
 	if p.fleetPath == "" {
 		return func() error { return nil }, nil
 	}
-	site := p.site
-	site.probing = set.HealthChecks
-	fleet, err := loadFleet(p.fleetPath, site)
+	front := p.startConfig
+	front.probing = settings.HealthChecks
+	fleet, err := loadFleet(p.fleetPath, front)
 	if err != nil {
 		return nil, err
 	}
-	if fleet.Health.Enabled != p.sharesHealth {
+	if fleet.Health.Enabled != p.healthEnabled {
 		return nil, fmt.Errorf("%s: health.enabled: can't change while the program runs", p.fleetPath)
 	}
 	if p.monitor == nil {
 		return func() error { return nil }, nil
 	}
-	config, err := fleet.config(site, p.began)
+	config, err := fleet.healthConfig(front, p.startedAt)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", p.fleetPath, err)
 	}
 	return func() error { return p.monitor.Reconfigure(context.Background(), config) }, nil
 }
 
-// healthFigures returns the counters of the health monitor, nil where health is not shared.
-func (p *platform) healthFigures(ctx context.Context) (*protocol.HealthFigures, error) {
+// healthMetrics returns the counters of the health monitor, nil where health is not shared.
+func (p *platform) healthMetrics(ctx context.Context) (*protocol.HealthFigures, error) {
 	if p.monitor == nil {
 		return nil, nil
 	}
--- a/internal/program/fleet_test.go
+++ b/internal/program/fleet_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const fleetFile = `[health]
+const validFleet = `[health]
 enabled = true
 probers = 2
 quorum = 2
@@ -28,23 +28,23 @@
 fronts = ["2-3"]
 `
 
-var goodSite = frontConfig{self: 3, fronts: 5, peers: true, probing: true}
+var validFrontConfig = frontConfig{self: 3, fronts: 5, peers: true, probing: true}
 
-func loadText(t *testing.T, text string, s frontConfig) (Fleet, error) {
+func loadFleetText(t *testing.T, text string, front frontConfig) (Fleet, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "fleet.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return loadFleet(path, s)
+	return loadFleet(path, front)
 }
 
-func TestFleetFile(t *testing.T) {
-	f, err := loadText(t, fleetFile, goodSite)
+func TestFleetFileSetsHealthConfig(t *testing.T) {
+	f, err := loadFleetText(t, validFleet, validFrontConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := f.config(goodSite, 17)
+	c, err := f.healthConfig(validFrontConfig, 17)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,8 +62,8 @@
 }
 
 // An error names the invalid field, in a single line.
-func TestWrongFleetFileNamesTheField(t *testing.T) {
-	zones := fleetFile[strings.Index(fleetFile, "[[zones]]"):]
+func TestInvalidFleetFileNamesTheField(t *testing.T) {
+	zones := validFleet[strings.Index(validFleet, "[[zones]]"):]
 	for _, c := range []struct{ old, with, says string }{
 		{"probers = 2", "probers = 0", "health.probers"},
 		{"probers = 2", "probers = 3", "health.probers: 3, but zones[1] has 2 fronts"},
@@ -93,7 +93,7 @@
 		{`region = "north"`, `regoin = "north"`, "zones.regoin: unknown"},
 		{"enabled = true", "enabled = 1", "enabled"},
 	} {
-		_, err := loadText(t, strings.Replace(fleetFile, c.old, c.with, 1), goodSite)
+		_, err := loadFleetText(t, strings.Replace(validFleet, c.old, c.with, 1), validFrontConfig)
 		if err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q instead of %q: %v, want %q", c.with, c.old, err, c.says)
 		}
@@ -101,7 +101,7 @@
 }
 
 // A file must be consistent with the front's configuration; one with health disabled is accepted in any case.
-func TestFleetFileFitsTheConfiguration(t *testing.T) {
+func TestFleetFileMustMatchTheConfiguration(t *testing.T) {
 	for _, c := range []struct {
 		edit func(*frontConfig)
 		says string
@@ -111,17 +111,17 @@
 		{func(s *frontConfig) { s.fronts = 6 }, "zones: front 5 is in none"},
 		{func(s *frontConfig) { s.fronts = 4 }, "zones[0].fronts"},
 	} {
-		site := goodSite
+		site := validFrontConfig
 		c.edit(&site)
-		if _, err := loadText(t, fleetFile, site); err == nil || !strings.Contains(err.Error(), c.says) {
+		if _, err := loadFleetText(t, validFleet, site); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%+v: %v, want %q", site, err, c.says)
 		}
-		off := strings.Replace(fleetFile, "enabled = true", "enabled = false", 1)
-		if f, err := loadText(t, off, site); err != nil || f.Health.Enabled {
+		off := strings.Replace(validFleet, "enabled = true", "enabled = false", 1)
+		if f, err := loadFleetText(t, off, site); err != nil || f.Health.Enabled {
 			t.Errorf("%+v, health disabled: %v", site, err)
 		}
 	}
-	if _, err := loadFleet(filepath.Join(t.TempDir(), "missing.toml"), goodSite); err == nil || !strings.Contains(err.Error(), "RELAY_FLEET") {
+	if _, err := loadFleet(filepath.Join(t.TempDir(), "missing.toml"), validFrontConfig); err == nil || !strings.Contains(err.Error(), "RELAY_FLEET") {
 		t.Errorf("missing file: %v, want an error that names RELAY_FLEET", err)
 	}
 }
--- a/internal/program/handover.go
+++ b/internal/program/handover.go
@@ -38,7 +38,7 @@
 		return // no predecessor runs
 	}
 	if err == nil {
-		if err = p.receive(c); err == nil {
+		if err = p.receiveState(c); err == nil {
 			return
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -69,18 +69,18 @@
 	p.log.Info("predecessor ended, limits resumed")
 }
 
-func (p *platform) receive(c *handover.Channel) error {
+func (p *platform) receiveState(c *handover.Channel) error {
 	if err := c.SetTimeout(p.limits.Stop.HandoverTimeout); err != nil {
 		return err
 	}
-	text, socket, err := c.RequestState()
+	encoded, socket, err := c.RequestState()
 	if err != nil {
 		return err
 	}
 	if socket != nil {
 		defer socket.Close()
 	}
-	state, err := handover.Decode(text, p.config.Settings.Plans)
+	state, err := handover.Decode(encoded, p.config.Settings.Plans)
 	if err != nil {
 		return err
 	}
@@ -88,16 +88,16 @@
 		return err
 	}
 	p.roster.RestoreBans(state.Bans)
-	news := p.nodes.Apply(p.roster.Update(state.List))
-	p.updateMonitor(news)
-	p.core.TakeOver(news, state.Given)
+	change := p.nodes.Apply(p.roster.Update(state.List))
+	p.updateMonitor(change)
+	p.core.TakeOver(change, state.Given)
 	if socket != nil && len(p.config.Peers) > 0 {
 		if conn, err := net.FilePacketConn(socket); err == nil {
 			p.peers = transport.PeersOn(conn.(*net.UDPConn), p.config.Peers, p.limits, p.log)
 		}
 	}
 	p.log.Info("handover received", "nodes", len(state.List.Hosts), "projects", len(state.Given.Volumes), "by_hand", len(state.Bans))
-	p.succeeded = true
+	p.tookOver = true
 	p.otherProcess.Store(c)
 	if err := c.SetTimeout(0); err != nil {
 		return err
@@ -146,13 +146,13 @@
 	return handover.NewChannel(c.(*net.UnixConn)), nil
 }
 
-// queuedIDs is how many request ids may wait to be announced to the successor.
-const queuedIDs = 4096
+// maxQueuedIDs is how many request ids may wait to be announced to the successor.
+const maxQueuedIDs = 4096
 
-// announcer returns a function that announces a request's id to the successor until ended is closed. The function never
+// newIDAnnouncer returns a function that announces a request's id to the successor until ended is closed. The function never
 // blocks, and may be called after ended was closed because a request may still hold it.
-func (p *platform) announcer(c *handover.Channel, ended <-chan struct{}) func(id string) {
-	ids := make(chan string, queuedIDs)
+func (p *platform) newIDAnnouncer(c *handover.Channel, ended <-chan struct{}) func(id string) {
+	ids := make(chan string, maxQueuedIDs)
 	go func() {
 		for {
 			select {
@@ -185,15 +185,15 @@
 	if err := p.guard.Allow(lifecycle.HandOver, time.Time{}); err != nil {
 		return err
 	}
-	given, err := p.sendState(c)
+	coreState, err := p.sendState(c)
 	if err != nil {
-		p.takeBack(given.Learned)
+		p.resumeServing(coreState.Learned)
 		return err
 	}
 	p.otherProcess.Store(c)
 	ended := make(chan struct{})
 	defer close(ended)
-	p.core.AnnounceIDs(p.announcer(c, ended))
+	p.core.AnnounceIDs(p.newIDAnnouncer(c, ended))
 	p.front.Yield(func(conn net.Conn) error {
 		socket, ok := conn.(syscall.Conn)
 		if !ok {
@@ -204,11 +204,12 @@
 	p.nodes.CloseIdle()
 	p.log.Info("handover sent")
 	p.receiveFromOther(c)
-	p.takeBack(scheduler.Learned{})
+	p.resumeServing(scheduler.Learned{})
 	return errors.New("successor has ended")
 }
 
-// sendState stops granting capacity and accepting clients, sends the state, and lets the successor proceed.
+// sendState stops this process's use of its limits and grants, pauses accepting, sends the state, and lets the successor
+// proceed.
 func (p *platform) sendState(c *handover.Channel) (routing.HandoverState, error) {
 	var socket syscall.Conn
 	if p.peers != nil {
@@ -216,24 +217,24 @@
 		socket = p.peers.Socket()
 	}
 	p.front.Pause(true)
-	ctx, end := context.WithTimeout(context.Background(), p.limits.Stop.HandoverTimeout)
-	defer end()
-	given, err := p.core.Yield(ctx)
+	ctx, cancel := context.WithTimeout(context.Background(), p.limits.Stop.HandoverTimeout)
+	defer cancel()
+	coreState, err := p.core.Yield(ctx)
 	if err != nil {
-		return given, err
+		return coreState, err
 	}
 	p.mu.Lock()
-	state := handover.State{Given: given, Plans: p.front.PlanNames(), List: p.roster.FullList(), Bans: p.roster.Bans()}
+	state := handover.State{Given: coreState, Plans: p.front.PlanNames(), List: p.roster.FullList(), Bans: p.roster.Bans()}
 	p.mu.Unlock()
-	text, err := handover.Encode(state)
+	encoded, err := handover.Encode(state)
 	if err != nil {
-		return given, err
+		return coreState, err
 	}
-	return given, errors.Join(c.SendState(text, socket), c.ReleaseSuccessor(), c.SetTimeout(0))
+	return coreState, errors.Join(c.SendState(encoded, socket), c.ReleaseSuccessor(), c.SetTimeout(0))
 }
 
-// takeBack makes this process serve again after the successor has ended. unused is state that the successor never used.
-func (p *platform) takeBack(unused scheduler.Learned) {
+// resumeServing makes this process serve again after the successor has ended. unused is state that the successor never used.
+func (p *platform) resumeServing(unused scheduler.Learned) {
 	p.otherProcess.Store(nil)
 	p.core.AnnounceIDs(nil)
 	if p.peers != nil {
--- a/internal/program/handover_test.go
+++ b/internal/program/handover_test.go
@@ -10,7 +10,7 @@
 
 // Guards against a crash when a request announces its id after the successor has ended: a request may hold the announcing
 // function longer than that.
-func TestIDIsAnnouncedToNobodyBehindTheEnd(t *testing.T) {
+func TestAnnouncingAnIDAfterTheSuccessorEnded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "handover")
 	l, err := handover.Listen(path)
 	if err != nil {
@@ -22,11 +22,11 @@
 		t.Fatal(err)
 	}
 	ended := make(chan struct{})
-	announce := (&platform{log: logs.Quiet()}).announcer(c, ended)
+	announce := (&platform{log: logs.Quiet()}).newIDAnnouncer(c, ended)
 	announce("before")
 	close(ended)
 	c.Close()
-	for range 2 * queuedIDs {
+	for range 2 * maxQueuedIDs {
 		announce("behind")
 	}
 }
--- a/internal/program/listener.go
+++ b/internal/program/listener.go
@@ -16,23 +16,23 @@
 
 // Retries of system calls that fail temporarily at the start.
 const (
-	startRetry    = 50 * time.Millisecond
-	startPatience = 2 * time.Second
+	startRetryDelay = 50 * time.Millisecond
+	startRetryLimit = 2 * time.Second
 )
 
-// retryStart calls open again every startRetry, up to startPatience, while it fails with a transient system error, such as
+// retryStart calls open again every startRetryDelay, up to startRetryLimit, while it fails with a transient system error, such as
 // an address in use or a lack of descriptors. It returns the last error.
 func retryStart[T any](open func() (T, error)) (T, error) {
-	for began := time.Now(); ; time.Sleep(startRetry) {
+	for startedAt := time.Now(); ; time.Sleep(startRetryDelay) {
 		value, err := open()
-		if err == nil || !isMomentary(err) || time.Since(began) > startPatience {
+		if err == nil || !isTransient(err) || time.Since(startedAt) > startRetryLimit {
 			return value, err
 		}
 	}
 }
 
-// isMomentary reports whether an error of a system call is likely to be transient.
-func isMomentary(err error) bool {
+// isTransient reports whether an error of a system call is likely to be transient.
+func isTransient(err error) bool {
 	for _, errno := range []syscall.Errno{
 		syscall.EAGAIN, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRINUSE,
 		syscall.EIO, syscall.ETIMEDOUT, syscall.ENOSPC, syscall.EDQUOT,
@@ -44,8 +44,8 @@
 	return false
 }
 
-// clientsListener returns the listener for clients: the inherited socket of descriptor, or a new one at addr without it.
-func clientsListener(addr, descriptor string) (net.Listener, error) {
+// listenForClients returns the listener for clients: the inherited socket of descriptor, or a new one at addr without it.
+func listenForClients(addr, descriptor string) (net.Listener, error) {
 	if descriptor == "" {
 		l, err := retryStart(func() (net.Listener, error) { return net.Listen("tcp", addr) })
 		if err != nil {
@@ -55,24 +55,24 @@
 	}
 	fd, err := strconv.Atoi(descriptor)
 	if err != nil || fd < 3 {
-		return nil, misuse{fmt.Errorf("%s: %q is not a file descriptor above 2", acceptVariable, descriptor)}
+		return nil, configurationError{fmt.Errorf("%s: %q is not a file descriptor above 2", acceptVariable, descriptor)}
 	}
 	file := os.NewFile(uintptr(fd), acceptVariable)
 	defer file.Close() // the listener has a duplicate
 	l, err := net.FileListener(file)
 	if err != nil {
-		return nil, misuse{fmt.Errorf("%s: descriptor %d is not a listening socket: %w", acceptVariable, fd, err)}
+		return nil, configurationError{fmt.Errorf("%s: descriptor %d is not a listening socket: %w", acceptVariable, fd, err)}
 	}
 	if _, ok := l.(*net.TCPListener); !ok {
 		l.Close()
-		return nil, misuse{fmt.Errorf("%s: descriptor %d is not a TCP socket", acceptVariable, fd)}
+		return nil, configurationError{fmt.Errorf("%s: descriptor %d is not a TCP socket", acceptVariable, fd)}
 	}
 	return l, nil
 }
 
 // listen opens a TCP address with a port, or a Unix socket that only the process's user may use.
 func listen(addr string) (net.Listener, error) {
-	if address(addr) {
+	if isAddress(addr) {
 		return retryStart(func() (net.Listener, error) { return net.Listen("tcp", addr) })
 	}
 	if c, err := net.Dial("unix", addr); err == nil {
@@ -82,7 +82,7 @@
 	if err := os.Remove(addr); err != nil && !errors.Is(err, os.ErrNotExist) { // left by a killed process
 		return nil, err
 	}
-	old := syscall.Umask(0o177)
-	defer syscall.Umask(old)
+	oldMask := syscall.Umask(0o177)
+	defer syscall.Umask(oldMask)
 	return net.Listen("unix", addr)
 }
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -126,48 +126,48 @@
 	Lease    time.Duration // tokens that a limit refills in this time may be drawn before the next save
 }
 
-// recordLasts is the lifetime, in save intervals, of a record of the tokens drawn from a limit. While no record can be
+// recordIntervals is the lifetime, in save intervals, of a record of the tokens drawn from a limit. While no record can be
 // written, a project's commands wait at most that long.
-const recordLasts = 6
+const recordIntervals = 6
 
-// mostUnits is the maximum number of units of a file command.
-const mostUnits = 8
+// maxUnits is the maximum number of units of a file command.
+const maxUnits = 8
 
 // classNames lists the operator's classes by role. A write that must not be repeated has the settings of class write.
 var classNames = []string{files.RoleRead: "read", files.RoleBulkRead: "bulk-read", files.RoleWrite: "write"}
 
 // LoadOperator reads and validates the operator's file. Its errors name the field and match ErrConfiguration.
 func LoadOperator(path string) (Operator, error) {
-	o, err := readOperator(path)
+	operator, err := readOperator(path)
 	if err != nil {
-		return Operator{}, misuse{err}
+		return Operator{}, configurationError{err}
 	}
-	return o, nil
+	return operator, nil
 }
 
-// misuse marks an error as a configuration error.
-type misuse struct{ error }
+// configurationError marks an error as a configuration error.
+type configurationError struct{ error }
 
-func (m misuse) Is(target error) bool { return target == ErrConfiguration }
+func (m configurationError) Is(target error) bool { return target == ErrConfiguration }
 
-func (m misuse) Unwrap() error { return m.error }
+func (m configurationError) Unwrap() error { return m.error }
 
 func readOperator(path string) (Operator, error) {
-	var o Operator
-	meta, err := toml.DecodeFile(path, &o)
+	var operator Operator
+	meta, err := toml.DecodeFile(path, &operator)
 	if err != nil {
 		return Operator{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if odd := meta.Undecoded(); len(odd) > 0 {
-		return Operator{}, fmt.Errorf("%s: %s: unknown", path, odd[0])
+	if unknown := meta.Undecoded(); len(unknown) > 0 {
+		return Operator{}, fmt.Errorf("%s: %s: unknown", path, unknown[0])
 	}
-	if err := o.check(); err != nil {
+	if err := operator.validate(); err != nil {
 		return Operator{}, fmt.Errorf("%s: %w", path, err)
 	}
-	return o, nil
+	return operator, nil
 }
 
-func address(text string) bool {
+func isAddress(text string) bool {
 	_, err := netip.ParseAddrPort(text)
 	return err == nil
 }
--- a/internal/program/operator_check.go
+++ b/internal/program/operator_check.go
@@ -11,36 +11,36 @@
 	files "otterturn/internal/net/protocol/sftp"
 )
 
-// check validates the settings. Its error names the first invalid field.
-func (o *Operator) check() error {
+// checkSnapshots validates the settings. Its error names the first invalid field.
+func (o *Operator) validate() error {
 	l := o.Limits
-	bad := ""
+	problem := ""
 	must := func(ok bool, format string, args ...any) {
-		if !ok && bad == "" {
-			bad = fmt.Sprintf(format, args...)
+		if !ok && problem == "" {
+			problem = fmt.Sprintf(format, args...)
 		}
 	}
 	must(l.MemoryMB > 0 && l.Sockets > 0 && l.Open > 0 && l.Tries > 0,
 		"limits: memory_mb, sockets, open and tries must be above 0")
 	must(l.Connect > 0 && l.NodeIdle > 0 && l.RetryAfter > 0,
 		"limits: connect, node_idle and retry_after must be durations above 0")
-	d := o.Door
-	must(d.Room >= 0 && d.Waiting >= 0 && d.Patience >= 0, "door: room, waiting and patience must not be below 0")
-	must(d.Room == 0 || d.Waiting > 0 && d.Patience > 0, "door: waiting and patience must be above 0 if room is above 0")
-	must(d.Room == 0 || d.Room+d.Waiting <= l.Open, "door: the sum of room and waiting must be at most limits.open")
+	door := o.Door
+	must(door.Room >= 0 && door.Waiting >= 0 && door.Patience >= 0, "door: room, waiting and patience must not be below 0")
+	must(door.Room == 0 || door.Waiting > 0 && door.Patience > 0, "door: waiting and patience must be above 0 if room is above 0")
+	must(door.Room == 0 || door.Room+door.Waiting <= l.Open, "door: the sum of room and waiting must be at most limits.open")
 	must(o.Log.Level == "" || new(slog.Level).UnmarshalText([]byte(o.Log.Level)) == nil, "log.level: %q is not one of debug, info, warn, error", o.Log.Level)
 	must(o.SFTP.Listen != "" || o.HTTP.Listen != "", "sftp.listen, http.listen: at least one must be set")
-	must(o.SFTP.Listen == "" || address(o.SFTP.Listen), "sftp.listen: %q is not an IP address with a port", o.SFTP.Listen)
+	must(o.SFTP.Listen == "" || isAddress(o.SFTP.Listen), "sftp.listen: %q is not an IP address with a port", o.SFTP.Listen)
 	must(o.SFTP.Listen == "" || o.SFTP.UnitBytes > 0 && o.SFTP.BulkBytes > 0,
 		"sftp: unit_bytes and bulk_bytes must be above 0")
-	must(o.HTTP.Listen == "" || address(o.HTTP.Listen), "http.listen: %q is not an IP address with a port", o.HTTP.Listen)
-	o.checkCertificates(must)
-	if k := o.Learned; k.Folder != "" {
-		must(k.Front != "", "learned.front: missing")
-		must(k.Interval >= 500*time.Millisecond && k.Interval <= time.Minute, "learned.interval: must be 500ms to 1m")
-		must(k.Lease > 0 && k.Lease <= time.Minute, "learned.lease: must be above 0 and at most 1m")
+	must(o.HTTP.Listen == "" || isAddress(o.HTTP.Listen), "http.listen: %q is not an IP address with a port", o.HTTP.Listen)
+	o.validateCertificates(must)
+	if learned := o.Learned; learned.Folder != "" {
+		must(learned.Front != "", "learned.front: missing")
+		must(learned.Interval >= 500*time.Millisecond && learned.Interval <= time.Minute, "learned.interval: must be 500ms to 1m")
+		must(learned.Lease > 0 && learned.Lease <= time.Minute, "learned.lease: must be above 0 and at most 1m")
 	} else {
-		must(k == (Learned{}), "learned.folder: missing")
+		must(learned == (Learned{}), "learned.folder: missing")
 	}
 	for _, name := range classNames {
 		c, ok := o.Classes[name]
@@ -56,74 +56,74 @@
 	must(len(o.Plans) > 0, "plans: missing")
 	for i, p := range o.Plans {
 		must(p.Name != "" && p.Weight > 0, "plans[%d]: name must be set, weight above 0", i)
-		must(p.Limit == 0 || p.Burst >= mostUnits, "plans[%d].burst: must be at least %d", i, mostUnits)
+		must(p.Limit == 0 || p.Burst >= maxUnits, "plans[%d].burst: must be at least %d", i, maxUnits)
 	}
 	must(len(o.Nodes) > 0, "nodes: missing")
 	shards, names := map[int]bool{}, map[string]bool{}
 	for i, n := range o.Nodes {
 		must(n.Name != "" && !names[n.Name], "nodes[%d].name: missing or used before", i)
 		must(n.Shard >= 0, "nodes[%d].shard: must not be below 0", i)
-		must(o.SFTP.Listen == "" || address(n.SFTP), "nodes[%d].sftp: %q is not an IP address with a port", i, n.SFTP)
-		must(o.HTTP.Listen == "" || address(n.HTTP), "nodes[%d].http: %q is not an IP address with a port", i, n.HTTP)
+		must(o.SFTP.Listen == "" || isAddress(n.SFTP), "nodes[%d].sftp: %q is not an IP address with a port", i, n.SFTP)
+		must(o.HTTP.Listen == "" || isAddress(n.HTTP), "nodes[%d].http: %q is not an IP address with a port", i, n.HTTP)
 		shards[n.Shard], names[n.Name] = true, true
 	}
 	for i, p := range o.Projects {
 		must(p.Name != "", "projects[%d].name: missing", i)
 		must(p.Prefix != "" && p.Prefix == files.Clean(p.Prefix), "projects[%d].prefix: %q is not a clean absolute path", i, p.Prefix)
-		must(o.plan(p.Plan) >= 0, "projects[%d].plan: unknown plan %q", i, p.Plan)
+		must(o.planIndex(p.Plan) >= 0, "projects[%d].plan: unknown plan %q", i, p.Plan)
 		must(shards[p.Shard], "projects[%d].shard: no node holds shard %d", i, p.Shard)
-		taken := func(q Project) bool { return q.Name == p.Name || q.Prefix == p.Prefix }
-		must(!slices.ContainsFunc(o.Projects[:i], taken), "projects[%d]: name or prefix used before", i)
+		conflicts := func(q Project) bool { return q.Name == p.Name || q.Prefix == p.Prefix }
+		must(!slices.ContainsFunc(o.Projects[:i], conflicts), "projects[%d]: name or prefix used before", i)
 	}
-	if bad != "" {
-		return fmt.Errorf("%s", bad)
+	if problem != "" {
+		return fmt.Errorf("%s", problem)
 	}
 	return nil
 }
 
-// name matches names that are safe as part of a file name.
-var name = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]*$`)
+// namePattern matches names that are safe as part of a file name.
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]*$`)
 
-// secured reports whether a front has TLS.
-func (o *Operator) secured() bool { return o.HTTP.TLS || o.SFTP.TLS }
+// usesTLS reports whether a front has TLS.
+func (o *Operator) usesTLS() bool { return o.HTTP.TLS || o.SFTP.TLS }
 
-func (o *Operator) checkCertificates(must func(ok bool, format string, args ...any)) {
-	a := &o.ACME
-	if !o.secured() {
-		must(len(a.Certificates)+len(a.Authorities)+len(o.Certificates) == 0, "acme, certificates: set, but neither http.tls nor sftp.tls is")
+func (o *Operator) validateCertificates(must func(ok bool, format string, args ...any)) {
+	acme := &o.ACME
+	if !o.usesTLS() {
+		must(len(acme.Certificates)+len(acme.Authorities)+len(o.Certificates) == 0, "acme, certificates: set, but neither http.tls nor sftp.tls is")
 		return
 	}
 	must(!o.HTTP.TLS || o.HTTP.Listen != "", "http.tls: http.listen is missing")
 	must(!o.SFTP.TLS || o.SFTP.Listen != "", "sftp.tls: sftp.listen is missing")
-	must(len(a.Certificates)+len(o.Certificates) > 0, "certificates, acme.certificates: TLS needs at least one")
+	must(len(acme.Certificates)+len(o.Certificates) > 0, "certificates, acme.certificates: TLS needs at least one")
 	for i, f := range o.Certificates {
 		must(f.Cert != "" && f.Key != "", "certificates[%d]: cert and key must be set", i)
 	}
-	if len(a.Certificates) == 0 {
-		must(len(a.Authorities) == 0, "acme.certificates: missing")
+	if len(acme.Certificates) == 0 {
+		must(len(acme.Authorities) == 0, "acme.certificates: missing")
 		return
 	}
-	must(a.Folder != "", "acme.folder: missing")
-	must(a.Challenge == "" || address(a.Challenge), "acme.challenge: %q is not an IP address with a port", a.Challenge)
-	must(a.Challenge != "" || o.HTTP.TLS, "acme.challenge: missing, and TLS-ALPN-01 needs http.tls")
-	must(a.Try > 0 && a.Least > 0 && a.Most >= a.Least, "acme: try and least must be above 0, most must not be below least")
-	must(a.RenewBefore >= 0, "acme.renew_before: must not be below 0")
-	must(len(a.Authorities) > 0, "acme.authorities: missing")
-	taken := map[string]bool{}
-	for i, x := range a.Authorities {
-		must(name.MatchString(x.Name) && !taken["a "+x.Name], "acme.authorities[%d].name: %q is used before, or not of a-z, 0-9, dots and dashes", i, x.Name)
-		at, err := url.Parse(x.Directory)
-		must(err == nil && at.Scheme == "https" && at.Host != "", "acme.authorities[%d].directory: %q is not an https URL", i, x.Directory)
-		must((x.BindingID == "") == (x.BindingKey == ""), "acme.authorities[%d]: binding_id and binding_key must be set together", i)
-		must(x.Tries >= 0 && (x.Tries == 0) == (x.Window == 0), "acme.authorities[%d]: tries and window must be set together", i)
-		taken["a "+x.Name] = true
+	must(acme.Folder != "", "acme.folder: missing")
+	must(acme.Challenge == "" || isAddress(acme.Challenge), "acme.challenge: %q is not an IP address with a port", acme.Challenge)
+	must(acme.Challenge != "" || o.HTTP.TLS, "acme.challenge: missing, and TLS-ALPN-01 needs http.tls")
+	must(acme.Try > 0 && acme.Least > 0 && acme.Most >= acme.Least, "acme: try and least must be above 0, most must not be below least")
+	must(acme.RenewBefore >= 0, "acme.renew_before: must not be below 0")
+	must(len(acme.Authorities) > 0, "acme.authorities: missing")
+	used := map[string]bool{}
+	for i, authority := range acme.Authorities {
+		must(namePattern.MatchString(authority.Name) && !used["a "+authority.Name], "acme.authorities[%d].name: %q is used before, or not of a-z, 0-9, dots and dashes", i, authority.Name)
+		directory, err := url.Parse(authority.Directory)
+		must(err == nil && directory.Scheme == "https" && directory.Host != "", "acme.authorities[%d].directory: %q is not an https URL", i, authority.Directory)
+		must((authority.BindingID == "") == (authority.BindingKey == ""), "acme.authorities[%d]: binding_id and binding_key must be set together", i)
+		must(authority.Tries >= 0 && (authority.Tries == 0) == (authority.Window == 0), "acme.authorities[%d]: tries and window must be set together", i)
+		used["a "+authority.Name] = true
 	}
-	for i, c := range a.Certificates {
-		must(name.MatchString(c.Name) && !taken["c "+c.Name], "acme.certificates[%d].name: %q is used before, or not of a-z, 0-9, dots and dashes", i, c.Name)
+	for i, c := range acme.Certificates {
+		must(namePattern.MatchString(c.Name) && !used["c "+c.Name], "acme.certificates[%d].name: %q is used before, or not of a-z, 0-9, dots and dashes", i, c.Name)
 		must(len(c.Names) > 0, "acme.certificates[%d].names: missing", i)
 		for _, n := range c.Names {
-			must(name.MatchString(n), "acme.certificates[%d].names: %q has characters other than a-z, 0-9, dot and dash", i, n)
+			must(namePattern.MatchString(n), "acme.certificates[%d].names: %q has characters other than a-z, 0-9, dot and dash", i, n)
 		}
-		taken["c "+c.Name] = true
+		used["c "+c.Name] = true
 	}
 }
--- a/internal/program/operator_settings.go
+++ b/internal/program/operator_settings.go
@@ -10,8 +10,8 @@
 	"otterturn/scheduler"
 )
 
-// plan returns the index of a plan by its name, -1 if there is none.
-func (o *Operator) plan(name string) int {
+// planIndex returns the index of a plan by its name, -1 if there is none.
+func (o *Operator) planIndex(name string) int {
 	for i, p := range o.Plans {
 		if p.Name == name {
 			return i
@@ -22,13 +22,13 @@
 
 // limits computes the limits of the appliance.
 func (o *Operator) limits() limits.Limits {
-	longest := time.Duration(0)
+	maxWait := time.Duration(0)
 	for _, c := range o.Classes {
-		longest = max(longest, c.Wait)
+		maxWait = max(maxWait, c.Wait)
 	}
 	return limits.For(limits.Site{
 		MemoryMB: o.Limits.MemoryMB, Sockets: o.Limits.Sockets, Open: o.Limits.Open,
-		ConnIdle: o.Limits.NodeIdle, Connect: o.Limits.Connect, Deadline: longest,
+		ConnIdle: o.Limits.NodeIdle, Connect: o.Limits.Connect, Deadline: maxWait,
 	})
 }
 
@@ -37,24 +37,24 @@
 	out := protocol.Settings{
 		Classes: classNames, MaxOpen: o.Limits.Open, ConnIdle: o.Limits.NodeIdle,
 		Connect: o.Limits.Connect, Retry: o.Limits.RetryAfter, Scheduler: scheduler.Settings{
-			Fronts: 1, Tick: 2000, MeanUnits: 2, MaxUnits: mostUnits, MaxAttempts: o.Limits.Tries, HealthChecks: true, ServeLate: true,
+			Fronts: 1, Tick: 2000, MeanUnits: 2, MaxUnits: maxUnits, MaxAttempts: o.Limits.Tries, HealthChecks: true, ServeLate: true,
 			RetryAfter: true, MaxRetryAfter: scheduler.Micros(o.Limits.RetryAfter / time.Microsecond),
 		},
 	}
-	if k := o.Learned; k.Folder != "" {
-		out.Scheduler.Lease = scheduler.Micros(k.Lease / time.Microsecond)
-		out.Scheduler.RecordLifetime = scheduler.Micros(recordLasts * k.Interval / time.Microsecond)
+	if learned := o.Learned; learned.Folder != "" {
+		out.Scheduler.Lease = scheduler.Micros(learned.Lease / time.Microsecond)
+		out.Scheduler.RecordLifetime = scheduler.Micros(recordIntervals * learned.Interval / time.Microsecond)
 	}
-	write := scheduler.IdempotentByKey
+	writeIdempotency := scheduler.IdempotentByKey
 	if o.Classes["write"].Repeat == "never" {
-		write = scheduler.NotIdempotent
+		writeIdempotency = scheduler.NotIdempotent
 	}
-	for role, repeat := range files.Repeats(write) {
+	for role, idempotency := range files.Repeats(writeIdempotency) {
 		c := o.Classes[classNames[min(role, int(files.RoleWrite))]]
 		out.LongestWait = max(out.LongestWait, c.Wait)
 		out.Scheduler.Classes = append(out.Scheduler.Classes, scheduler.Class{
 			LatencyObjective: scheduler.Micros(c.Within / time.Microsecond),
-			Idempotency:      repeat, DedupScope: scheduler.SameShard, DedupWindow: scheduler.Micros(c.Window / time.Microsecond), Priority: c.Worth,
+			Idempotency:      idempotency, DedupScope: scheduler.SameShard, DedupWindow: scheduler.Micros(c.Window / time.Microsecond), Priority: c.Worth,
 		})
 	}
 	for _, n := range o.Nodes {
@@ -70,11 +70,11 @@
 	return out
 }
 
-// site returns the settings of the SFTP front.
-func (o *Operator) site() sftp.Site {
+// startConfig returns the settings of the SFTP front.
+func (o *Operator) sftpSite() sftp.Site {
 	out := sftp.Site{
 		Retry: o.Limits.RetryAfter,
-		Sizes: files.Sizes{UnitBytes: o.SFTP.UnitBytes, BulkBytes: o.SFTP.BulkBytes, MostUnits: mostUnits},
+		Sizes: files.Sizes{UnitBytes: o.SFTP.UnitBytes, BulkBytes: o.SFTP.BulkBytes, MostUnits: maxUnits},
 	}
 	for role := range out.Classes {
 		out.Classes[role] = role
@@ -82,15 +82,15 @@
 	}
 	for _, p := range o.Projects {
 		out.Projects = append(out.Projects, files.Project{
-			Name: p.Name, Prefix: p.Prefix, Plan: o.plan(p.Plan),
+			Name: p.Name, Prefix: p.Prefix, Plan: o.planIndex(p.Plan),
 			Shard: p.Shard,
 		})
 	}
 	return out
 }
 
-// list returns the node list with the address that dial chooses for each node.
-func (o *Operator) list(dial func(sftp, http string) string) protocol.List {
+// nodeList returns the node list with the address that dial chooses for each node.
+func (o *Operator) nodeList(dial func(sftp, http string) string) protocol.List {
 	out := protocol.List{Whole: true}
 	for _, n := range o.Nodes {
 		out.Hosts = append(out.Hosts, protocol.Host{
--- a/internal/program/beside.go
+++ b/internal/program/other_process.go
@@ -38,9 +38,9 @@
 	case k == handover.KindRequestID:
 		p.core.MarkIDUsed(text)
 	case k == handover.KindBan:
-		p.byHand("node banned by other process", node, by, p.roster.Ban)
+		p.changeBan("node banned by other process", node, by, p.roster.Ban)
 	case k == handover.KindUnban:
-		p.byHand("node unbanned by other process", node, by, p.roster.Unban)
+		p.changeBan("node unbanned by other process", node, by, p.roster.Unban)
 	default:
 		return fmt.Errorf("unexpected message of kind %d", k)
 	}
--- a/internal/program/platform.go
+++ b/internal/program/platform.go
@@ -26,20 +26,20 @@
 
 // platform is a front that the platform runs, configured by its JSON file.
 type platform struct {
-	path   string // of the configuration file
-	text   []byte // of the configuration that is in force
-	config protocol.Config
-	limits limits.Limits
-	lines  *logs.Writer // the output of log
-	log    *slog.Logger
-	guard  *lifecycle.Guard
-	nodes  *transport.Nodes
-	core   *routing.Core
-	front  *transport.Front
+	path       string // of the configuration file
+	configText []byte // of the configuration that is in force
+	config     protocol.Config
+	limits     limits.Limits
+	lines      *logs.Writer // the output of log
+	log        *slog.Logger
+	guard      *lifecycle.Guard
+	nodes      *transport.Nodes
+	core       *routing.Core
+	front      *transport.Front
 
 	peers        *transport.Peers                 // nil without messages between fronts
 	otherProcess atomic.Pointer[handover.Channel] // to the predecessor or successor, while there is one
-	succeeded    bool                             // this process received the state of a predecessor
+	tookOver     bool                             // this process received the state of a predecessor
 	peerMessages bool                             // messages between fronts are enabled
 
 	sharedHealth
@@ -54,11 +54,11 @@
 // Platform runs the platform's front, configured by the RELAY_ environment variables, until SIGTERM or SIGINT. On SIGHUP
 // it reads the configuration again, applies its settings and follows the discovery service that it names.
 func Platform() error {
-	shutdown, hangups := notifyShutdown(), notifyReload()
+	shutdown, reloadSignals := notifyShutdown(), notifyReload()
 	ignoreClosedLog()
 	path := os.Getenv("RELAY_CONFIG")
 	if path == "" {
-		return misuse{errors.New("RELAY_CONFIG: not set")}
+		return configurationError{errors.New("RELAY_CONFIG: not set")}
 	}
 	level, err := logLevel()
 	if err != nil {
@@ -66,17 +66,17 @@
 	}
 	config, text, err := readConfig(path)
 	if err != nil {
-		return misuse{err}
+		return configurationError{err}
 	}
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	p, err := newPlatform(path, text, config, level)
 	if err != nil {
 		return err
 	}
 	defer p.lines.Flush(flushTimeout)
 	go func() { p.guard.BeginShutdown(<-shutdown) }()
-	listener, err := clientsListener(config.Listen, os.Getenv(acceptVariable))
+	listener, err := listenForClients(config.Listen, os.Getenv(acceptVariable))
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 	if socket != "" {
 		p.takeOver(socket)
 	}
-	p.run(ctx, hangups)
+	p.start(ctx, reloadSignals)
 	if socket != "" {
 		p.listenForSuccessors(ctx, socket)
 	}
@@ -101,9 +101,9 @@
 	served := make(chan error, 1)
 	go func() { served <- p.front.Serve(listener) }()
 	p.ready.Store(true)
-	var failed error
+	var acceptErr error
 	select {
-	case failed = <-served:
+	case acceptErr = <-served:
 	case <-p.guard.Stopping():
 	}
 	p.ready.Store(false)
@@ -112,22 +112,22 @@
 	tally := p.core.Tally()
 	p.log.Info("stopped", "after", p.guard.Since().String(), "open", tally.Open, "ended_by_shutdown", tally.EndedByShutdown,
 		"violations", p.guard.Violations())
-	return errors.Join(failed, err)
+	return errors.Join(acceptErr, err)
 }
 
 // newPlatform builds the components without starting them.
 func newPlatform(path string, text []byte, config protocol.Config, level slog.Level) (*platform, error) {
-	set := config.Settings
-	l := limitsOf(config)
-	limitRuntime(l)
+	settings := config.Settings
+	siteLimits := limitsOf(config)
+	setRuntimeLimits(siteLimits)
 	lines := logs.NewWriter(os.Stderr)
 	log := logs.New(lines, level)
 	p := &platform{
-		path: path, text: text, config: config, limits: l, lines: lines, log: log, guard: lifecycle.New(l.Stop, log),
-		nodes: transport.NewNodes(l), roster: roster.New(), peerMessages: set.Scheduler.PeerMessages,
+		path: path, configText: text, config: config, limits: siteLimits, lines: lines, log: log, guard: lifecycle.New(siteLimits.Stop, log),
+		nodes: transport.NewNodes(siteLimits), roster: roster.New(), peerMessages: settings.Scheduler.PeerMessages,
 	}
-	set.Scheduler.MaxOpen = l.Requests.Scheduled
-	probe := transport.NewHealthChecker(p.nodes, set, p.log).Check
+	settings.Scheduler.MaxOpen = siteLimits.Requests.Scheduled
+	probe := transport.NewHealthChecker(p.nodes, settings, p.log).Check
 	var err error
 	if p.monitor, err = p.newMonitor(probe); err != nil {
 		return nil, err
@@ -135,28 +135,28 @@
 	if p.monitor != nil {
 		probe = p.monitor.Probe
 	}
-	core, err := routing.New(set.Scheduler, config.Seed, l, probe)
+	core, err := routing.New(settings.Scheduler, config.Seed, siteLimits, probe)
 	if err != nil {
 		return nil, err
 	}
 	core.Log, core.Guard = p.log, p.guard
 	p.core = core
-	p.front = transport.NewFront(set, l, transport.NewRoundTripper(core, p.nodes))
+	p.front = transport.NewFront(settings, siteLimits, transport.NewRoundTripper(core, p.nodes))
 	return p, nil
 }
 
 // limitsOf computes the limits of a configuration.
 func limitsOf(config protocol.Config) limits.Limits {
-	set := config.Settings
+	settings := config.Settings
 	return limits.For(limits.Site{
-		MemoryMB: config.MemoryMB, Sockets: config.Sockets, Open: set.MaxOpen,
-		ConnIdle: set.ConnIdle, Connect: set.Connect, Deadline: set.LongestWait, DrainGrace: set.DrainGrace,
-		Askers: set.Askers,
+		MemoryMB: config.MemoryMB, Sockets: config.Sockets, Open: settings.MaxOpen,
+		ConnIdle: settings.ConnIdle, Connect: settings.Connect, Deadline: settings.LongestWait, DrainGrace: settings.DrainGrace,
+		Askers: settings.Askers,
 	})
 }
 
-// run starts the background components.
-func (p *platform) run(ctx context.Context, hangups <-chan os.Signal) {
+// start starts the background components.
+func (p *platform) start(ctx context.Context, reloadSignals <-chan os.Signal) {
 	if len(p.config.Peers) > 0 && p.peers == nil {
 		// Peer messages may be lost at any time, so a front serves without its socket: its cold nodes get less load.
 		peers, err := retryStart(func() (*transport.Peers, error) {
@@ -170,23 +170,23 @@
 	if p.peers != nil {
 		p.core.SendToPeer = p.peers.Send
 	}
-	p.runMonitor(ctx)
+	p.startMonitor(ctx)
 	if p.peers != nil {
 		go p.peers.Run(ctx, p.core.Handle)
 	}
 	go p.core.Run(ctx)
 	go p.nodes.Run(ctx)
-	if !p.succeeded { // a list that was handed over is newer than the configured one
-		p.told(p.config.Known)
+	if !p.tookOver { // a list that was handed over is newer than the configured one
+		p.updateNodes(p.config.Known)
 	}
-	go p.follow(ctx, hangups)
+	go p.watchDiscovery(ctx, reloadSignals)
 }
 
 // startControl serves the operators' HTTP interface if an address is configured.
 func (p *platform) startControl() error {
 	addr := p.config.Control
-	if own := os.Getenv("RELAY_CONTROL"); own != "" { // during an upgrade the second process of a front needs an address of its own
-		addr = own
+	if override := os.Getenv("RELAY_CONTROL"); override != "" { // during an upgrade the second process of a front needs an address of its own
+		addr = override
 	}
 	if addr == "" {
 		return nil
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// limitRuntime limits the Go runtime to one core and sets its memory limit, near which it collects garbage more often.
-func limitRuntime(l limits.Limits) {
+// setRuntimeLimits limits the Go runtime to one core and sets its memory limit, near which it collects garbage more often.
+func setRuntimeLimits(l limits.Limits) {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(l.Memory)
 }
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -13,8 +13,8 @@
 	"otterturn/internal/net/transport"
 )
 
-// retireAfter is how long clients may still name a class that a reload removed, as they learn of it late.
-const retireAfter = 2 * time.Second
+// classRetention is how long clients may still name a class that a reload removed, as they learn of it late.
+const classRetention = 2 * time.Second
 
 func readConfig(path string) (protocol.Config, []byte, error) {
 	text, err := retryStart(func() ([]byte, error) { return os.ReadFile(path) })
@@ -28,24 +28,24 @@
 	return config, text, nil
 }
 
-// follow watches discovery until ctx ends and reloads the configuration at each SIGHUP. An invalid file changes nothing.
+// watchDiscovery watches discovery until ctx ends and reloads the configuration at each SIGHUP. An invalid file changes nothing.
 // The classes, plans and attempt settings of a valid file apply at once. The watch then starts again with the file's
 // discovery, after the old watch has ended, and requests the full list because sequence numbers may not carry over.
 // Addresses and limits on sizes and counts take effect at the next start.
-func (p *platform) follow(ctx context.Context, hangups <-chan os.Signal) {
+func (p *platform) watchDiscovery(ctx context.Context, reloadSignals <-chan os.Signal) {
 	seq := p.config.Known.Seq
-	if p.succeeded {
+	if p.tookOver {
 		seq = transport.FullList
 	}
 	for ; p.guard.Allow(lifecycle.StartBackground, time.Time{}) == nil; seq = transport.FullList {
-		own, end := context.WithCancel(ctx)
+		watchCtx, cancel := context.WithCancel(ctx)
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			transport.Watch(own, p.config.Discovery, seq, p.config.Settings.Zones, limitsOf(p.config), p.config.Seed, p.core.Now, p.told, p.log)
+			transport.Watch(watchCtx, p.config.Discovery, seq, p.config.Settings.Zones, limitsOf(p.config), p.config.Seed, p.core.Now, p.updateNodes, p.log)
 		}()
-		config, ok := reread(ctx, hangups, p.change, p.path, p.log)
-		end()
+		config, ok := awaitReload(ctx, reloadSignals, p.reload, p.path, p.log)
+		cancel()
 		<-ended
 		if !ok {
 			return
@@ -54,9 +54,9 @@
 	}
 }
 
-// change reloads the configuration and counts and logs the outcome.
-func (p *platform) change(path string) (protocol.Config, error) {
-	config, err := p.retune(path)
+// reload reloads the configuration and counts and logs the outcome.
+func (p *platform) reload(path string) (protocol.Config, error) {
+	config, err := p.readAndApply(path)
 	if err != nil {
 		p.reloadsRejected.Add(1)
 		return config, err
@@ -66,17 +66,17 @@
 	return config, nil
 }
 
-// retune reads the file and applies its settings, all of them or, if one is invalid, none.
-func (p *platform) retune(path string) (protocol.Config, error) {
+// readAndApply reads the file and applies its settings, all of them or, if one is invalid, none.
+func (p *platform) readAndApply(path string) (protocol.Config, error) {
 	text, err := retryStart(func() ([]byte, error) { return os.ReadFile(path) })
 	if err != nil {
 		return protocol.Config{}, fmt.Errorf("RELAY_CONFIG: %w", err)
 	}
-	config, err := protocol.ParseChange(text, p.config, p.text)
+	config, err := protocol.ParseChange(text, p.config, p.configText)
 	if err != nil {
 		return protocol.Config{}, fmt.Errorf("%s: %w", path, err)
 	}
-	changeFleet, err := p.reloadFleet(config.Settings.Scheduler)
+	applyFleet, err := p.reloadFleet(config.Settings.Scheduler)
 	if err != nil {
 		return protocol.Config{}, err
 	}
@@ -84,15 +84,15 @@
 	if err := p.core.Reconfigure(config.Settings.Scheduler); err != nil {
 		return protocol.Config{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := changeFleet(); err != nil {
+	if err := applyFleet(); err != nil {
 		return protocol.Config{}, err
 	}
 	p.applyLimits(limitsOf(config))
-	still := config.Settings
-	still.Classes, still.Plans = still.Names, still.PlanNames
-	p.front.Reconfigure(still)
-	time.AfterFunc(retireAfter, func() { p.front.ReconfigureIf(still, config.Settings) })
-	p.text = text
+	transitional := config.Settings
+	transitional.Classes, transitional.Plans = transitional.Names, transitional.PlanNames
+	p.front.Reconfigure(transitional)
+	time.AfterFunc(classRetention, func() { p.front.ReconfigureIf(transitional, config.Settings) })
+	p.configText = text
 	return config, nil
 }
 
@@ -104,29 +104,29 @@
 	p.nodes.Reconfigure(l.Nodes)
 }
 
-// told applies a list from discovery: first to the connection pools, then to the scheduler.
-func (p *platform) told(list protocol.List) {
+// updateNodes applies a list from discovery: first to the connection pools, then to the scheduler.
+func (p *platform) updateNodes(list protocol.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tell(p.roster.Update(list))
+	p.applyNodes(p.roster.Update(list))
 }
 
-// tell applies a change of the node list. The caller holds the lock.
-func (p *platform) tell(list protocol.List) {
+// applyNodes applies a change of the node list. The caller holds the lock.
+func (p *platform) applyNodes(list protocol.List) {
 	if len(list.Hosts) > 0 || list.Whole {
-		news := p.nodes.Apply(list)
-		p.updateMonitor(news)
-		p.core.UpdateEndpoints(news)
+		change := p.nodes.Apply(list)
+		p.updateMonitor(change)
+		p.core.UpdateEndpoints(change)
 	}
 }
 
-// reread waits for a SIGHUP after which read returns a valid configuration. It returns false when ctx ends.
-func reread[T any](ctx context.Context, hangups <-chan os.Signal, read func(path string) (T, error), path string, log *slog.Logger) (T, bool) {
+// awaitReload waits for a SIGHUP after which read returns a valid configuration. It returns false when ctx ends.
+func awaitReload[T any](ctx context.Context, reloadSignals <-chan os.Signal, read func(path string) (T, error), path string, log *slog.Logger) (T, bool) {
 	for {
 		select {
 		case <-ctx.Done():
 			return *new(T), false
-		case <-hangups:
+		case <-reloadSignals:
 		}
 		config, err := read(path)
 		if err == nil {
--- a/internal/program/signals.go
+++ b/internal/program/signals.go
@@ -20,12 +20,12 @@
 func notifyShutdown() <-chan time.Time {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
-	began := make(chan time.Time, 1)
+	times := make(chan time.Time, 1)
 	go func() {
 		<-signals
-		began <- time.Now()
+		times <- time.Now()
 	}()
-	return began
+	return times
 }
 
 // ignoreClosedLog ignores SIGPIPE, so that a write to a closed standard output or error fails instead of ending the program.
@@ -34,9 +34,9 @@
 // notifyReload returns a channel that delivers SIGHUP. It is registered for the whole life of the process, since SIGHUP
 // would otherwise end the program, also during a shutdown.
 func notifyReload() <-chan os.Signal {
-	c := make(chan os.Signal, 1)
-	signal.Notify(c, syscall.SIGHUP)
-	return c
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
+	return signals
 }
 
 // logLevel returns the log level that the environment sets.
@@ -44,7 +44,7 @@
 	level := slog.LevelInfo
 	if text := os.Getenv(levelVariable); text != "" {
 		if err := level.UnmarshalText([]byte(text)); err != nil {
-			return level, misuse{fmt.Errorf("%s: %q is not a log level", levelVariable, text)}
+			return level, configurationError{fmt.Errorf("%s: %q is not a log level", levelVariable, text)}
 		}
 	}
 	return level, nil
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -26,19 +26,19 @@
 
 // restoreLearned opens the folder of the learned state, if one is configured, and restores the state that is still valid.
 func (a *Appliance) restoreLearned() error {
-	set := a.operator.Learned
-	if set.Folder == "" {
+	settings := a.operator.Learned
+	if settings.Folder == "" {
 		return nil
 	}
-	s, err := store.Open(set.Folder)
+	folder, err := store.Open(settings.Folder)
 	if err != nil {
 		return err
 	}
 	a.saver = saver.New(saver.Settings{
-		Front: set.Front, Interval: set.Interval, MinInterval: minSaveInterval,
-		Rules: a.operator.Settings().Scheduler, Log: a.log, Nodes: a.listing,
+		Front: settings.Front, Interval: settings.Interval, MinInterval: minSaveInterval,
+		Rules: a.operator.Settings().Scheduler, Log: a.log, Nodes: a.snapshotNodes,
 		Shutdown: saveTimeout,
-	}, a.core, s)
+	}, a.core, folder)
 	for _, n := range a.saver.Restore() {
 		if n.State == scheduler.Draining && a.hasNode(n.Node) {
 			a.drained[n.Node] = true
@@ -55,8 +55,8 @@
 	}
 }
 
-// saveLast saves the final state. The core must have ended.
-func (a *Appliance) saveLast() error {
+// saveFinal saves the final state. The core must have ended.
+func (a *Appliance) saveFinal() error {
 	if a.saver == nil {
 		return nil
 	}
@@ -66,12 +66,12 @@
 	return nil
 }
 
-// listing returns the configured nodes with the addresses that identify them in a snapshot: both, separated by a space.
-func (a *Appliance) listing() []snapshot.Node {
+// snapshotNodes returns the configured nodes with the addresses that identify them in a snapshot: both, separated by a space.
+func (a *Appliance) snapshotNodes() []snapshot.Node {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var out []snapshot.Node
-	for _, h := range a.hosts(func(sftp, http string) string { return sftp + " " + http }).Hosts {
+	for _, h := range a.nodeList(func(sftp, http string) string { return sftp + " " + http }).Hosts {
 		out = append(out, snapshot.Node{LearnedNode: scheduler.LearnedNode{Endpoint: h.Endpoint}, Addr: strings.TrimSpace(h.Dial)})
 	}
 	return out
@@ -79,72 +79,72 @@
 
 // hasNode reports whether a node is in the operator's file. The caller holds the lock, or nothing else runs yet.
 func (a *Appliance) hasNode(node string) bool {
-	return slices.ContainsFunc(a.listed.list(noAddress).Hosts, func(h protocol.Host) bool { return h.Node == node })
+	return slices.ContainsFunc(a.lastRead.nodeList(noAddress).Hosts, func(h protocol.Host) bool { return h.Node == node })
 }
 
-// learned saves the learned state and describes the saved snapshot.
-func (a *Appliance) learned() (string, error) {
+// saveAndDescribe saves the learned state and describes the saved snapshot.
+func (a *Appliance) saveAndDescribe() (string, error) {
 	if a.saver == nil {
-		return "", errNotKept
+		return "", errNoFolder
 	}
-	ctx, end := context.WithTimeout(context.Background(), saveTimeout)
-	defer end()
-	failed := a.saver.Save(ctx)
+	ctx, cancel := context.WithTimeout(context.Background(), saveTimeout)
+	defer cancel()
+	saveErr := a.saver.Save(ctx)
 	var out strings.Builder
-	s := a.saver.Status()
-	fmt.Fprintf(&out, "saves %d, failed %d; the last of %d bytes took %v\n", s.Saves, s.Failures, s.Bytes, s.Took.Round(time.Microsecond))
+	status := a.saver.Status()
+	fmt.Fprintf(&out, "saves %d, failed %d; the last of %d bytes took %v\n", status.Saves, status.Failures, status.Bytes, status.Took.Round(time.Microsecond))
 	snap, err := store.Read(a.operator.Learned.Folder, false)
 	if err == nil {
-		describe(&out, snap)
+		writeSnapshot(&out, snap)
 	}
-	return out.String(), errors.Join(failed, err)
+	return out.String(), errors.Join(saveErr, err)
 }
 
-// forget deletes the learned state of a node, of a project or of all, and saves.
-func (a *Appliance) forget(what []string) error {
+// forgetCommand deletes the learned state of a node, of a project or of all, and saves.
+func (a *Appliance) forget(arguments []string) error {
 	if a.saver == nil {
-		return errNotKept
+		return errNoFolder
 	}
-	if err := checkForget(what); err != nil {
+	if err := checkForget(arguments); err != nil {
 		return err
 	}
-	ctx, end := context.WithTimeout(context.Background(), saveTimeout)
-	defer end()
+	ctx, cancel := context.WithTimeout(context.Background(), saveTimeout)
+	defer cancel()
 	nodes, projects := []string{}, []string{}
-	for _, n := range a.listing() {
+	for _, n := range a.snapshotNodes() {
 		nodes = append(nodes, n.Node)
 	}
 	for _, p := range a.operator.Projects {
 		projects = append(projects, p.Name)
 	}
-	known := false
+	found := false
 	for _, n := range nodes {
-		if what[0] == forgetAll || what[0] == "node" && what[1] == n {
-			known = true
+		if arguments[0] == forgetAll || arguments[0] == "node" && arguments[1] == n {
+			found = true
 			if err := a.core.Forget(ctx, n, ""); err != nil {
 				return err
 			}
 		}
 	}
 	for _, p := range projects {
-		if what[0] == forgetAll || what[0] == "project" && what[1] == p {
-			known = true
+		if arguments[0] == forgetAll || arguments[0] == "project" && arguments[1] == p {
+			found = true
 			if err := a.core.Forget(ctx, "", p); err != nil {
 				return err
 			}
 		}
 	}
-	if !known {
-		return fmt.Errorf("no %s %q", what[0], what[1])
+	if !found {
+		return fmt.Errorf("no %s %q", arguments[0], arguments[1])
 	}
 	return a.saver.Save(ctx)
 }
 
-// errNotKept is the error of commands on learned state without learned.folder.
-var errNotKept = errors.New("learned state is not saved: learned.folder is not set")
+// errNoFolder is the error of commands on learned state without learned.folder.
+var errNoFolder = errors.New("learned state is not saved: learned.folder is not set")
 
-func checkForget(what []string) error {
-	if len(what) == 1 && what[0] == forgetAll || len(what) == 2 && (what[0] == "node" || what[0] == "project") {
+func checkForget(arguments []string) error {
+	if len(arguments) == 1 && arguments[0] == forgetAll || len(arguments) == 2 && (arguments[0] == "node" || arguments[0] == "project") {
 		return nil
 	}
 	return errors.New("forget takes 'node NAME', 'project NAME' or 'all'")
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -28,10 +28,10 @@
 	out := list
 	out.Hosts = slices.Clone(list.Hosts)
 	if list.Whole {
-		former := r.hosts
+		previous := r.hosts
 		r.hosts = map[string]protocol.Host{}
 		for _, name := range list.Odd {
-			if h, listed := former[name]; listed {
+			if h, listed := previous[name]; listed {
 				out.Hosts = append(out.Hosts, h)
 			}
 		}
--- a/internal/wire/remote.go
+++ b/internal/wire/remote.go
@@ -39,7 +39,7 @@
 		return nil, fmt.Errorf("facts: %w", err)
 	}
 	i := &Instance{remote: r, name: name}
-	_, err = r.batch(0, fmt.Sprintf("LAUNCH\ti=%s\tseed=%d\tfacts=%s\n", name, seed, facts))
+	_, err = r.exchange(0, fmt.Sprintf("LAUNCH\ti=%s\tseed=%d\tfacts=%s\n", name, seed, facts))
 	return i, err
 }
 
@@ -53,9 +53,9 @@
 	}
 	var text strings.Builder
 	for _, e := range events {
-		i.write(&text, e)
+		i.writeEvent(&text, e)
 	}
-	lines, err := i.remote.batch(now, text.String())
+	lines, err := i.remote.exchange(now, text.String())
 	var out []scheduler.Action
 	for _, l := range lines {
 		if a := l.action(); a != nil {
@@ -71,8 +71,8 @@
 	return out
 }
 
-// batch sends one batch and returns the lines of its answer.
-func (r *Remote) batch(now scheduler.Micros, text string) (lines []*line, err error) {
+// exchange sends one batch and returns the lines of its answer.
+func (r *Remote) exchange(now scheduler.Micros, text string) (lines []*line, err error) {
 	r.seq++
 	fmt.Fprintf(r.out, "BEGIN_BATCH\ttimeUs=%d\tseq=%d\n%sEOB\n", now, r.seq, text)
 	if err := r.out.Flush(); err != nil {
@@ -94,18 +94,18 @@
 	}
 }
 
-// words inverts a map, for writing the words that a message is parsed with.
-func words[K, V comparable](of map[K]V) map[V]K {
+// invert inverts a map, for writing the words that a message is parsed with.
+func invert[K, V comparable](values map[K]V) map[V]K {
 	out := map[V]K{}
-	for k, v := range of {
+	for k, v := range values {
 		out[v] = k
 	}
 	return out
 }
 
-var stateWords, resultWords = words(states), words(results)
+var stateWords, resultWords = invert(states), invert(results)
 
-func (i *Instance) write(w io.Writer, e scheduler.Event) {
+func (i *Instance) writeEvent(w io.Writer, e scheduler.Event) {
 	switch e := e.(type) {
 	case scheduler.EndpointsChanged:
 		how := "delta"
@@ -137,15 +137,15 @@
 		}
 		fmt.Fprintf(w, "PROBE_RESULT\ti=%s\ttarget=%s\tstateCode=%d%s\n", i.name, e.Node, code, feedback)
 	case scheduler.CapacityRequested:
-		i.writeNote(w, e.From, scheduler.RequestCapacity{Node: e.Node, StartedAt: e.StartedAt, CapacityRequest: e.CapacityRequest})
+		i.writePeerMessage(w, e.From, scheduler.RequestCapacity{Node: e.Node, StartedAt: e.StartedAt, CapacityRequest: e.CapacityRequest})
 	case scheduler.CapacityGranted:
-		i.writeNote(w, e.From, scheduler.GrantCapacity{Node: e.Node, Units: e.Units, ValidUntil: e.ValidUntil})
+		i.writePeerMessage(w, e.From, scheduler.GrantCapacity{Node: e.Node, Units: e.Units, ValidUntil: e.ValidUntil})
 	case scheduler.TimerFired:
 		fmt.Fprintf(w, "REMINDER\ti=%s\tctx=0\n", i.name)
 	}
 }
 
-func (i *Instance) writeNote(w io.Writer, from int, a scheduler.Action) {
+func (i *Instance) writePeerMessage(w io.Writer, from int, a scheduler.Action) {
 	fmt.Fprintf(w, "NOTE_FROM\ti=%s\toriginPeer=%d\toctets=%s\n", i.name, from, base64.StdEncoding.EncodeToString(protocol.FormatNote(a)))
 }
 
@@ -164,7 +164,7 @@
 	case "TEST":
 		return scheduler.CheckHealth{Node: l.text("target")}
 	case "SHARE":
-		switch e := l.note("recipient").(type) {
+		switch e := l.peerMessage("recipient").(type) {
 		case scheduler.CapacityRequested:
 			return scheduler.RequestCapacity{To: e.From, Node: e.Node, StartedAt: e.StartedAt, CapacityRequest: e.CapacityRequest}
 		case scheduler.CapacityGranted:
--- a/internal/wire/remote_test.go
+++ b/internal/wire/remote_test.go
@@ -12,7 +12,7 @@
 )
 
 // A remote scheduler returns the same actions for the same events as a local one.
-func TestRemoteDecidesAsCalled(t *testing.T) {
+func TestRemoteSchedulerEqualsLocalScheduler(t *testing.T) {
 	set := scheduler.Settings{
 		Fronts: 2, PeerMessages: true, Tick: 2000, MeanUnits: 2, MaxUnits: 8, MaxAttempts: 3, HealthChecks: true, CancelAttempts: true,
 		RetryAfter: true, MaxRetryAfter: 500_000, InitialCapacity: 0.25, SlowStart: 15_000_000, OverloadMultiple: 2.5, OverloadSpan: 1_000_000, SlowStartUnits: 8,
@@ -24,21 +24,21 @@
 		},
 		Plans: []scheduler.Plan{{Reservation: 8, Weight: 1}, {Weight: 2, Limit: 24, Burst: 72}},
 	}
-	theirs, out := io.Pipe()
-	in, ours := io.Pipe()
-	go func() { Serve(theirs, ours, io.Discard) }()
-	defer out.Close()
-	called, err := scheduler.New(set, 7)
+	serverIn, clientOut := io.Pipe()
+	clientIn, serverOut := io.Pipe()
+	go func() { Serve(serverIn, serverOut, io.Discard) }()
+	defer clientOut.Close()
+	local, err := scheduler.New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err := NewRemote(in, out).Launch("0", set, 7)
+	remote, err := NewRemote(clientIn, clientOut).Launch("0", set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	now := scheduler.Micros(1_800_000_000_000_000)
-	tries, pending := map[string]int{}, []string{}
+	attempts, pending := map[string]int{}, []string{}
 	actions := 0
 	for step := range 3000 {
 		now += scheduler.Micros(2000 + rng.IntN(5000))
@@ -60,14 +60,14 @@
 		for len(pending) > 0 && rng.IntN(3) > 0 {
 			result := scheduler.Result(rng.IntN(8))
 			events = append(events, scheduler.AttemptEnded{
-				ID: pending[0], Attempt: tries[pending[0]] - 1, Result: result,
+				ID: pending[0], Attempt: attempts[pending[0]] - 1, Result: result,
 				Latency: scheduler.Micros(rng.IntN(500_000)), Final: result == scheduler.OK,
 			})
 			pending = pending[1:]
 		}
 		events = append(events, scheduler.TimerFired{}, scheduler.HealthChecked{Node: "n0", OK: step%3 > 0, Queue: float64(step % 5)}, scheduler.ClientLeft{ID: strconv.Itoa(step - 900)},
 			scheduler.CapacityRequested{From: 1, Node: "n" + strconv.Itoa(step%4), CapacityRequest: slowstart.CapacityRequest{Units: 2, MinUnits: 1, Report: slowstart.LoadReport{Units: 8, Time: 0.125}}})
-		a, b := called.Step(now, events), far.Step(now, events)
+		a, b := local.Step(now, events), remote.Step(now, events)
 		for i, x := range a { // the protocol does not transmit reasons
 			switch x := x.(type) {
 			case scheduler.Reject:
@@ -77,12 +77,12 @@
 				x.Reason = ""
 				a[i] = x
 			case scheduler.StartAttempt:
-				tries[x.ID]++
+				attempts[x.ID]++
 				pending = append(pending, x.ID)
 			}
 		}
-		if far.Err() != nil || len(a)+len(b) > 0 && !reflect.DeepEqual(a, b) {
-			t.Fatalf("step %d: local actions %v, remote actions %v, error %v", step, a, b, far.Err())
+		if remote.Err() != nil || len(a)+len(b) > 0 && !reflect.DeepEqual(a, b) {
+			t.Fatalf("step %d: local actions %v, remote actions %v, error %v", step, a, b, remote.Err())
 		}
 		actions += len(a)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -24,8 +24,8 @@
 	"14": scheduler.Unreachable, "10": scheduler.Reset, "1": scheduler.Cancelled, "9": scheduler.NotStarted,
 }
 
-// parseFacts parses the settings object of a LAUNCH message.
-func parseFacts(text string) (scheduler.Settings, error) {
+// parseSettings parses the settings object of a LAUNCH message.
+func parseSettings(text string) (scheduler.Settings, error) {
 	set, err := protocol.ParseSettings([]byte(text))
 	if err != nil {
 		return scheduler.Settings{}, fmt.Errorf("facts: %w", err)
@@ -59,9 +59,9 @@
 	return l
 }
 
-func (l *line) fail(why string) {
+func (l *line) fail(reason string) {
 	if l.err == nil {
-		l.err = fmt.Errorf("%s: %s", l.name, why)
+		l.err = fmt.Errorf("%s: %s", l.name, reason)
 	}
 }
 
@@ -108,7 +108,7 @@
 	}
 }
 
-func (l *line) outcome() scheduler.AttemptEnded {
+func (l *line) attemptEnded() scheduler.AttemptEnded {
 	result, ok := results[l.text("stateCode")]
 	if !ok {
 		l.fail("unknown stateCode " + l.fields["stateCode"])
@@ -120,8 +120,8 @@
 	}
 }
 
-// note parses a message between instances. The field named other holds the number of the other instance.
-func (l *line) note(other string) scheduler.Event {
+// peerMessage parses a message between instances. The field named other holds the number of the other instance.
+func (l *line) peerMessage(other string) scheduler.Event {
 	text, err := base64.StdEncoding.DecodeString(l.text("octets"))
 	if err != nil {
 		l.fail(err.Error())
@@ -134,7 +134,7 @@
 	return e
 }
 
-func (l *line) listing() scheduler.Endpoint {
+func (l *line) endpoint() scheduler.Endpoint {
 	state, ok := states[l.text("availability")]
 	if !ok {
 		l.fail("unknown availability " + l.fields["availability"])
@@ -145,7 +145,7 @@
 	}
 }
 
-func (l *line) probed() scheduler.HealthChecked {
+func (l *line) healthChecked() scheduler.HealthChecked {
 	p := scheduler.HealthChecked{Node: l.text("target"), OK: l.text("stateCode") == "0", Queue: -1}
 	for pair := range strings.SplitSeq(l.fields["feedback"], ",") {
 		k, v, ok := strings.Cut(pair, ":")
@@ -156,19 +156,19 @@
 	return p
 }
 
-// Link runs the schedulers of many instances for one stream of batches.
-type Link struct {
-	banks     map[string][]scheduler.Endpoint
-	instances map[string]*scheduler.Scheduler
-	pending   map[string][]scheduler.Event
-	order     []string // instances with pending events, ordered by their first event
-	log       io.Writer
+// host runs the schedulers of many instances for one stream of batches.
+type host struct {
+	endpointLists map[string][]scheduler.Endpoint
+	instances     map[string]*scheduler.Scheduler
+	pending       map[string][]scheduler.Event
+	active        []string // instances with pending events, ordered by their first event
+	log           io.Writer
 }
 
 // Serve answers the batches of in on out until the input ends. Invalid messages are reported on log and skipped.
 func Serve(in io.Reader, out, log io.Writer) error {
-	link := &Link{
-		banks: map[string][]scheduler.Endpoint{}, instances: map[string]*scheduler.Scheduler{},
+	hosted := &host{
+		endpointLists: map[string][]scheduler.Endpoint{}, instances: map[string]*scheduler.Scheduler{},
 		pending: map[string][]scheduler.Event{}, log: log,
 	}
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
@@ -176,11 +176,11 @@
 		text, err := r.ReadString('\n')
 		if text = strings.TrimRight(text, "\r\n"); text != "" {
 			if l := parseLine(text); l.name == "BEGIN_BATCH" {
-				if err := link.batch(l, r, w); err != nil {
+				if err := hosted.handleBatch(l, r, w); err != nil {
 					return err
 				}
 			} else {
-				link.complain(fmt.Errorf("%s outside a batch", l.name))
+				hosted.logError(fmt.Errorf("%s outside a batch", l.name))
 			}
 		}
 		if err == io.EOF {
@@ -192,14 +192,14 @@
 	}
 }
 
-func (k *Link) complain(err error) { fmt.Fprintln(k.log, "benchlink:", err) }
+func (k *host) logError(err error) { fmt.Fprintln(k.log, "benchlink:", err) }
 
-func (k *Link) batch(head *line, r *bufio.Reader, w *bufio.Writer) error {
-	now, seq := scheduler.Micros(head.integer("timeUs")), head.text("seq")
-	if head.err != nil {
-		k.complain(head.err)
+func (k *host) handleBatch(begin *line, r *bufio.Reader, w *bufio.Writer) error {
+	now, seq := scheduler.Micros(begin.integer("timeUs")), begin.text("seq")
+	if begin.err != nil {
+		k.logError(begin.err)
 	}
-	bank, rows := "", int64(0)
+	listName, rows := "", int64(0)
 	for {
 		text, err := r.ReadString('\n')
 		if err != nil {
@@ -211,34 +211,34 @@
 		l := parseLine(text)
 		switch l.name {
 		case "EOB":
-			k.flush(w, now)
+			k.stepInstances(w, now)
 			fmt.Fprintf(w, "DONE\tseq=%s\n", seq)
 			return w.Flush()
 		case "REGISTER":
-			bank, rows = l.text("bank"), l.integer("rows")
-			k.banks[bank] = make([]scheduler.Endpoint, 0, max(0, min(rows, 1<<16)))
+			listName, rows = l.text("bank"), l.integer("rows")
+			k.endpointLists[listName] = make([]scheduler.Endpoint, 0, max(0, min(rows, 1<<16)))
 		case "ENTRY":
-			if e := l.listing(); l.err == nil {
-				k.banks[bank] = append(k.banks[bank], e)
+			if e := l.endpoint(); l.err == nil {
+				k.endpointLists[listName] = append(k.endpointLists[listName], e)
 			}
 		default:
-			k.instanceLine(w, now, l)
+			k.handleInstanceLine(w, now, l)
 		}
 		if l.err != nil {
-			k.complain(l.err)
+			k.logError(l.err)
 		}
 	}
 }
 
-// instanceLine handles a message to one instance. An invalid message is skipped; its error is left in l.
-func (k *Link) instanceLine(w io.Writer, now scheduler.Micros, l *line) {
+// handleInstanceLine handles a message to one instance. An invalid message is skipped; its error is left in l.
+func (k *host) handleInstanceLine(w io.Writer, now scheduler.Micros, l *line) {
 	inst := l.text("i")
 	if l.err != nil {
 		return
 	}
 	switch l.name {
 	case "LAUNCH":
-		set, err := parseFacts(l.text("facts"))
+		set, err := parseSettings(l.text("facts"))
 		var s *scheduler.Scheduler
 		if err == nil {
 			s, err = scheduler.New(set, l.integer("seed"))
@@ -266,20 +266,20 @@
 		return
 	}
 	if len(k.pending[inst]) == 0 {
-		k.order = append(k.order, inst)
+		k.active = append(k.active, inst)
 	}
 	k.pending[inst] = append(k.pending[inst], event)
 }
 
 // event translates a message to an event; ok is false if the message holds none for the scheduler.
-func (k *Link) event(l *line) (e scheduler.Event, ok bool) {
+func (k *host) event(l *line) (e scheduler.Event, ok bool) {
 	switch l.name {
 	case "PEERS_KNOWN":
 		how := l.text("how")
 		if how == "failed" {
 			return nil, false
 		}
-		list, known := k.banks[l.text("bank")]
+		list, known := k.endpointLists[l.text("bank")]
 		if !known {
 			l.fail("bank " + l.fields["bank"] + " was never registered")
 		}
@@ -287,15 +287,15 @@
 	case "JOB_IN":
 		return l.request(), true
 	case "RESULT":
-		return l.outcome(), true
+		return l.attemptEnded(), true
 	case "LAPSED":
 		return scheduler.ClientLeft{ID: l.text("requestId")}, true
 	case "PROBE_RESULT":
-		return l.probed(), true
+		return l.healthChecked(), true
 	case "REMINDER":
 		return scheduler.TimerFired{}, true
 	case "NOTE_FROM":
-		return l.note("originPeer"), true
+		return l.peerMessage("originPeer"), true
 	case "BEGUN":
 		return nil, false
 	}
@@ -303,9 +303,9 @@
 	return nil, false
 }
 
-// flush runs a step of each instance that has pending events and writes the resulting actions.
-func (k *Link) flush(w io.Writer, now scheduler.Micros) {
-	for _, inst := range k.order {
+// stepInstances runs a step of each instance that has pending events and writes the resulting actions.
+func (k *host) stepInstances(w io.Writer, now scheduler.Micros) {
+	for _, inst := range k.active {
 		events, s := k.pending[inst], k.instances[inst]
 		k.pending[inst] = nil
 		if s == nil || len(events) == 0 {
@@ -315,7 +315,7 @@
 			writeAction(w, inst, a)
 		}
 	}
-	k.order = k.order[:0]
+	k.active = k.active[:0]
 }
 
 func writeAction(w io.Writer, inst string, a scheduler.Action) {
@@ -331,14 +331,14 @@
 	case scheduler.CheckHealth:
 		fmt.Fprintf(w, "TEST\ti=%s\ttarget=%s\n", inst, a.Node)
 	case scheduler.RequestCapacity:
-		writeNote(w, inst, a.To, a)
+		writePeerMessage(w, inst, a.To, a)
 	case scheduler.GrantCapacity:
-		writeNote(w, inst, a.To, a)
+		writePeerMessage(w, inst, a.To, a)
 	case scheduler.SetTimer:
 		fmt.Fprintf(w, "TIMER\ti=%s\tatUs=%d\tctx=0\n", inst, a.At)
 	}
 }
 
-func writeNote(w io.Writer, inst string, to int, a scheduler.Action) {
+func writePeerMessage(w io.Writer, inst string, to int, a scheduler.Action) {
 	fmt.Fprintf(w, "SHARE\ti=%s\trecipient=%d\toctets=%s\n", inst, to, base64.StdEncoding.EncodeToString(protocol.FormatNote(a)))
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestInstancesAreApart(t *testing.T) {
+func TestInstancesAreIndependent(t *testing.T) {
 	other := strings.ReplaceAll(start+job, "initiator/0", "initiator/1")
 	out, _ := serve(t, batch("1", start+other))
 	if strings.Contains(out, "initiator/0") || !strings.Contains(out, "TRY\ti=initiator/1") {
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestAnswersPassThrough(t *testing.T) {
+func TestFailedAttemptIsRetried(t *testing.T) {
 	in := batch("1", start+job) +
 		batch("2", "RESULT\ti=initiator/0\trequestId=rq_x\tseqNo=0\ttarget=t-a\tstateCode=13\tlatencyUs=5\tfinal=0\n")
 	if out, log := serve(t, in); strings.Count(out, "TRY\t") != 2 || log != "" {
@@ -106,23 +106,23 @@
 	}
 }
 
-func TestSettings(t *testing.T) {
-	set, err := parseFacts(`{"balancers":3,"classes":[{"semantics":"dedup","group":"cell","windowUs":4000000,"byArrival":true}],
+func TestParseSettings(t *testing.T) {
+	set, err := parseSettings(`{"balancers":3,"classes":[{"semantics":"dedup","group":"cell","windowUs":4000000,"byArrival":true}],
 		"contracts":[{"ceilingRate":17,"limitBurst":48}],"safety":{"keyRestUs":200,"budgetSpanUs":5}}`)
 	c := set.Classes[0]
 	if err != nil || set.Fronts != 3 || c.Idempotency != scheduler.IdempotentByKey || c.DedupScope != scheduler.SameShard || !c.InOrder ||
 		set.Plans[0].Limit != 17 || set.KeyPause != 200 || set.RetryBudgetSpan != 5 {
 		t.Errorf("%+v, %v", set, err)
 	}
-	if _, err := parseFacts(`{"classes":[{"semantics":"odd"}]}`); err == nil {
+	if _, err := parseSettings(`{"classes":[{"semantics":"odd"}]}`); err == nil {
 		t.Error("no error for unknown semantics")
 	}
 }
 
-func TestProbeTellsTheQueueOrThatItDoesNot(t *testing.T) {
+func TestProbeResultQueue(t *testing.T) {
 	for text, want := range map[string]float64{"utilization:0.5,backlog:3": 3, "utilization:0.5": -1, "": -1} {
 		l := parseLine("PROBE_RESULT\ttarget=a\tstateCode=0\tlatencyUs=5\tfeedback=" + text)
-		if p := l.probed(); !p.OK || p.Queue != want || l.err != nil {
+		if p := l.healthChecked(); !p.OK || p.Queue != want || l.err != nil {
 			t.Errorf("%q: %+v, %v", text, p, l.err)
 		}
 	}
