--- a/internal/logs/quota_test.go
+++ b/internal/logs/quota_test.go
@@ -75,7 +75,8 @@
 	h := log.Handler().(*quotaHandler)
 	h.shared.quota.spans["WARN node answers errors"].start = time.Time{} // as if its span had ended
 	log.With("node", "n2").Warn("node answers errors")
-	if err := json.Unmarshal(bytes.TrimSpace(out.Bytes()[bytes.LastIndexByte(bytes.TrimSpace(out.Bytes()), '\n')+1:]), &line); err != nil || line["held"] != float64(5) {
+	if err := json.Unmarshal(bytes.TrimSpace(out.Bytes()[bytes.LastIndexByte(bytes.TrimSpace(out.Bytes()), '\n')+1:]), &line); err != nil ||
+		line["held"] != float64(5) {
 		t.Errorf("line after the span: %v (%v), want held 5", line, err)
 	}
 }
--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -42,7 +42,7 @@
 // Dropped returns the number of lines dropped since the process started.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Flush waits until all lines queued so far are written, or until most has passed.
+// Flush waits until all lines queued so far are written, or until maxWait has passed.
 func (w *Writer) Flush(maxWait time.Duration) {
 	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
@@ -80,7 +80,8 @@
 	}
 }
 
-// write writes a line. If more lines than told were dropped, it reports them first. It returns the total reported so far.
+// write writes a line. If more lines than reported were dropped, it reports the rest first. It returns the
+// total reported so far.
 func (w *Writer) write(line []byte, reported int64) int64 {
 	w.mu.Lock()
 	report := w.reportDropped
--- a/internal/program/appliance.go
+++ b/internal/program/appliance.go
@@ -112,7 +112,8 @@
 	siteLimits := operator.limits()
 	lines := logs.NewWriter(os.Stderr)
 	a := &Appliance{
-		operator: operator, lines: lines, log: logs.New(lines, operator.Log.level()), lastRead: operator, limits: siteLimits, client: sftp.NewClient(siteLimits), nodes: transport.NewNodes(siteLimits),
+		operator: operator, lines: lines, log: logs.New(lines, operator.Log.level()), lastRead: operator, limits: siteLimits,
+		client: sftp.NewClient(siteLimits), nodes: transport.NewNodes(siteLimits),
 		failed: make(chan error, 4), drained: map[string]bool{},
 	}
 	probe := a.client.Probe(siteLimits)
@@ -161,7 +162,9 @@
 	}
 	front := transport.NewFront(operator.Settings(), a.limits, transport.NewRoundTripper(a.core, a.nodes))
 	if door := operator.Door; door.Room > 0 {
-		front.Admission = gate.New(admission.Config{Room: door.Room, Waiting: door.Waiting, MaxRetryAfter: operator.Limits.RetryAfter.Microseconds()}, door.Patience)
+		front.Admission = gate.New(admission.Config{
+			Room: door.Room, Waiting: door.Waiting, MaxRetryAfter: operator.Limits.RetryAfter.Microseconds(),
+		}, door.Patience)
 	}
 	return a.serve("http.listen", operator.HTTP.Listen, a.withTLS(operator.HTTP.TLS, front.Serve), func(net.Listener) { front.Stop(nil) })
 }
@@ -193,7 +196,7 @@
 // discardLog discards the log of HTTP servers, which report errors of their clients only.
 var discardLog = log.New(io.Discard, "", 0)
 
-// watchDiscovery reads the operator's file again at each SIGHUP and applies its node list and its certificate files. All other
+// watchReloads reads the operator's file again at each SIGHUP and applies its node list and its certificate files. All other
 // settings take effect at the next start.
 func (a *Appliance) watchReloads(ctx context.Context, reloadSignals <-chan os.Signal, path string) {
 	for {
--- a/internal/program/certificates.go
+++ b/internal/program/certificates.go
@@ -42,7 +42,9 @@
 			return fmt.Errorf("acme.authorities[%d]%w", i, err)
 		}
 		settings.Authorities = append(settings.Authorities, converted)
-		settings.Policy.Authorities = append(settings.Policy.Authorities, plan.Authority{Name: authority.Name, Tries: authority.Tries, Window: authority.Window})
+		settings.Policy.Authorities = append(settings.Policy.Authorities, plan.Authority{
+			Name: authority.Name, Tries: authority.Tries, Window: authority.Window,
+		})
 	}
 	var v *vault.Vault
 	if len(settings.Certificates) > 0 {
@@ -122,7 +124,8 @@
 		if status.Until.IsZero() {
 			out.WriteString(", none yet")
 		} else {
-			fmt.Fprintf(&out, ", serial %s until %s (%v left)", status.Serial, status.Until.UTC().Format(time.RFC3339), time.Until(status.Until).Round(time.Second))
+			fmt.Fprintf(&out, ", serial %s until %s (%v left)",
+				status.Serial, status.Until.UTC().Format(time.RFC3339), time.Until(status.Until).Round(time.Second))
 		}
 		if status.Authority != "" {
 			fmt.Fprintf(&out, "; next try %s by %s, %s", status.Next.At.UTC().Format(time.RFC3339), status.Authority, status.Next.Why)
--- a/internal/program/console.go
+++ b/internal/program/console.go
@@ -167,14 +167,14 @@
 // Console sends commands to a running appliance: words as one command, or without words each line of in up to quit. It
 // returns ErrCommand if a command failed.
 func Console(path string, words []string, in io.Reader, out io.Writer) error {
-	o, err := LoadOperator(path)
+	operator, err := LoadOperator(path)
 	if err != nil {
 		return err
 	}
-	if o.Console.Socket == "" {
+	if operator.Console.Socket == "" {
 		return configurationError{fmt.Errorf("%s: console.socket: missing", path)}
 	}
-	conn, err := net.Dial("unix", o.Console.Socket)
+	conn, err := net.Dial("unix", operator.Console.Socket)
 	if err != nil {
 		return fmt.Errorf("%w: %w; start one with 'otterturn serve'", ErrNotRunning, err)
 	}
--- a/internal/program/control.go
+++ b/internal/program/control.go
@@ -49,20 +49,23 @@
 	if err != nil {
 		return protocol.Figures{}, err
 	}
-	healthMetrics, err := p.healthMetrics(ctx)
+	sharedMetrics, err := p.healthMetrics(ctx)
 	if err != nil {
 		return protocol.Figures{}, err
 	}
 	tally := p.core.Tally()
 	out := protocol.Figures{
 		InFlight: tally.Open, Attempts: p.nodes.Attempts(), Excluded: avoided,
-		ReloadsOK: p.reloads.Load(), ReloadsFailed: p.reloadsRejected.Load(), Health: healthMetrics,
+		ReloadsOK: p.reloads.Load(), ReloadsFailed: p.reloadsRejected.Load(), Health: sharedMetrics,
 		Rules: protocol.RuleFigures{
-			EndedByShutdown: tally.EndedByShutdown, EndedOverdue: tally.EndedOverdue, AcceptErrors: p.front.AcceptErrors(), LogLinesDropped: p.lines.Dropped(),
+			EndedByShutdown: tally.EndedByShutdown, EndedOverdue: tally.EndedOverdue,
+			AcceptErrors: p.front.AcceptErrors(), LogLinesDropped: p.lines.Dropped(),
 		},
 	}
 	for _, c := range p.guard.Counts() {
-		out.Rules.Operations = append(out.Rules.Operations, protocol.RuleCount{Operation: c.Operation.String(), Denied: c.Denied, Violations: c.Violations})
+		out.Rules.Operations = append(out.Rules.Operations, protocol.RuleCount{
+			Operation: c.Operation.String(), Denied: c.Denied, Violations: c.Violations,
+		})
 	}
 	for i, name := range p.front.ClassNames() {
 		ended := tally.Class(i)
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -76,7 +76,8 @@
 	return fleet, nil
 }
 
-// healthConfig returns the monitor's configuration. began, the start of the process in Unix microseconds, is its incarnation.
+// healthConfig returns the monitor's configuration. startedAt, the start of the process in Unix microseconds, becomes the
+// incarnation.
 func (f *Fleet) healthConfig(front frontConfig, startedAt int64) (health.Config, error) {
 	switch {
 	case !front.peers:
@@ -103,7 +104,7 @@
 	return c, nil
 }
 
-// checkSnapshots validates each setting without regard to the zones.
+// validate checks each setting without regard to the zones.
 func (h *FleetHealth) validate() error {
 	switch {
 	case h.Probers < 1:
@@ -171,7 +172,7 @@
 	return out, nil
 }
 
-// parseFrontRange reads a front's number or a range of numbers below fronts.
+// parseFrontRange parses a front's number or a range of numbers below fronts.
 func parseFrontRange(text string, fronts int) (first, last int, err error) {
 	from, to, isRange := strings.Cut(text, "-")
 	if !isRange {
@@ -183,7 +184,7 @@
 	}
 	switch {
 	case err != nil:
-		return 0, 0, fmt.Errorf("%q is no number and no range such as \"0-119\"", text)
+		return 0, 0, fmt.Errorf("%q is not a number or a range such as \"0-119\"", text)
 	case first > last:
 		return 0, 0, fmt.Errorf("%q ends before it begins", text)
 	case last >= fronts:
--- a/internal/program/fleet_health.go
+++ b/internal/program/fleet_health.go
@@ -25,7 +25,7 @@
 	monitor       *monitor.Monitor // nil where health is not shared
 	healthEnabled bool
 	fleetPath     string
-	startConfig   frontConfig // at the start
+	startConfig   frontConfig // the front's configuration at the start of the process
 	startedAt     int64       // Unix time in microseconds
 }
 
@@ -38,7 +38,9 @@
 	}
 	settings := p.config.Settings.Scheduler
 	p.startedAt = time.Now().UnixMicro()
-	p.fleetPath, p.startConfig = path, frontConfig{self: settings.FrontIndex, fronts: settings.Fronts, peers: len(p.config.Peers) > 0, probing: settings.HealthChecks}
+	p.fleetPath, p.startConfig = path, frontConfig{
+		self: settings.FrontIndex, fronts: settings.Fronts, peers: len(p.config.Peers) > 0, probing: settings.HealthChecks,
+	}
 	fleet, err := loadFleet(path, p.startConfig)
 	if err != nil {
 		return nil, configurationError{err}
@@ -99,9 +101,9 @@
 	}
 }
 
-// reloadFleet reads and validates the fleet file again, together with set, the scheduler settings that are about to be
-// applied. The returned function applies it and does not fail because of the file's content. health.enabled can't change
-// while the process runs.
+// reloadFleet reads the fleet file again and validates it together with settings, which are about to be applied. The
+// returned function applies the file and does not fail because of its content. health.enabled can't change while the
+// process runs.
 func (p *platform) reloadFleet(settings scheduler.Settings) (apply func() error, err error) {
 	if p.fleetPath == "" {
 		return func() error { return nil }, nil
--- a/internal/program/fleet_test.go
+++ b/internal/program/fleet_test.go
@@ -87,8 +87,8 @@
 		{`"0-1", "4"`, `"0-1", "4", "0"`, "zones[0].fronts: front 0 is in zone"},
 		{`"0-1", "4"`, `"0-5"`, "zones[0].fronts: \"0-5\" is out of range"},
 		{`"0-1", "4"`, `"1-0", "4"`, "zones[0].fronts: \"1-0\" ends"},
-		{`"0-1", "4"`, `"-1", "4"`, "zones[0].fronts: \"-1\" is no number"},
-		{`"0-1", "4"`, `"x"`, "zones[0].fronts: \"x\" is no number"},
+		{`"0-1", "4"`, `"-1", "4"`, "zones[0].fronts: \"-1\" is not a number"},
+		{`"0-1", "4"`, `"x"`, "zones[0].fronts: \"x\" is not a number"},
 		{`"0-1", "4"`, `0, 1, 4`, "fronts"},
 		{`region = "north"`, `regoin = "north"`, "zones.regoin: unknown"},
 		{"enabled = true", "enabled = 1", "enabled"},
@@ -121,7 +121,8 @@
 			t.Errorf("%+v, health disabled: %v", site, err)
 		}
 	}
-	if _, err := loadFleet(filepath.Join(t.TempDir(), "missing.toml"), validFrontConfig); err == nil || !strings.Contains(err.Error(), "RELAY_FLEET") {
+	if _, err := loadFleet(filepath.Join(t.TempDir(), "missing.toml"), validFrontConfig); err == nil ||
+		!strings.Contains(err.Error(), "RELAY_FLEET") {
 		t.Errorf("missing file: %v, want an error that names RELAY_FLEET", err)
 	}
 }
--- a/internal/program/handover_test.go
+++ b/internal/program/handover_test.go
@@ -27,6 +27,6 @@
 	close(ended)
 	c.Close()
 	for range 2 * maxQueuedIDs {
-		announce("behind")
+		announce("after")
 	}
 }
--- a/internal/program/listener.go
+++ b/internal/program/listener.go
@@ -20,8 +20,8 @@
 	startRetryLimit = 2 * time.Second
 )
 
-// retryStart calls open again every startRetryDelay, up to startRetryLimit, while it fails with a transient system error, such as
-// an address in use or a lack of descriptors. It returns the last error.
+// retryStart calls open again every startRetryDelay, up to startRetryLimit, while it fails with a transient system error,
+// such as an address in use or a lack of descriptors. It returns the last error.
 func retryStart[T any](open func() (T, error)) (T, error) {
 	for startedAt := time.Now(); ; time.Sleep(startRetryDelay) {
 		value, err := open()
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -148,9 +148,9 @@
 // configurationError marks an error as a configuration error.
 type configurationError struct{ error }
 
-func (m configurationError) Is(target error) bool { return target == ErrConfiguration }
+func (e configurationError) Is(target error) bool { return target == ErrConfiguration }
 
-func (m configurationError) Unwrap() error { return m.error }
+func (e configurationError) Unwrap() error { return e.error }
 
 func readOperator(path string) (Operator, error) {
 	var operator Operator
--- a/internal/program/operator_check.go
+++ b/internal/program/operator_check.go
@@ -11,7 +11,7 @@
 	files "otterturn/internal/net/protocol/sftp"
 )
 
-// checkSnapshots validates the settings. Its error names the first invalid field.
+// validate checks the settings. Its error names the first invalid field.
 func (o *Operator) validate() error {
 	l := o.Limits
 	problem := ""
@@ -28,7 +28,8 @@
 	must(door.Room >= 0 && door.Waiting >= 0 && door.Patience >= 0, "door: room, waiting and patience must not be below 0")
 	must(door.Room == 0 || door.Waiting > 0 && door.Patience > 0, "door: waiting and patience must be above 0 if room is above 0")
 	must(door.Room == 0 || door.Room+door.Waiting <= l.Open, "door: the sum of room and waiting must be at most limits.open")
-	must(o.Log.Level == "" || new(slog.Level).UnmarshalText([]byte(o.Log.Level)) == nil, "log.level: %q is not one of debug, info, warn, error", o.Log.Level)
+	must(o.Log.Level == "" || new(slog.Level).UnmarshalText([]byte(o.Log.Level)) == nil,
+		"log.level: %q is not one of debug, info, warn, error", o.Log.Level)
 	must(o.SFTP.Listen != "" || o.HTTP.Listen != "", "sftp.listen, http.listen: at least one must be set")
 	must(o.SFTP.Listen == "" || isAddress(o.SFTP.Listen), "sftp.listen: %q is not an IP address with a port", o.SFTP.Listen)
 	must(o.SFTP.Listen == "" || o.SFTP.UnitBytes > 0 && o.SFTP.BulkBytes > 0,
@@ -90,7 +91,8 @@
 func (o *Operator) validateCertificates(must func(ok bool, format string, args ...any)) {
 	acme := &o.ACME
 	if !o.usesTLS() {
-		must(len(acme.Certificates)+len(acme.Authorities)+len(o.Certificates) == 0, "acme, certificates: set, but neither http.tls nor sftp.tls is")
+		must(len(acme.Certificates)+len(acme.Authorities)+len(o.Certificates) == 0,
+			"acme, certificates: set, but neither http.tls nor sftp.tls is set")
 		return
 	}
 	must(!o.HTTP.TLS || o.HTTP.Listen != "", "http.tls: http.listen is missing")
@@ -111,15 +113,20 @@
 	must(len(acme.Authorities) > 0, "acme.authorities: missing")
 	used := map[string]bool{}
 	for i, authority := range acme.Authorities {
-		must(namePattern.MatchString(authority.Name) && !used["a "+authority.Name], "acme.authorities[%d].name: %q is used before, or not of a-z, 0-9, dots and dashes", i, authority.Name)
+		must(namePattern.MatchString(authority.Name) && !used["a "+authority.Name],
+			"acme.authorities[%d].name: %q is used before, or not of a-z, 0-9, dots and dashes", i, authority.Name)
 		directory, err := url.Parse(authority.Directory)
-		must(err == nil && directory.Scheme == "https" && directory.Host != "", "acme.authorities[%d].directory: %q is not an https URL", i, authority.Directory)
-		must((authority.BindingID == "") == (authority.BindingKey == ""), "acme.authorities[%d]: binding_id and binding_key must be set together", i)
-		must(authority.Tries >= 0 && (authority.Tries == 0) == (authority.Window == 0), "acme.authorities[%d]: tries and window must be set together", i)
+		must(err == nil && directory.Scheme == "https" && directory.Host != "",
+			"acme.authorities[%d].directory: %q is not an https URL", i, authority.Directory)
+		must((authority.BindingID == "") == (authority.BindingKey == ""),
+			"acme.authorities[%d]: binding_id and binding_key must be set together", i)
+		must(authority.Tries >= 0 && (authority.Tries == 0) == (authority.Window == 0),
+			"acme.authorities[%d]: tries and window must be set together", i)
 		used["a "+authority.Name] = true
 	}
 	for i, c := range acme.Certificates {
-		must(namePattern.MatchString(c.Name) && !used["c "+c.Name], "acme.certificates[%d].name: %q is used before, or not of a-z, 0-9, dots and dashes", i, c.Name)
+		must(namePattern.MatchString(c.Name) && !used["c "+c.Name],
+			"acme.certificates[%d].name: %q is used before, or not of a-z, 0-9, dots and dashes", i, c.Name)
 		must(len(c.Names) > 0, "acme.certificates[%d].names: missing", i)
 		for _, n := range c.Names {
 			must(namePattern.MatchString(n), "acme.certificates[%d].names: %q has characters other than a-z, 0-9, dot and dash", i, n)
--- a/internal/program/operator_settings.go
+++ b/internal/program/operator_settings.go
@@ -54,7 +54,8 @@
 		out.LongestWait = max(out.LongestWait, c.Wait)
 		out.Scheduler.Classes = append(out.Scheduler.Classes, scheduler.Class{
 			LatencyObjective: scheduler.Micros(c.Within / time.Microsecond),
-			Idempotency:      idempotency, DedupScope: scheduler.SameShard, DedupWindow: scheduler.Micros(c.Window / time.Microsecond), Priority: c.Worth,
+			Idempotency:      idempotency, DedupScope: scheduler.SameShard,
+			DedupWindow: scheduler.Micros(c.Window / time.Microsecond), Priority: c.Worth,
 		})
 	}
 	for _, n := range o.Nodes {
@@ -70,7 +71,7 @@
 	return out
 }
 
-// startConfig returns the settings of the SFTP front.
+// sftpSite returns the settings of the SFTP front.
 func (o *Operator) sftpSite() sftp.Site {
 	out := sftp.Site{
 		Retry: o.Limits.RetryAfter,
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -28,8 +28,8 @@
 	return config, text, nil
 }
 
-// watchDiscovery watches discovery until ctx ends and reloads the configuration at each SIGHUP. An invalid file changes nothing.
-// The classes, plans and attempt settings of a valid file apply at once. The watch then starts again with the file's
+// watchDiscovery watches discovery until ctx ends and reloads the configuration at each SIGHUP. An invalid file changes
+// nothing. The classes, plans and attempt settings of a valid file apply at once. The watch then starts again with the file's
 // discovery, after the old watch has ended, and requests the full list because sequence numbers may not carry over.
 // Addresses and limits on sizes and counts take effect at the next start.
 func (p *platform) watchDiscovery(ctx context.Context, reloadSignals <-chan os.Signal) {
@@ -42,7 +42,8 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			transport.Watch(watchCtx, p.config.Discovery, seq, p.config.Settings.Zones, limitsOf(p.config), p.config.Seed, p.core.Now, p.updateNodes, p.log)
+			transport.Watch(watchCtx, p.config.Discovery, seq, p.config.Settings.Zones, limitsOf(p.config),
+				p.config.Seed, p.core.Now, p.updateNodes, p.log)
 		}()
 		config, ok := awaitReload(ctx, reloadSignals, p.reload, p.path, p.log)
 		cancel()
@@ -121,7 +122,9 @@
 }
 
 // awaitReload waits for a SIGHUP after which read returns a valid configuration. It returns false when ctx ends.
-func awaitReload[T any](ctx context.Context, reloadSignals <-chan os.Signal, read func(path string) (T, error), path string, log *slog.Logger) (T, bool) {
+func awaitReload[T any](
+	ctx context.Context, reloadSignals <-chan os.Signal, read func(path string) (T, error), path string, log *slog.Logger,
+) (T, bool) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -17,7 +17,7 @@
 
 // Times of saving learned state.
 const (
-	minSaveInterval = 200 * time.Millisecond // minimum time between two saves, even when leases run out
+	minSaveInterval = 200 * time.Millisecond // minimum time between two saves, even when leases run low
 	saveTimeout     = 10 * time.Second       // timeout of the last save at a shutdown and of a save at an operator's request
 )
 
@@ -92,7 +92,8 @@
 	saveErr := a.saver.Save(ctx)
 	var out strings.Builder
 	status := a.saver.Status()
-	fmt.Fprintf(&out, "saves %d, failed %d; the last of %d bytes took %v\n", status.Saves, status.Failures, status.Bytes, status.Took.Round(time.Microsecond))
+	fmt.Fprintf(&out, "saves %d, failed %d; the last of %d bytes took %v\n",
+		status.Saves, status.Failures, status.Bytes, status.Took.Round(time.Microsecond))
 	snap, err := store.Read(a.operator.Learned.Folder, false)
 	if err == nil {
 		writeSnapshot(&out, snap)
@@ -100,7 +101,7 @@
 	return out.String(), errors.Join(saveErr, err)
 }
 
-// forgetCommand deletes the learned state of a node, of a project or of all, and saves.
+// forget deletes the learned state of a node, of a project or of all, and saves.
 func (a *Appliance) forget(arguments []string) error {
 	if a.saver == nil {
 		return errNoFolder
--- a/internal/wire/remote_test.go
+++ b/internal/wire/remote_test.go
@@ -15,11 +15,15 @@
 func TestRemoteSchedulerEqualsLocalScheduler(t *testing.T) {
 	set := scheduler.Settings{
 		Fronts: 2, PeerMessages: true, Tick: 2000, MeanUnits: 2, MaxUnits: 8, MaxAttempts: 3, HealthChecks: true, CancelAttempts: true,
-		RetryAfter: true, MaxRetryAfter: 500_000, InitialCapacity: 0.25, SlowStart: 15_000_000, OverloadMultiple: 2.5, OverloadSpan: 1_000_000, SlowStartUnits: 8,
+		RetryAfter: true, MaxRetryAfter: 500_000, InitialCapacity: 0.25, SlowStart: 15_000_000,
+		OverloadMultiple: 2.5, OverloadSpan: 1_000_000, SlowStartUnits: 8,
 		KeyPause: 100, RetryBudgetSpan: 10_000_000, RetryBudgetMin: 5, RetryBudgetShare: 0.2,
 		Classes: []scheduler.Class{
 			{LatencyObjective: 300_000, Priority: 2},
-			{LatencyObjective: 400_000, Idempotency: scheduler.IdempotentByKey, DedupScope: scheduler.SameShard, DedupWindow: 3_000_000, InOrder: true, Priority: 1},
+			{
+				LatencyObjective: 400_000, Idempotency: scheduler.IdempotentByKey, DedupScope: scheduler.SameShard, DedupWindow: 3_000_000,
+				InOrder: true, Priority: 1,
+			},
 			{LatencyObjective: 1_000_000, Idempotency: scheduler.NotIdempotent, Priority: 1},
 		},
 		Plans: []scheduler.Plan{{Reservation: 8, Weight: 1}, {Weight: 2, Limit: 24, Burst: 72}},
@@ -65,8 +69,11 @@
 			})
 			pending = pending[1:]
 		}
-		events = append(events, scheduler.TimerFired{}, scheduler.HealthChecked{Node: "n0", OK: step%3 > 0, Queue: float64(step % 5)}, scheduler.ClientLeft{ID: strconv.Itoa(step - 900)},
-			scheduler.CapacityRequested{From: 1, Node: "n" + strconv.Itoa(step%4), CapacityRequest: slowstart.CapacityRequest{Units: 2, MinUnits: 1, Report: slowstart.LoadReport{Units: 8, Time: 0.125}}})
+		events = append(events, scheduler.TimerFired{}, scheduler.HealthChecked{Node: "n0", OK: step%3 > 0, Queue: float64(step % 5)},
+			scheduler.ClientLeft{ID: strconv.Itoa(step - 900)},
+			scheduler.CapacityRequested{From: 1, Node: "n" + strconv.Itoa(step%4), CapacityRequest: slowstart.CapacityRequest{
+				Units: 2, MinUnits: 1, Report: slowstart.LoadReport{Units: 8, Time: 0.125},
+			}})
 		a, b := local.Step(now, events), remote.Step(now, events)
 		for i, x := range a { // the protocol does not transmit reasons
 			switch x := x.(type) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -192,12 +192,12 @@
 	}
 }
 
-func (k *host) logError(err error) { fmt.Fprintln(k.log, "benchlink:", err) }
+func (h *host) logError(err error) { fmt.Fprintln(h.log, "benchlink:", err) }
 
-func (k *host) handleBatch(begin *line, r *bufio.Reader, w *bufio.Writer) error {
+func (h *host) handleBatch(begin *line, r *bufio.Reader, w *bufio.Writer) error {
 	now, seq := scheduler.Micros(begin.integer("timeUs")), begin.text("seq")
 	if begin.err != nil {
-		k.logError(begin.err)
+		h.logError(begin.err)
 	}
 	listName, rows := "", int64(0)
 	for {
@@ -211,28 +211,28 @@
 		l := parseLine(text)
 		switch l.name {
 		case "EOB":
-			k.stepInstances(w, now)
+			h.stepInstances(w, now)
 			fmt.Fprintf(w, "DONE\tseq=%s\n", seq)
 			return w.Flush()
 		case "REGISTER":
 			listName, rows = l.text("bank"), l.integer("rows")
-			k.endpointLists[listName] = make([]scheduler.Endpoint, 0, max(0, min(rows, 1<<16)))
+			h.endpointLists[listName] = make([]scheduler.Endpoint, 0, max(0, min(rows, 1<<16)))
 		case "ENTRY":
 			if e := l.endpoint(); l.err == nil {
-				k.endpointLists[listName] = append(k.endpointLists[listName], e)
+				h.endpointLists[listName] = append(h.endpointLists[listName], e)
 			}
 		default:
-			k.handleInstanceLine(w, now, l)
+			h.handleInstanceLine(w, now, l)
 		}
 		if l.err != nil {
-			k.logError(l.err)
+			h.logError(l.err)
 		}
 	}
 }
 
 // handleInstanceLine handles a message to one instance. An invalid message is skipped; its error is left in l.
-func (k *host) handleInstanceLine(w io.Writer, now scheduler.Micros, l *line) {
-	inst := l.text("i")
+func (h *host) handleInstanceLine(w io.Writer, now scheduler.Micros, l *line) {
+	instance := l.text("i")
 	if l.err != nil {
 		return
 	}
@@ -244,42 +244,42 @@
 			s, err = scheduler.New(set, l.integer("seed"))
 		}
 		if err != nil {
-			fmt.Fprintf(w, "INTERNAL_ERROR\ti=%s\ttext=%s\n", inst, err)
+			fmt.Fprintf(w, "INTERNAL_ERROR\ti=%s\ttext=%s\n", instance, err)
 			return
 		}
-		k.instances[inst], k.pending[inst] = s, nil
+		h.instances[instance], h.pending[instance] = s, nil
 		return
 	case "CRASH_NOW":
-		delete(k.instances, inst)
-		k.pending[inst] = nil
+		delete(h.instances, instance)
+		h.pending[instance] = nil
 		return
 	}
-	event, ok := k.event(l)
+	event, ok := h.event(l)
 	if l.err != nil {
 		return
 	}
 	if !ok {
 		return
 	}
-	if k.instances[inst] == nil {
-		l.fail("instance " + inst + " has not started")
+	if h.instances[instance] == nil {
+		l.fail("instance " + instance + " has not started")
 		return
 	}
-	if len(k.pending[inst]) == 0 {
-		k.active = append(k.active, inst)
+	if len(h.pending[instance]) == 0 {
+		h.active = append(h.active, instance)
 	}
-	k.pending[inst] = append(k.pending[inst], event)
+	h.pending[instance] = append(h.pending[instance], event)
 }
 
 // event translates a message to an event; ok is false if the message holds none for the scheduler.
-func (k *host) event(l *line) (e scheduler.Event, ok bool) {
+func (h *host) event(l *line) (e scheduler.Event, ok bool) {
 	switch l.name {
 	case "PEERS_KNOWN":
 		how := l.text("how")
 		if how == "failed" {
 			return nil, false
 		}
-		list, known := k.endpointLists[l.text("bank")]
+		list, known := h.endpointLists[l.text("bank")]
 		if !known {
 			l.fail("bank " + l.fields["bank"] + " was never registered")
 		}
@@ -304,41 +304,41 @@
 }
 
 // stepInstances runs a step of each instance that has pending events and writes the resulting actions.
-func (k *host) stepInstances(w io.Writer, now scheduler.Micros) {
-	for _, inst := range k.active {
-		events, s := k.pending[inst], k.instances[inst]
-		k.pending[inst] = nil
+func (h *host) stepInstances(w io.Writer, now scheduler.Micros) {
+	for _, instance := range h.active {
+		events, s := h.pending[instance], h.instances[instance]
+		h.pending[instance] = nil
 		if s == nil || len(events) == 0 {
 			continue
 		}
 		for _, a := range s.Step(now, events) {
-			writeAction(w, inst, a)
+			writeAction(w, instance, a)
 		}
 	}
-	k.active = k.active[:0]
+	h.active = h.active[:0]
 }
 
-func writeAction(w io.Writer, inst string, a scheduler.Action) {
+func writeAction(w io.Writer, instance string, a scheduler.Action) {
 	switch a := a.(type) {
 	case scheduler.StartAttempt:
-		fmt.Fprintf(w, "TRY\ti=%s\trequestId=%s\ttarget=%s\n", inst, a.ID, a.Node)
+		fmt.Fprintf(w, "TRY\ti=%s\trequestId=%s\ttarget=%s\n", instance, a.ID, a.Node)
 	case scheduler.Reject:
-		fmt.Fprintf(w, "SHED\ti=%s\trequestId=%s\tcomeBackUs=%d\n", inst, a.ID, a.RetryAfter)
+		fmt.Fprintf(w, "SHED\ti=%s\trequestId=%s\tcomeBackUs=%d\n", instance, a.ID, a.RetryAfter)
 	case scheduler.Fail:
-		fmt.Fprintf(w, "END_FAILED\ti=%s\trequestId=%s\n", inst, a.ID)
+		fmt.Fprintf(w, "END_FAILED\ti=%s\trequestId=%s\n", instance, a.ID)
 	case scheduler.CancelAttempt:
-		fmt.Fprintf(w, "CANCEL\ti=%s\trequestId=%s\tseqNo=%d\n", inst, a.ID, a.Attempt)
+		fmt.Fprintf(w, "CANCEL\ti=%s\trequestId=%s\tseqNo=%d\n", instance, a.ID, a.Attempt)
 	case scheduler.CheckHealth:
-		fmt.Fprintf(w, "TEST\ti=%s\ttarget=%s\n", inst, a.Node)
+		fmt.Fprintf(w, "TEST\ti=%s\ttarget=%s\n", instance, a.Node)
 	case scheduler.RequestCapacity:
-		writePeerMessage(w, inst, a.To, a)
+		writePeerMessage(w, instance, a.To, a)
 	case scheduler.GrantCapacity:
-		writePeerMessage(w, inst, a.To, a)
+		writePeerMessage(w, instance, a.To, a)
 	case scheduler.SetTimer:
-		fmt.Fprintf(w, "TIMER\ti=%s\tatUs=%d\tctx=0\n", inst, a.At)
+		fmt.Fprintf(w, "TIMER\ti=%s\tatUs=%d\tctx=0\n", instance, a.At)
 	}
 }
 
-func writePeerMessage(w io.Writer, inst string, to int, a scheduler.Action) {
-	fmt.Fprintf(w, "SHARE\ti=%s\trecipient=%d\toctets=%s\n", inst, to, base64.StdEncoding.EncodeToString(protocol.FormatNote(a)))
+func writePeerMessage(w io.Writer, instance string, to int, a scheduler.Action) {
+	fmt.Fprintf(w, "SHARE\ti=%s\trecipient=%d\toctets=%s\n", instance, to, base64.StdEncoding.EncodeToString(protocol.FormatNote(a)))
 }
