--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -59,10 +59,10 @@
 }
 
 // onDropped sets the function that logs dropped lines.
-func (w *Writer) onDropped(report func(dropped int64)) {
+func (w *Writer) onDropped(reportDropped func(dropped int64)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.reportDropped = report
+	w.reportDropped = reportDropped
 }
 
 func (w *Writer) run() {
@@ -84,10 +84,10 @@
 // total reported so far.
 func (w *Writer) write(line []byte, reported int64) int64 {
 	w.mu.Lock()
-	report := w.reportDropped
+	reportDropped := w.reportDropped
 	w.mu.Unlock()
-	if dropped := w.dropped.Load(); dropped > reported && report != nil {
-		report(dropped - reported)
+	if dropped := w.dropped.Load(); dropped > reported && reportDropped != nil {
+		reportDropped(dropped - reported)
 		reported = dropped
 	}
 	if _, err := w.to.Write(line); err != nil {
--- a/internal/program/appliance.go
+++ b/internal/program/appliance.go
@@ -108,20 +108,20 @@
 	return err
 }
 
-func newAppliance(operator Operator) (*Appliance, error) {
-	siteLimits := operator.limits()
+func newAppliance(config Operator) (*Appliance, error) {
+	siteLimits := config.limits()
 	lines := logs.NewWriter(os.Stderr)
 	a := &Appliance{
-		operator: operator, lines: lines, log: logs.New(lines, operator.Log.level()), lastRead: operator, limits: siteLimits,
+		operator: config, lines: lines, log: logs.New(lines, config.Log.level()), lastRead: config, limits: siteLimits,
 		client: sftp.NewClient(siteLimits), nodes: transport.NewNodes(siteLimits),
 		failed: make(chan error, 4), drained: map[string]bool{},
 	}
 	probe := a.client.Probe(siteLimits)
-	if operator.SFTP.Listen == "" {
+	if config.SFTP.Listen == "" {
 		probe = transport.NewHealthChecker(a.nodes, protocol.Settings{}, a.log).Check
 	}
 	var err error
-	settings := operator.Settings().Scheduler
+	settings := config.Settings().Scheduler
 	settings.MaxOpen = siteLimits.Requests.Scheduled
 	a.core, err = routing.New(settings, rand.Int64(), siteLimits, probe)
 	if err != nil {
@@ -156,17 +156,17 @@
 
 // startHTTP starts the HTTP front, with an admission gate if door.room is set.
 func (a *Appliance) startHTTP(context.Context) error {
-	operator := a.operator
-	if operator.HTTP.Listen == "" {
+	config := a.operator
+	if config.HTTP.Listen == "" {
 		return nil
 	}
-	front := transport.NewFront(operator.Settings(), a.limits, transport.NewRoundTripper(a.core, a.nodes))
-	if door := operator.Door; door.Room > 0 {
+	front := transport.NewFront(config.Settings(), a.limits, transport.NewRoundTripper(a.core, a.nodes))
+	if door := config.Door; door.Room > 0 {
 		front.Admission = gate.New(admission.Config{
-			Room: door.Room, Waiting: door.Waiting, MaxRetryAfter: operator.Limits.RetryAfter.Microseconds(),
+			Room: door.Room, Waiting: door.Waiting, MaxRetryAfter: config.Limits.RetryAfter.Microseconds(),
 		}, door.Patience)
 	}
-	return a.serve("http.listen", operator.HTTP.Listen, a.withTLS(operator.HTTP.TLS, front.Serve), func(net.Listener) { front.Stop(nil) })
+	return a.serve("http.listen", config.HTTP.Listen, a.withTLS(config.HTTP.TLS, front.Serve), func(net.Listener) { front.Stop(nil) })
 }
 
 func (a *Appliance) startConsole(context.Context) error {
@@ -217,8 +217,8 @@
 	}
 }
 
-// nodeList returns the node list with the addresses that dial chooses; drained nodes are marked. The caller holds the lock.
-func (a *Appliance) nodeList(dial func(sftp, http string) string) protocol.List {
+// currentNodeList returns the node list with the addresses that dial chooses; drained nodes are marked. The caller holds the lock.
+func (a *Appliance) currentNodeList(dial func(sftp, http string) string) protocol.List {
 	list := a.lastRead.nodeList(dial)
 	for i, h := range list.Hosts {
 		if a.drained[h.Node] {
@@ -232,6 +232,6 @@
 func (a *Appliance) updateNodes() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.nodes.Apply(a.nodeList(func(_, http string) string { return http }))
-	a.core.UpdateEndpoints(a.client.Apply(a.nodeList(func(sftp, _ string) string { return sftp })))
+	a.nodes.Apply(a.currentNodeList(func(_, http string) string { return http }))
+	a.core.UpdateEndpoints(a.client.Apply(a.currentNodeList(func(sftp, _ string) string { return sftp })))
 }
--- a/internal/program/certificates.go
+++ b/internal/program/certificates.go
@@ -25,18 +25,18 @@
 
 // startCertificates loads the certificates and starts their renewal if authorities are configured.
 func (a *Appliance) startCertificates(ctx context.Context) error {
-	operator := a.operator
-	if !operator.usesTLS() {
+	config := a.operator
+	if !config.usesTLS() {
 		return nil
 	}
 	settings := manager.Settings{
-		Try: operator.ACME.Try, HTTP: operator.ACME.Challenge != "", ALPN: operator.HTTP.TLS, Log: a.log,
-		Policy: plan.Policy{Before: operator.ACME.RenewBefore, Least: operator.ACME.Least, Most: operator.ACME.Most},
+		Try: config.ACME.Try, HTTP: config.ACME.Challenge != "", ALPN: config.HTTP.TLS, Log: a.log,
+		Policy: plan.Policy{Before: config.ACME.RenewBefore, Least: config.ACME.Least, Most: config.ACME.Most},
 	}
-	for _, c := range operator.ACME.Certificates {
+	for _, c := range config.ACME.Certificates {
 		settings.Certificates = append(settings.Certificates, manager.Certificate{Name: c.Name, Names: c.Names})
 	}
-	for i, authority := range operator.ACME.Authorities {
+	for i, authority := range config.ACME.Authorities {
 		converted, err := authority.orderAuthority()
 		if err != nil {
 			return fmt.Errorf("acme.authorities[%d]%w", i, err)
@@ -49,12 +49,12 @@
 	var v *vault.Vault
 	if len(settings.Certificates) > 0 {
 		var err error
-		if v, err = vault.Open(operator.ACME.Folder); err != nil {
+		if v, err = vault.Open(config.ACME.Folder); err != nil {
 			return fmt.Errorf("acme.folder: %w", err)
 		}
 	}
 	a.certs = manager.New(settings, v)
-	if err := a.certs.Load(providedFiles(operator)); err != nil {
+	if err := a.certs.Load(providedFiles(config)); err != nil {
 		return fmt.Errorf("certificates: %w", err)
 	}
 	if settings.HTTP {
@@ -68,7 +68,7 @@
 			}
 			return nil
 		}
-		if err := a.serve("acme.challenge", operator.ACME.Challenge, serve, func(net.Listener) { server.Close() }); err != nil {
+		if err := a.serve("acme.challenge", config.ACME.Challenge, serve, func(net.Listener) { server.Close() }); err != nil {
 			return err
 		}
 	}
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -88,13 +88,13 @@
 	if err := f.Health.validate(); err != nil {
 		return health.Config{}, err
 	}
-	zones, err := f.zonesByFront(front.fronts)
+	zonesByFront, err := f.zonesByFront(front.fronts)
 	if err != nil {
 		return health.Config{}, err
 	}
 	h := f.Health
 	c := health.Config{
-		Self: front.self, Incarnation: startedAt, Zones: zones, Probers: h.Probers, Quorum: h.Quorum,
+		Self: front.self, Incarnation: startedAt, Zones: zonesByFront, Probers: h.Probers, Quorum: h.Quorum,
 		SuspectAfter: toMicros(h.SuspectAfter), ProbeTimeout: toMicros(h.ProbeLate), EvidenceLifetime: toMicros(h.EvidenceLife),
 		TakeoverAfter: toMicros(h.TakeoverAfter), ProbesPerNode: h.ProbesPerNode, MessageRate: h.MessageBytes,
 	}
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -71,7 +71,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var out []snapshot.Node
-	for _, h := range a.nodeList(func(sftp, http string) string { return sftp + " " + http }).Hosts {
+	for _, h := range a.currentNodeList(func(sftp, http string) string { return sftp + " " + http }).Hosts {
 		out = append(out, snapshot.Node{LearnedNode: scheduler.LearnedNode{Endpoint: h.Endpoint}, Addr: strings.TrimSpace(h.Dial)})
 	}
 	return out
