--- a/internal/program/commands_test.go
+++ b/internal/program/commands_test.go
@@ -14,7 +14,7 @@
 		got, err := parseCommand(line)
 		if err != nil || got.Plain != want.Plain || (got.Node == nil) != (want.Node == nil) || got.Node != nil && *got.Node != *want.Node ||
 			got.Cert != nil && *got.Cert != *want.Cert || got.Forget != nil && *got.Forget != *want.Forget {
-			t.Errorf("%q: %+v, %v", line, got, err)
+			t.Errorf("line %q: parsed as %+v, error %v", line, got, err)
 		}
 	}
 	for line, want := range map[string]string{
@@ -22,7 +22,7 @@
 		"forget node": "column 12", "drain a b": "column 9",
 	} {
 		if _, err := parseCommand(line); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", line, err, want)
+			t.Errorf("line %q: error %v, want one that starts with %q", line, err, want)
 		}
 	}
 }
--- a/internal/program/operator_check.go
+++ b/internal/program/operator_check.go
@@ -27,7 +27,7 @@
 	door := o.Door
 	must(door.Room >= 0 && door.Waiting >= 0 && door.Patience >= 0, "door: room, waiting and patience must not be below 0")
 	must(door.Room == 0 || door.Waiting > 0 && door.Patience > 0, "door: waiting and patience must be above 0 if room is above 0")
-	must(door.Room == 0 || door.Room+door.Waiting <= l.Open, "door: the sum of room and waiting must be at most limits.open")
+	must(door.Room == 0 || door.Room+door.Waiting <= l.Open, "door: room and waiting must not exceed limits.open in total")
 	must(o.Log.Level == "" || new(slog.Level).UnmarshalText([]byte(o.Log.Level)) == nil,
 		"log.level: %q is not one of debug, info, warn, error", o.Log.Level)
 	must(o.SFTP.Listen != "" || o.HTTP.Listen != "", "sftp.listen, http.listen: at least one must be set")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -112,7 +112,7 @@
 	c := set.Classes[0]
 	if err != nil || set.Fronts != 3 || c.Idempotency != scheduler.IdempotentByKey || c.DedupScope != scheduler.SameShard || !c.InOrder ||
 		set.Plans[0].Limit != 17 || set.KeyPause != 200 || set.RetryBudgetSpan != 5 {
-		t.Errorf("%+v, %v", set, err)
+		t.Errorf("unexpected settings %+v, error %v", set, err)
 	}
 	if _, err := parseSettings(`{"classes":[{"semantics":"odd"}]}`); err == nil {
 		t.Error("no error for unknown semantics")
@@ -123,7 +123,7 @@
 	for text, want := range map[string]float64{"utilization:0.5,backlog:3": 3, "utilization:0.5": -1, "": -1} {
 		l := parseLine("PROBE_RESULT\ttarget=a\tstateCode=0\tlatencyUs=5\tfeedback=" + text)
 		if p := l.healthChecked(); !p.OK || p.Queue != want || l.err != nil {
-			t.Errorf("%q: %+v, %v", text, p, l.err)
+			t.Errorf("feedback %q: %+v, error %v", text, p, l.err)
 		}
 	}
 }
