--- a/internal/grammar/grammar.go
+++ b/internal/grammar/grammar.go
@@ -1,4 +1,4 @@
-// Package grammar reads text by a parser and says where it went wrong, for people: by the column.
+// Package grammar parses lines of text with a participle parser and reports syntax errors with their column.
 package grammar
 
 import (
@@ -8,11 +8,11 @@
 	"github.com/alecthomas/participle/v2"
 )
 
-// Parse reads one line.
+// Parse parses one line.
 func Parse[T any](p *participle.Parser[T], line string) (T, error) {
 	v, err := p.ParseString("", line)
-	if at := participle.Error(nil); errors.As(err, &at) {
-		return *new(T), fmt.Errorf("column %d: %s", at.Position().Column, at.Message())
+	if syntaxErr := participle.Error(nil); errors.As(err, &syntaxErr) {
+		return *new(T), fmt.Errorf("column %d: %s", syntaxErr.Position().Column, syntaxErr.Message())
 	} else if err != nil {
 		return *new(T), err
 	}
--- a/internal/logs/logger.go
+++ b/internal/logs/logger.go
@@ -11,19 +11,20 @@
 	"github.com/mattn/go-isatty"
 )
 
-// New gives the logger of the program: tinted lines where w is a terminal, JSON lines otherwise (the platform, a
-// file, a pipe), at level and above, under the quota of Burst lines a message in each Span. The field "held" of a
-// line says how many of the same message were not written before it. Where w is a Writer, a line tells of those that it dropped.
+// New returns the program's logger: colored text if w is a terminal, JSON lines otherwise (the platform, a file, a pipe),
+// at level and above, limited to Burst lines per message in each Span. The attribute "held" of a line is the number of
+// lines of the same message that were suppressed before it. If w is a Writer, the lines that it drops are counted in a
+// line of their own.
 func New(w io.Writer, level slog.Leveler) *slog.Logger {
 	h := newHandler(w, level)
 	if queued, ok := w.(*Writer); ok {
 		direct := slog.New(newHandler(queued.to, level))
 		queued.onDropped(func(lines int64) { direct.Warn("log lines dropped", "lines", lines) })
 	}
-	return slog.New(&quota{next: h, shared: &shared{quota: NewQuota(Burst, Span, MaxKeys)}})
+	return slog.New(&quotaHandler{next: h, shared: &sharedQuota{quota: NewQuota(Burst, Span, MaxKeys)}})
 }
 
-// newHandler writes for a person where w leads to a terminal, for a machine otherwise.
+// newHandler returns a text handler if w leads to a terminal, a JSON handler otherwise.
 func newHandler(w io.Writer, level slog.Leveler) slog.Handler {
 	to := w
 	if queued, ok := w.(*Writer); ok {
@@ -35,41 +36,42 @@
 	return slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level})
 }
 
-// Quiet gives a logger that writes nothing, for tests and for parts whose lines nobody reads.
+// Quiet returns a logger that discards everything, for tests and for components whose log is not needed.
 func Quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// quota is the shell around Quota: it hands it each record's time, which slog took when the line was made.
-type quota struct {
+// quotaHandler is a handler that applies a Quota, with the time that slog set in each record.
+type quotaHandler struct {
 	next   slog.Handler
-	shared *shared
+	shared *sharedQuota
 }
 
-// shared is the one quota of a logger and of all that With makes of it: a message counts alike wherever it is said.
-type shared struct {
+// sharedQuota is the quota that a logger shares with all loggers derived from it by With and WithGroup, so that a message is
+// counted whichever of them logs it.
+type sharedQuota struct {
 	mu    sync.Mutex
 	quota *Quota
 }
 
-func (h *quota) Enabled(ctx context.Context, l slog.Level) bool { return h.next.Enabled(ctx, l) }
+func (h *quotaHandler) Enabled(ctx context.Context, l slog.Level) bool { return h.next.Enabled(ctx, l) }
 
-func (h *quota) Handle(ctx context.Context, r slog.Record) error {
+func (h *quotaHandler) Handle(ctx context.Context, r slog.Record) error {
 	h.shared.mu.Lock()
-	say, held := h.shared.quota.Say(r.Level.String()+" "+r.Message, r.Time)
+	allowed, suppressed := h.shared.quota.Allow(r.Level.String()+" "+r.Message, r.Time)
 	h.shared.mu.Unlock()
-	if !say {
+	if !allowed {
 		return nil
 	}
-	if held > 0 {
+	if suppressed > 0 {
 		r = r.Clone()
-		r.AddAttrs(slog.Int("held", held))
+		r.AddAttrs(slog.Int("held", suppressed))
 	}
 	return h.next.Handle(ctx, r)
 }
 
-func (h *quota) WithAttrs(as []slog.Attr) slog.Handler {
-	return &quota{next: h.next.WithAttrs(as), shared: h.shared}
+func (h *quotaHandler) WithAttrs(as []slog.Attr) slog.Handler {
+	return &quotaHandler{next: h.next.WithAttrs(as), shared: h.shared}
 }
 
-func (h *quota) WithGroup(name string) slog.Handler {
-	return &quota{next: h.next.WithGroup(name), shared: h.shared}
+func (h *quotaHandler) WithGroup(name string) slog.Handler {
+	return &quotaHandler{next: h.next.WithGroup(name), shared: h.shared}
 }
--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// queuedLines is how many lines may wait to be written: a burst of them, and not the memory of a log that stands still.
-const queuedLines = 512
+// maxQueuedLines is how many lines may wait to be written: enough for a burst, and a bound on memory when the output blocks.
+const maxQueuedLines = 512
 
-// Writer writes lines in a goroutine of its own, so that a full pipe or a disk that hangs holds up nobody who logs. A line that
-// finds no room, or can't be written, is dropped and counted.
+// Writer writes lines in its own goroutine, so that a full pipe or a hanging disk does not block the goroutines that log.
+// Lines that find the queue full or can't be written are dropped and counted.
 type Writer struct {
 	to      io.Writer
 	lines   chan []byte
 	flushes chan chan struct{}
 	dropped atomic.Int64
 
-	mu       sync.Mutex
-	announce func(dropped int64) // writes how many lines were dropped since the last one
+	mu            sync.Mutex
+	reportDropped func(dropped int64) // logs how many lines were dropped since its last call
 }
 
-// NewWriter returns a writer ahead of another one. Its goroutine lasts as long as the process.
+// NewWriter returns a Writer that writes to another writer. Its goroutine runs until the process ends.
 func NewWriter(to io.Writer) *Writer {
-	w := &Writer{to: to, lines: make(chan []byte, queuedLines), flushes: make(chan chan struct{})}
+	w := &Writer{to: to, lines: make(chan []byte, maxQueuedLines), flushes: make(chan chan struct{})}
 	go w.run()
 	return w
 }
@@ -39,58 +39,59 @@
 	return len(line), nil
 }
 
-// Dropped tells how many lines were not written since the process started.
+// Dropped returns the number of lines dropped since the process started.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Flush waits until all lines queued before are written, no longer than most.
-func (w *Writer) Flush(most time.Duration) {
-	timeout := time.NewTimer(most)
-	defer timeout.Stop()
+// Flush waits until all lines queued so far are written, or until maxWait has passed.
+func (w *Writer) Flush(maxWait time.Duration) {
+	timer := time.NewTimer(maxWait)
+	defer timer.Stop()
 	done := make(chan struct{})
 	select {
 	case w.flushes <- done:
-	case <-timeout.C:
+	case <-timer.C:
 		return
 	}
 	select {
 	case <-done:
-	case <-timeout.C:
+	case <-timer.C:
 	}
 }
 
-// onDropped sets what announces dropped lines.
-func (w *Writer) onDropped(announce func(dropped int64)) {
+// onDropped sets the function that logs dropped lines.
+func (w *Writer) onDropped(reportDropped func(dropped int64)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.announce = announce
+	w.reportDropped = reportDropped
 }
 
 func (w *Writer) run() {
-	var told int64
+	var reported int64
 	for {
 		select {
 		case line := <-w.lines:
-			told = w.write(line, told)
+			reported = w.write(line, reported)
 		case done := <-w.flushes:
-			for waiting := len(w.lines); waiting > 0; waiting-- {
-				told = w.write(<-w.lines, told)
+			for remaining := len(w.lines); remaining > 0; remaining-- {
+				reported = w.write(<-w.lines, reported)
 			}
 			close(done)
 		}
 	}
 }
 
-// write writes a line, ahead of it how many were dropped since told, and returns the number told now.
-func (w *Writer) write(line []byte, told int64) int64 {
+// write writes a line. If more lines than reported were dropped, it reports the rest first. It returns the
+// total reported so far.
+func (w *Writer) write(line []byte, reported int64) int64 {
 	w.mu.Lock()
-	announce := w.announce
+	reportDropped := w.reportDropped
 	w.mu.Unlock()
-	if dropped := w.dropped.Load(); dropped > told && announce != nil {
-		announce(dropped - told)
-		told = dropped
+	if dropped := w.dropped.Load(); dropped > reported && reportDropped != nil {
+		reportDropped(dropped - reported)
+		reported = dropped
 	}
 	if _, err := w.to.Write(line); err != nil {
 		w.dropped.Add(1)
 	}
-	return told
+	return reported
 }
--- a/internal/program/words_test.go
+++ b/internal/program/commands_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-func TestConsoleWords(t *testing.T) {
+func TestParseCommand(t *testing.T) {
 	for line, want := range map[string]command{
-		"status": {Plain: "status"}, "  drain  node-a ": {Node: &onNode{"drain", "node-a"}},
-		"renew all": {Cert: &onCert{"renew", "all"}}, "forget all": {Forget: &forget{Kind: "all"}},
-		"forget node all": {Forget: &forget{One: "node", Name: "all"}},
+		"status": {Plain: "status"}, "  drain  node-a ": {Node: &nodeCommand{"drain", "node-a"}},
+		"renew all": {Cert: &certCommand{"renew", "all"}}, "forget all": {Forget: &forgetCommand{Kind: "all"}},
+		"forget node all": {Forget: &forgetCommand{One: "node", Name: "all"}},
 	} {
 		got, err := parseCommand(line)
 		if err != nil || got.Plain != want.Plain || (got.Node == nil) != (want.Node == nil) || got.Node != nil && *got.Node != *want.Node ||
 			got.Cert != nil && *got.Cert != *want.Cert || got.Forget != nil && *got.Forget != *want.Forget {
-			t.Errorf("%q: %+v, %v", line, got, err)
+			t.Errorf("line %q: parsed as %+v, error %v", line, got, err)
 		}
 	}
 	for line, want := range map[string]string{
@@ -22,7 +22,7 @@
 		"forget node": "column 12", "drain a b": "column 9",
 	} {
 		if _, err := parseCommand(line); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", line, err, want)
+			t.Errorf("line %q: error %v, want one that starts with %q", line, err, want)
 		}
 	}
 }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -14,19 +14,19 @@
 	"otterturn/scheduler"
 )
 
-// fleetVariable names the operator's file of what the fronts do together. Where it is not set each acts for itself.
+// fleetVariable is the environment variable with the path of the fleet file. Without it a front shares no node health.
 const fleetVariable = "RELAY_FLEET"
 
-// longestEvidence is the most that evidence may live.
-const longestEvidence = time.Duration(health.MaxEvidenceLife) * time.Microsecond
+// maxEvidenceLife is the maximum lifetime of evidence.
+const maxEvidenceLife = time.Duration(health.MaxEvidenceLife) * time.Microsecond
 
-// Fleet is the operator's file of what the fronts do together.
+// Fleet is the operators' fleet file: the settings of features that the fronts of a fleet share.
 type Fleet struct {
 	Health FleetHealth
 	Zones  []FleetZone
 }
 
-// FleetHealth sets up the zones' shared health of nodes, see health.Config.
+// FleetHealth configures the node health that the fronts of a zone share, see health.Config.
 type FleetHealth struct {
 	Enabled       bool
 	Probers       int
@@ -39,63 +39,64 @@
 	MessageBytes  float64       `toml:"message_bytes"`
 }
 
-// FleetZone is a zone of fronts, which are told by their numbers: single ones, or ranges such as "0-119".
+// FleetZone is a zone of fronts. Fronts lists their numbers, as single numbers or as ranges such as "0-119".
 type FleetZone struct {
 	Name   string
 	Region string
 	Fronts []string
 }
 
-// frontConfig is what a fleet's file has to fit: this front's configuration.
+// frontConfig is the part of this front's configuration that the fleet file must be consistent with.
 type frontConfig struct {
-	self, fronts int  // its number, and of how many
-	peers        bool // fronts have addresses for messages to each other
-	probing      bool // nodes may be probed
+	self, fronts int  // the number of this front, and the number of fronts
+	peers        bool // the configuration has addresses for messages between fronts
+	probing      bool // health checks of nodes are enabled
 }
 
-// loadFleet reads and checks the file. Its errors name the field.
-func loadFleet(path string, s frontConfig) (Fleet, error) {
-	var f Fleet
-	meta, err := toml.DecodeFile(path, &f)
+// loadFleet reads and validates the fleet file. Its errors name the field.
+func loadFleet(path string, front frontConfig) (Fleet, error) {
+	var fleet Fleet
+	meta, err := toml.DecodeFile(path, &fleet)
 	if err != nil {
-		var at *os.PathError
-		if errors.As(err, &at) {
+		var pathErr *os.PathError
+		if errors.As(err, &pathErr) {
 			return Fleet{}, fmt.Errorf("%s: %w", fleetVariable, err)
 		}
 		return Fleet{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if odd := meta.Undecoded(); len(odd) > 0 {
-		return Fleet{}, fmt.Errorf("%s: %s: unknown", path, odd[0])
+	if unknown := meta.Undecoded(); len(unknown) > 0 {
+		return Fleet{}, fmt.Errorf("%s: %s: unknown", path, unknown[0])
 	}
-	if !f.Health.Enabled {
-		return f, nil
+	if !fleet.Health.Enabled {
+		return fleet, nil
 	}
-	if _, err := f.config(s, 0); err != nil {
+	if _, err := fleet.healthConfig(front, 0); err != nil {
 		return Fleet{}, fmt.Errorf("%s: %w", path, err)
 	}
-	return f, nil
+	return fleet, nil
 }
 
-// config is what the monitor is told at a front, whose process began at a time in Unix microseconds.
-func (f *Fleet) config(s frontConfig, began int64) (health.Config, error) {
+// healthConfig returns the monitor's configuration. startedAt, the start of the process in Unix microseconds, becomes the
+// incarnation.
+func (f *Fleet) healthConfig(front frontConfig, startedAt int64) (health.Config, error) {
 	switch {
-	case !s.peers:
+	case !front.peers:
 		return health.Config{}, errors.New("health.enabled: the configuration names no peers")
-	case !s.probing:
+	case !front.probing:
 		return health.Config{}, errors.New("health.enabled: settings.ceilings.probing is off in the configuration")
 	}
-	if err := f.Health.check(); err != nil {
+	if err := f.Health.validate(); err != nil {
 		return health.Config{}, err
 	}
-	zones, err := f.zones(s.fronts)
+	zonesByFront, err := f.zonesByFront(front.fronts)
 	if err != nil {
 		return health.Config{}, err
 	}
 	h := f.Health
 	c := health.Config{
-		Self: s.self, Incarnation: began, Zones: zones, Probers: h.Probers, Quorum: h.Quorum,
-		SuspectAfter: inMicros(h.SuspectAfter), ProbeTimeout: inMicros(h.ProbeLate), EvidenceLifetime: inMicros(h.EvidenceLife),
-		TakeoverAfter: inMicros(h.TakeoverAfter), ProbesPerNode: h.ProbesPerNode, MessageRate: h.MessageBytes,
+		Self: front.self, Incarnation: startedAt, Zones: zonesByFront, Probers: h.Probers, Quorum: h.Quorum,
+		SuspectAfter: toMicros(h.SuspectAfter), ProbeTimeout: toMicros(h.ProbeLate), EvidenceLifetime: toMicros(h.EvidenceLife),
+		TakeoverAfter: toMicros(h.TakeoverAfter), ProbesPerNode: h.ProbesPerNode, MessageRate: h.MessageBytes,
 	}
 	if err := c.Validate(); err != nil {
 		return health.Config{}, fmt.Errorf("health: %w", err)
@@ -103,33 +104,33 @@
 	return c, nil
 }
 
-// check tells the first figure that is wrong by itself.
-func (h *FleetHealth) check() error {
+// validate checks each setting without regard to the zones.
+func (h *FleetHealth) validate() error {
 	switch {
 	case h.Probers < 1:
-		return fmt.Errorf("health.probers: %d, must be 1 at least", h.Probers)
+		return fmt.Errorf("health.probers: %d, must be at least 1", h.Probers)
 	case h.Quorum < 2 || h.Quorum > h.Probers:
-		return fmt.Errorf("health.quorum: %d, must be 2 at least and no more than health.probers, %d", h.Quorum, h.Probers)
+		return fmt.Errorf("health.quorum: %d, must be at least 2 and at most health.probers, %d", h.Quorum, h.Probers)
 	case !(h.ProbesPerNode > 0):
 		return errors.New("health.probes_per_node: must be above 0")
 	case !(h.MessageBytes >= health.MessageLimit):
-		return fmt.Errorf("health.message_bytes: must be %d at least, for one message a second", health.MessageLimit)
-	case h.EvidenceLife > longestEvidence:
-		return fmt.Errorf("health.evidence_life: %v, must be %v at most", h.EvidenceLife, longestEvidence)
+		return fmt.Errorf("health.message_bytes: must be at least %d, for one message per second", health.MessageLimit)
+	case h.EvidenceLife > maxEvidenceLife:
+		return fmt.Errorf("health.evidence_life: %v, must be at most %v", h.EvidenceLife, maxEvidenceLife)
 	}
-	for _, t := range []struct {
+	for _, duration := range []struct {
 		field string
 		value time.Duration
 	}{{"suspect_after", h.SuspectAfter}, {"probe_late", h.ProbeLate}, {"evidence_life", h.EvidenceLife}, {"takeover_after", h.TakeoverAfter}} {
-		if t.value < time.Microsecond {
-			return fmt.Errorf("health.%s: must be a time above 0", t.field)
+		if duration.value < time.Microsecond {
+			return fmt.Errorf("health.%s: must be a duration above 0", duration.field)
 		}
 	}
 	return nil
 }
 
-// zones tells each front's zone by the front's number. Every front must be in one, and in one alone.
-func (f *Fleet) zones(fronts int) ([]int, error) {
+// zonesByFront returns each front's zone, indexed by the front's number. Every front must be in exactly one zone.
+func (f *Fleet) zonesByFront(fronts int) ([]int, error) {
 	if len(f.Zones) == 0 {
 		return nil, errors.New("zones: missing")
 	}
@@ -141,11 +142,11 @@
 	names, members := map[string]bool{}, make([]int, len(f.Zones))
 	for i, z := range f.Zones {
 		if z.Name == "" || names[z.Name] {
-			return nil, fmt.Errorf("zones[%d].name: missing or taken", i)
+			return nil, fmt.Errorf("zones[%d].name: missing or used before", i)
 		}
 		names[z.Name] = true
-		for _, text := range z.Fronts {
-			first, last, err := parseFronts(text, fronts)
+		for _, frontRange := range z.Fronts {
+			first, last, err := parseFrontRange(frontRange, fronts)
 			if err != nil {
 				return nil, fmt.Errorf("zones[%d].fronts: %w", i, err)
 			}
@@ -171,10 +172,10 @@
 	return out, nil
 }
 
-// parseFronts reads a number or a range of numbers, of so many fronts.
-func parseFronts(text string, fronts int) (first, last int, err error) {
-	from, to, ranged := strings.Cut(text, "-")
-	if !ranged {
+// parseFrontRange parses a front's number or a range of numbers below fronts.
+func parseFrontRange(text string, fronts int) (first, last int, err error) {
+	from, to, isRange := strings.Cut(text, "-")
+	if !isRange {
 		to = from
 	}
 	first, err = strconv.Atoi(from)
@@ -183,13 +184,13 @@
 	}
 	switch {
 	case err != nil:
-		return 0, 0, fmt.Errorf("%q is no number and no range such as \"0-119\"", text)
+		return 0, 0, fmt.Errorf("%q is not a number or a range such as \"0-119\"", text)
 	case first > last:
 		return 0, 0, fmt.Errorf("%q ends before it begins", text)
 	case last >= fronts:
-		return 0, 0, fmt.Errorf("%q is out of range: settings.balancers is %d, numbers begin at 0", text, fronts)
+		return 0, 0, fmt.Errorf("%q is out of range: settings.balancers is %d, front numbers start at 0", text, fronts)
 	}
 	return first, last, nil
 }
 
-func inMicros(d time.Duration) scheduler.Micros { return scheduler.Micros(d / time.Microsecond) }
+func toMicros(d time.Duration) scheduler.Micros { return scheduler.Micros(d / time.Microsecond) }
--- a/internal/program/handover.go
+++ b/internal/program/handover.go
@@ -17,11 +17,11 @@
 	"otterturn/scheduler"
 )
 
-// handoverSocket stands in $TMPDIR, which the processes of a front share.
+// handoverSocket is the socket's file name in $TMPDIR, which the processes of a front share.
 const handoverSocket = "handover"
 
-// handoverPath is where the process that serves is asked to hand over, "" where the platform holds no clients' socket
-// that two could serve.
+// handoverPath returns the path of the socket on which the serving process accepts handover requests. It is empty unless
+// the platform passes the listening socket to the process, since two processes of a front can only share that one.
 func handoverPath(accept, folder string) string {
 	if accept == "" || folder == "" {
 		return ""
@@ -29,16 +29,16 @@
 	return filepath.Join(folder, handoverSocket)
 }
 
-// takeOver takes over from a predecessor of this front, where there is one. On a fault before the predecessor has let go
-// this process begins as after a restart, and promises no more than that allows; beside one that lives and says nothing
-// it promises nothing.
+// takeOver takes over the state of a predecessor of this front, if one runs. If that fails before the predecessor has
+// released its state, this process starts without state, as after a restart. If the predecessor runs but does not answer
+// in time, this process suspends the limits until the predecessor ends.
 func (p *platform) takeOver(path string) {
 	c, err := handover.Dial(path)
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-		return // none runs
+		return // no predecessor runs
 	}
 	if err == nil {
-		if err = p.receive(c); err == nil {
+		if err = p.receiveState(c); err == nil {
 			return
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -52,8 +52,8 @@
 	p.log.Error("handover failed, starting without state", "error", err)
 }
 
-// awaitPredecessorEnd waits for the end of a predecessor that did not hand over, and may go on at any time: until then this one
-// promises nothing.
+// awaitPredecessorEnd waits for the end of a predecessor that did not hand over. The predecessor may resume at any time, so
+// the limits stay suspended until it has ended.
 func (p *platform) awaitPredecessorEnd(c *handover.Channel) {
 	defer c.Close()
 	for err := c.SetTimeout(0); err == nil; {
@@ -69,18 +69,18 @@
 	p.log.Info("predecessor ended, limits resumed")
 }
 
-func (p *platform) receive(c *handover.Channel) error {
+func (p *platform) receiveState(c *handover.Channel) error {
 	if err := c.SetTimeout(p.limits.Stop.HandoverTimeout); err != nil {
 		return err
 	}
-	text, socket, err := c.RequestState()
+	encoded, socket, err := c.RequestState()
 	if err != nil {
 		return err
 	}
 	if socket != nil {
 		defer socket.Close()
 	}
-	state, err := handover.Decode(text, p.config.Settings.Plans)
+	state, err := handover.Decode(encoded, p.config.Settings.Plans)
 	if err != nil {
 		return err
 	}
@@ -88,16 +88,16 @@
 		return err
 	}
 	p.roster.RestoreBans(state.Bans)
-	news := p.nodes.Apply(p.roster.Update(state.List))
-	p.updateMonitor(news)
-	p.core.TakeOver(news, state.Given)
+	change := p.nodes.Apply(p.roster.Update(state.List))
+	p.updateMonitor(change)
+	p.core.TakeOver(change, state.Given)
 	if socket != nil && len(p.config.Peers) > 0 {
 		if conn, err := net.FilePacketConn(socket); err == nil {
 			p.peers = transport.PeersOn(conn.(*net.UDPConn), p.config.Peers, p.limits, p.log)
 		}
 	}
 	p.log.Info("handover received", "nodes", len(state.List.Hosts), "projects", len(state.Given.Volumes), "by_hand", len(state.Bans))
-	p.succeeded = true
+	p.tookOver = true
 	p.otherProcess.Store(c)
 	if err := c.SetTimeout(0); err != nil {
 		return err
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// listenForSuccessors hands over to each successor that asks, one at a time, until ctx ends. The first may ask from its return
-// on: one that found nobody to ask would begin as after a restart beside this one.
+// listenForSuccessors hands over to each successor that asks, one at a time, until ctx ends. The socket is open when it
+// returns: a successor that can't connect would start without state while this process still serves.
 func (p *platform) listenForSuccessors(ctx context.Context, path string) {
 	l, err := retryStart(func() (*net.UnixListener, error) { return handover.Listen(path) })
 	if err != nil {
@@ -135,7 +135,7 @@
 	}
 }
 
-// awaitSuccessor takes the one successor that asks next.
+// awaitSuccessor accepts the next successor's connection and closes the listener.
 func awaitSuccessor(ctx context.Context, l *net.UnixListener, retry time.Duration) (*handover.Channel, error) {
 	defer l.Close()
 	defer context.AfterFunc(ctx, func() { l.Close() })()
@@ -146,13 +146,13 @@
 	return handover.NewChannel(c.(*net.UnixConn)), nil
 }
 
-// queuedIDs is how many ids of requests may wait to be announced to the successor.
-const queuedIDs = 4096
+// maxQueuedIDs is how many request ids may wait to be announced to the successor.
+const maxQueuedIDs = 4096
 
-// announcer returns a function that tells the successor of a request's id, until ended. No request waits for it. It may be called
-// behind the end: a request may still hold it then.
-func (p *platform) announcer(c *handover.Channel, ended <-chan struct{}) func(id string) {
-	ids := make(chan string, queuedIDs)
+// newIDAnnouncer returns a function that announces a request's id to the successor until ended is closed. The function never
+// blocks, and may be called after ended was closed because a request may still hold it.
+func (p *platform) newIDAnnouncer(c *handover.Channel, ended <-chan struct{}) func(id string) {
+	ids := make(chan string, maxQueuedIDs)
 	go func() {
 		for {
 			select {
@@ -166,14 +166,15 @@
 	return func(id string) {
 		select {
 		case ids <- id:
-		default: // the successor stands still
+		default: // the successor is not reading
 			p.log.Warn("request id not announced to successor", "request", id)
 		}
 	}
 }
 
-// handOver is the predecessor's part, from the successor's question to its end. It returns while this process serves,
-// with the cause, never nil: where the successor did take over, this process ends meanwhile.
+// handOver is the predecessor's side of a handover, from the successor's request to the successor's end. It returns only
+// if this process continues to serve, always with an error that names the cause: after a complete handover this process
+// shuts down while handOver is still running.
 func (p *platform) handOver(c *handover.Channel) error {
 	if err := c.SetTimeout(p.limits.Stop.HandoverTimeout); err != nil {
 		return err
@@ -184,15 +185,15 @@
 	if err := p.guard.Allow(lifecycle.HandOver, time.Time{}); err != nil {
 		return err
 	}
-	given, err := p.sendState(c)
+	coreState, err := p.sendState(c)
 	if err != nil {
-		p.takeBack(given.Learned)
+		p.resumeServing(coreState.Learned)
 		return err
 	}
 	p.otherProcess.Store(c)
 	ended := make(chan struct{})
 	defer close(ended)
-	p.core.AnnounceIDs(p.announcer(c, ended))
+	p.core.AnnounceIDs(p.newIDAnnouncer(c, ended))
 	p.front.Yield(func(conn net.Conn) error {
 		socket, ok := conn.(syscall.Conn)
 		if !ok {
@@ -203,11 +204,12 @@
 	p.nodes.CloseIdle()
 	p.log.Info("handover sent")
 	p.receiveFromOther(c)
-	p.takeBack(scheduler.Learned{})
-	return errors.New("it has ended")
+	p.resumeServing(scheduler.Learned{})
+	return errors.New("successor has ended")
 }
 
-// sendState stops promising and gives the state, until the successor may go on.
+// sendState stops this process's use of its limits and grants, pauses accepting, sends the state, and lets the successor
+// proceed.
 func (p *platform) sendState(c *handover.Channel) (routing.HandoverState, error) {
 	var socket syscall.Conn
 	if p.peers != nil {
@@ -215,24 +217,24 @@
 		socket = p.peers.Socket()
 	}
 	p.front.Pause(true)
-	ctx, end := context.WithTimeout(context.Background(), p.limits.Stop.HandoverTimeout)
-	defer end()
-	given, err := p.core.Yield(ctx)
+	ctx, cancel := context.WithTimeout(context.Background(), p.limits.Stop.HandoverTimeout)
+	defer cancel()
+	coreState, err := p.core.Yield(ctx)
 	if err != nil {
-		return given, err
+		return coreState, err
 	}
 	p.mu.Lock()
-	state := handover.State{Given: given, Plans: p.front.PlanNames(), List: p.roster.FullList(), Bans: p.roster.Bans()}
+	state := handover.State{Given: coreState, Plans: p.front.PlanNames(), List: p.roster.FullList(), Bans: p.roster.Bans()}
 	p.mu.Unlock()
-	text, err := handover.Encode(state)
+	encoded, err := handover.Encode(state)
 	if err != nil {
-		return given, err
+		return coreState, err
 	}
-	return given, errors.Join(c.SendState(text, socket), c.ReleaseSuccessor(), c.SetTimeout(0))
+	return coreState, errors.Join(c.SendState(encoded, socket), c.ReleaseSuccessor(), c.SetTimeout(0))
 }
 
-// takeBack has this process serve again, as the successor is gone. unused is what that one never used.
-func (p *platform) takeBack(unused scheduler.Learned) {
+// resumeServing makes this process serve again after the successor has ended. unused is state that the successor never used.
+func (p *platform) resumeServing(unused scheduler.Learned) {
 	p.otherProcess.Store(nil)
 	p.core.AnnounceIDs(nil)
 	if p.peers != nil {
--- a/internal/program/handover_test.go
+++ b/internal/program/handover_test.go
@@ -8,9 +8,9 @@
 	"otterturn/internal/logs"
 )
 
-// Guards against the end of the program where a request announces its id as the successor has gone: it may hold the function that
-// tells of it beyond that.
-func TestIDIsAnnouncedToNobodyBehindTheEnd(t *testing.T) {
+// Guards against a crash when a request announces its id after the successor has ended: a request may hold the announcing
+// function longer than that.
+func TestAnnouncingAnIDAfterTheSuccessorEnded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "handover")
 	l, err := handover.Listen(path)
 	if err != nil {
@@ -22,11 +22,11 @@
 		t.Fatal(err)
 	}
 	ended := make(chan struct{})
-	announce := (&platform{log: logs.Quiet()}).announcer(c, ended)
+	announce := (&platform{log: logs.Quiet()}).newIDAnnouncer(c, ended)
 	announce("before")
 	close(ended)
 	c.Close()
-	for range 2 * queuedIDs {
-		announce("behind")
+	for range 2 * maxQueuedIDs {
+		announce("after")
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the line protocol of the bench and the scheduler's events and actions.
-// Values pass through; nothing is decided here.
+// Package wire translates between the line protocol of the test bench and the scheduler's events and actions. It passes
+// the values through unchanged.
 package wire
 
 import (
@@ -24,8 +24,8 @@
 	"14": scheduler.Unreachable, "10": scheduler.Reset, "1": scheduler.Cancelled, "9": scheduler.NotStarted,
 }
 
-// parseFacts reads the settings object of a LAUNCH.
-func parseFacts(text string) (scheduler.Settings, error) {
+// parseSettings parses the settings object of a LAUNCH message.
+func parseSettings(text string) (scheduler.Settings, error) {
 	set, err := protocol.ParseSettings([]byte(text))
 	if err != nil {
 		return scheduler.Settings{}, fmt.Errorf("facts: %w", err)
@@ -33,7 +33,7 @@
 	return set.Scheduler, nil
 }
 
-// line is one message: its name and its fields.
+// line is one message: its name, its fields and the first error in it.
 type line struct {
 	name   string
 	fields map[string]string
@@ -46,10 +46,10 @@
 	for i, p := range parts[1:] {
 		k, v, ok := strings.Cut(p, "=")
 		if !ok {
-			l.fail("a part without '='")
+			l.fail("field without '='")
 			continue
 		}
-		if k == "facts" { // a text field runs to the end of the line
+		if k == "facts" { // this field extends to the end of the line and may contain tabs
 			v = strings.TrimPrefix(strings.Join(parts[i+1:], "\t"), "facts=")
 			l.fields[k] = v
 			break
@@ -59,22 +59,22 @@
 	return l
 }
 
-func (l *line) fail(why string) {
+func (l *line) fail(reason string) {
 	if l.err == nil {
-		l.err = fmt.Errorf("%s: %s", l.name, why)
+		l.err = fmt.Errorf("%s: %s", l.name, reason)
 	}
 }
 
-// text returns a field that must be there.
+// text returns a mandatory field.
 func (l *line) text(key string) string {
 	v, ok := l.fields[key]
 	if !ok || v == "" {
-		l.fail("no " + key)
+		l.fail("missing field " + key)
 	}
 	return v
 }
 
-// number returns a field that must be there and be a number.
+// number returns a mandatory numeric field.
 func (l *line) number(key string) float64 {
 	v, err := strconv.ParseFloat(l.text(key), 64)
 	if err != nil {
@@ -83,16 +83,16 @@
 	return v
 }
 
-// integer returns a field that must be there and be a whole number.
+// integer returns a mandatory integer field.
 func (l *line) integer(key string) int64 {
 	v, err := strconv.ParseInt(l.text(key), 10, 64)
 	if err != nil {
-		l.fail(key + " is not a whole number")
+		l.fail(key + " is not an integer")
 	}
 	return v
 }
 
-// optional returns a numeric field, 0 where it is absent.
+// optional returns a numeric field, 0 if it is absent.
 func (l *line) optional(key string) float64 {
 	if l.fields[key] == "" {
 		return 0
@@ -108,7 +108,7 @@
 	}
 }
 
-func (l *line) outcome() scheduler.AttemptEnded {
+func (l *line) attemptEnded() scheduler.AttemptEnded {
 	result, ok := results[l.text("stateCode")]
 	if !ok {
 		l.fail("unknown stateCode " + l.fields["stateCode"])
@@ -120,8 +120,8 @@
 	}
 }
 
-// note reads a message between instances; the field named tells the other one's number.
-func (l *line) note(other string) scheduler.Event {
+// peerMessage parses a message between instances. The field named other holds the number of the other instance.
+func (l *line) peerMessage(other string) scheduler.Event {
 	text, err := base64.StdEncoding.DecodeString(l.text("octets"))
 	if err != nil {
 		l.fail(err.Error())
@@ -134,7 +134,7 @@
 	return e
 }
 
-func (l *line) listing() scheduler.Endpoint {
+func (l *line) endpoint() scheduler.Endpoint {
 	state, ok := states[l.text("availability")]
 	if !ok {
 		l.fail("unknown availability " + l.fields["availability"])
@@ -145,7 +145,7 @@
 	}
 }
 
-func (l *line) probed() scheduler.HealthChecked {
+func (l *line) healthChecked() scheduler.HealthChecked {
 	p := scheduler.HealthChecked{Node: l.text("target"), OK: l.text("stateCode") == "0", Queue: -1}
 	for pair := range strings.SplitSeq(l.fields["feedback"], ",") {
 		k, v, ok := strings.Cut(pair, ":")
@@ -156,19 +156,19 @@
 	return p
 }
 
-// Link hosts the schedulers of many instances behind one stream of batches.
-type Link struct {
-	banks     map[string][]scheduler.Endpoint
-	instances map[string]*scheduler.Scheduler
-	pending   map[string][]scheduler.Event
-	order     []string // instances with an event, in the order of their first
-	log       io.Writer
+// host runs the schedulers of many instances for one stream of batches.
+type host struct {
+	endpointLists map[string][]scheduler.Endpoint
+	instances     map[string]*scheduler.Scheduler
+	pending       map[string][]scheduler.Event
+	active        []string // instances with pending events, ordered by their first event
+	log           io.Writer
 }
 
-// Serve answers batches until the input ends.
+// Serve answers the batches of in on out until the input ends. Invalid messages are reported on log and skipped.
 func Serve(in io.Reader, out, log io.Writer) error {
-	link := &Link{
-		banks: map[string][]scheduler.Endpoint{}, instances: map[string]*scheduler.Scheduler{},
+	hosted := &host{
+		endpointLists: map[string][]scheduler.Endpoint{}, instances: map[string]*scheduler.Scheduler{},
 		pending: map[string][]scheduler.Event{}, log: log,
 	}
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
@@ -176,11 +176,11 @@
 		text, err := r.ReadString('\n')
 		if text = strings.TrimRight(text, "\r\n"); text != "" {
 			if l := parseLine(text); l.name == "BEGIN_BATCH" {
-				if err := link.batch(l, r, w); err != nil {
+				if err := hosted.handleBatch(l, r, w); err != nil {
 					return err
 				}
 			} else {
-				link.complain(fmt.Errorf("%s outside a batch", l.name))
+				hosted.logError(fmt.Errorf("%s outside a batch", l.name))
 			}
 		}
 		if err == io.EOF {
@@ -192,18 +192,18 @@
 	}
 }
 
-func (k *Link) complain(err error) { fmt.Fprintln(k.log, "benchlink:", err) }
+func (h *host) logError(err error) { fmt.Fprintln(h.log, "benchlink:", err) }
 
-func (k *Link) batch(head *line, r *bufio.Reader, w *bufio.Writer) error {
-	now, seq := scheduler.Micros(head.integer("timeUs")), head.text("seq")
-	if head.err != nil {
-		k.complain(head.err)
+func (h *host) handleBatch(begin *line, r *bufio.Reader, w *bufio.Writer) error {
+	now, seq := scheduler.Micros(begin.integer("timeUs")), begin.text("seq")
+	if begin.err != nil {
+		h.logError(begin.err)
 	}
-	bank, rows := "", int64(0)
+	listName, rows := "", int64(0)
 	for {
 		text, err := r.ReadString('\n')
 		if err != nil {
-			return fmt.Errorf("the input ended inside batch %s", seq)
+			return fmt.Errorf("input ended inside batch %s", seq)
 		}
 		if text = strings.TrimRight(text, "\r\n"); text == "" {
 			continue
@@ -211,75 +211,75 @@
 		l := parseLine(text)
 		switch l.name {
 		case "EOB":
-			k.flush(w, now)
+			h.stepInstances(w, now)
 			fmt.Fprintf(w, "DONE\tseq=%s\n", seq)
 			return w.Flush()
 		case "REGISTER":
-			bank, rows = l.text("bank"), l.integer("rows")
-			k.banks[bank] = make([]scheduler.Endpoint, 0, max(0, min(rows, 1<<16)))
+			listName, rows = l.text("bank"), l.integer("rows")
+			h.endpointLists[listName] = make([]scheduler.Endpoint, 0, max(0, min(rows, 1<<16)))
 		case "ENTRY":
-			if e := l.listing(); l.err == nil {
-				k.banks[bank] = append(k.banks[bank], e)
+			if e := l.endpoint(); l.err == nil {
+				h.endpointLists[listName] = append(h.endpointLists[listName], e)
 			}
 		default:
-			k.instanceLine(w, now, l)
+			h.handleInstanceLine(w, now, l)
 		}
 		if l.err != nil {
-			k.complain(l.err)
+			h.logError(l.err)
 		}
 	}
 }
 
-// instanceLine handles a message of one instance; a bad one is reported and left out.
-func (k *Link) instanceLine(w io.Writer, now scheduler.Micros, l *line) {
-	inst := l.text("i")
+// handleInstanceLine handles a message to one instance. An invalid message is skipped; its error is left in l.
+func (h *host) handleInstanceLine(w io.Writer, now scheduler.Micros, l *line) {
+	instance := l.text("i")
 	if l.err != nil {
 		return
 	}
 	switch l.name {
 	case "LAUNCH":
-		set, err := parseFacts(l.text("facts"))
+		set, err := parseSettings(l.text("facts"))
 		var s *scheduler.Scheduler
 		if err == nil {
 			s, err = scheduler.New(set, l.integer("seed"))
 		}
 		if err != nil {
-			fmt.Fprintf(w, "INTERNAL_ERROR\ti=%s\ttext=%s\n", inst, err)
+			fmt.Fprintf(w, "INTERNAL_ERROR\ti=%s\ttext=%s\n", instance, err)
 			return
 		}
-		k.instances[inst], k.pending[inst] = s, nil
+		h.instances[instance], h.pending[instance] = s, nil
 		return
 	case "CRASH_NOW":
-		delete(k.instances, inst)
-		k.pending[inst] = nil
+		delete(h.instances, instance)
+		h.pending[instance] = nil
 		return
 	}
-	event, ok := k.event(l)
+	event, ok := h.event(l)
 	if l.err != nil {
 		return
 	}
 	if !ok {
 		return
 	}
-	if k.instances[inst] == nil {
-		l.fail("instance " + inst + " has not started")
+	if h.instances[instance] == nil {
+		l.fail("instance " + instance + " has not started")
 		return
 	}
-	if len(k.pending[inst]) == 0 {
-		k.order = append(k.order, inst)
+	if len(h.pending[instance]) == 0 {
+		h.active = append(h.active, instance)
 	}
-	k.pending[inst] = append(k.pending[inst], event)
+	h.pending[instance] = append(h.pending[instance], event)
 }
 
-// event translates a message; ok is false where there is nothing to tell the scheduler.
-func (k *Link) event(l *line) (e scheduler.Event, ok bool) {
+// event translates a message to an event; ok is false if the message holds none for the scheduler.
+func (h *host) event(l *line) (e scheduler.Event, ok bool) {
 	switch l.name {
 	case "PEERS_KNOWN":
 		how := l.text("how")
 		if how == "failed" {
 			return nil, false
 		}
-		list, known := k.banks[l.text("bank")]
+		list, known := h.endpointLists[l.text("bank")]
 		if !known {
 			l.fail("bank " + l.fields["bank"] + " was never registered")
 		}
@@ -287,15 +287,15 @@
 	case "JOB_IN":
 		return l.request(), true
 	case "RESULT":
-		return l.outcome(), true
+		return l.attemptEnded(), true
 	case "LAPSED":
 		return scheduler.ClientLeft{ID: l.text("requestId")}, true
 	case "PROBE_RESULT":
-		return l.probed(), true
+		return l.healthChecked(), true
 	case "REMINDER":
 		return scheduler.TimerFired{}, true
 	case "NOTE_FROM":
-		return l.note("originPeer"), true
+		return l.peerMessage("originPeer"), true
 	case "BEGUN":
 		return nil, false
 	}
@@ -303,42 +303,42 @@
 	return nil, false
 }
 
-// flush steps each instance that has events and writes its actions.
-func (k *Link) flush(w io.Writer, now scheduler.Micros) {
-	for _, inst := range k.order {
-		events, s := k.pending[inst], k.instances[inst]
-		k.pending[inst] = nil
+// stepInstances runs a step of each instance that has pending events and writes the resulting actions.
+func (h *host) stepInstances(w io.Writer, now scheduler.Micros) {
+	for _, instance := range h.active {
+		events, s := h.pending[instance], h.instances[instance]
+		h.pending[instance] = nil
 		if s == nil || len(events) == 0 {
 			continue
 		}
 		for _, a := range s.Step(now, events) {
-			writeAction(w, inst, a)
+			writeAction(w, instance, a)
 		}
 	}
-	k.order = k.order[:0]
+	h.active = h.active[:0]
 }
 
-func writeAction(w io.Writer, inst string, a scheduler.Action) {
+func writeAction(w io.Writer, instance string, a scheduler.Action) {
 	switch a := a.(type) {
 	case scheduler.StartAttempt:
-		fmt.Fprintf(w, "TRY\ti=%s\trequestId=%s\ttarget=%s\n", inst, a.ID, a.Node)
+		fmt.Fprintf(w, "TRY\ti=%s\trequestId=%s\ttarget=%s\n", instance, a.ID, a.Node)
 	case scheduler.Reject:
-		fmt.Fprintf(w, "SHED\ti=%s\trequestId=%s\tcomeBackUs=%d\n", inst, a.ID, a.RetryAfter)
+		fmt.Fprintf(w, "SHED\ti=%s\trequestId=%s\tcomeBackUs=%d\n", instance, a.ID, a.RetryAfter)
 	case scheduler.Fail:
-		fmt.Fprintf(w, "END_FAILED\ti=%s\trequestId=%s\n", inst, a.ID)
+		fmt.Fprintf(w, "END_FAILED\ti=%s\trequestId=%s\n", instance, a.ID)
 	case scheduler.CancelAttempt:
-		fmt.Fprintf(w, "CANCEL\ti=%s\trequestId=%s\tseqNo=%d\n", inst, a.ID, a.Attempt)
+		fmt.Fprintf(w, "CANCEL\ti=%s\trequestId=%s\tseqNo=%d\n", instance, a.ID, a.Attempt)
 	case scheduler.CheckHealth:
-		fmt.Fprintf(w, "TEST\ti=%s\ttarget=%s\n", inst, a.Node)
+		fmt.Fprintf(w, "TEST\ti=%s\ttarget=%s\n", instance, a.Node)
 	case scheduler.RequestCapacity:
-		writeNote(w, inst, a.To, a)
+		writePeerMessage(w, instance, a.To, a)
 	case scheduler.GrantCapacity:
-		writeNote(w, inst, a.To, a)
+		writePeerMessage(w, instance, a.To, a)
 	case scheduler.SetTimer:
-		fmt.Fprintf(w, "TIMER\ti=%s\tatUs=%d\tctx=0\n", inst, a.At)
+		fmt.Fprintf(w, "TIMER\ti=%s\tatUs=%d\tctx=0\n", instance, a.At)
 	}
 }
 
-func writeNote(w io.Writer, inst string, to int, a scheduler.Action) {
-	fmt.Fprintf(w, "SHARE\ti=%s\trecipient=%d\toctets=%s\n", inst, to, base64.StdEncoding.EncodeToString(protocol.FormatNote(a)))
+func writePeerMessage(w io.Writer, instance string, to int, a scheduler.Action) {
+	fmt.Fprintf(w, "SHARE\ti=%s\trecipient=%d\toctets=%s\n", instance, to, base64.StdEncoding.EncodeToString(protocol.FormatNote(a)))
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -35,25 +35,25 @@
 	cases := []struct{ name, in, out, log string }{
 		{"empty", batch("1", ""), "DONE\tseq=1\n", ""},
 		{
-			"a request is sent", batch("1", start+job),
+			"a request is sent to the node", batch("1", start+job),
 			"TRY\ti=initiator/0\trequestId=rq_x\ttarget=t-a\nDONE\tseq=1\n", "",
 		},
 		{
-			"one that can't be served is refused", batch("1", start+strings.Replace(job, "leftUs=900000", "leftUs=0", 1)),
+			"a request without time left is rejected", batch("1", start+strings.Replace(job, "leftUs=900000", "leftUs=0", 1)),
 			"SHED\ti=initiator/0\trequestId=rq_x\tcomeBackUs=0\nDONE\tseq=1\n", "",
 		},
-		{"killed in the same batch", batch("1", start+job+"CRASH_NOW\ti=initiator/0\n"), "DONE\tseq=1\n", ""},
-		{"killed and started again", batch("1", start+job+"CRASH_NOW\ti=initiator/0\n"+start), "DONE\tseq=1\n", ""},
+		{"instance crashes in the same batch", batch("1", start+job+"CRASH_NOW\ti=initiator/0\n"), "DONE\tseq=1\n", ""},
+		{"instance crashes and starts again in the same batch", batch("1", start+job+"CRASH_NOW\ti=initiator/0\n"+start), "DONE\tseq=1\n", ""},
 		{"unknown message", batch("1", start+"HELLO\ti=initiator/0\n"), "DONE\tseq=1\n", "unknown message"},
 		{"missing field", batch("1", start+strings.Replace(job, "leftUs=900000\t", "", 1)), "DONE\tseq=1\n", "leftUs"},
 		{"not a number", batch("1", start+strings.Replace(job, "grade=0", "grade=x", 1)), "DONE\tseq=1\n", "grade"},
 		{
-			"unregistered list", batch("1", start+"PEERS_KNOWN\ti=initiator/0\thow=full\tindex=2\tbank=5\n"),
+			"unknown endpoint list", batch("1", start+"PEERS_KNOWN\ti=initiator/0\thow=full\tindex=2\tbank=5\n"),
 			"DONE\tseq=1\n", "bank 5",
 		},
 		{"not started", batch("1", job), "DONE\tseq=1\n", "not started"},
 		{
-			"unusable settings", batch("1", "LAUNCH\ti=initiator/0\tseed=7\tfacts={}\n"),
+			"invalid settings", batch("1", "LAUNCH\ti=initiator/0\tseed=7\tfacts={}\n"),
 			"INTERNAL_ERROR\ti=initiator/0\ttext=settings: Tick must be above 0\nDONE\tseq=1\n", "",
 		},
 		{"failed discovery", batch("1", start+"PEERS_KNOWN\ti=initiator/0\thow=failed\tindex=2\n"), "DONE\tseq=1\n", ""},
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestInstancesAreApart(t *testing.T) {
+func TestInstancesAreIndependent(t *testing.T) {
 	other := strings.ReplaceAll(start+job, "initiator/0", "initiator/1")
 	out, _ := serve(t, batch("1", start+other))
 	if strings.Contains(out, "initiator/0") || !strings.Contains(out, "TRY\ti=initiator/1") {
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestAnswersPassThrough(t *testing.T) {
+func TestFailedAttemptIsRetried(t *testing.T) {
 	in := batch("1", start+job) +
 		batch("2", "RESULT\ti=initiator/0\trequestId=rq_x\tseqNo=0\ttarget=t-a\tstateCode=13\tlatencyUs=5\tfinal=0\n")
 	if out, log := serve(t, in); strings.Count(out, "TRY\t") != 2 || log != "" {
@@ -102,28 +102,28 @@
 func TestInputEndsInsideABatch(t *testing.T) {
 	var o, l strings.Builder
 	if err := Serve(strings.NewReader("BEGIN_BATCH\ttimeUs=1\tseq=1\n"), &o, &l); err == nil {
-		t.Error("no error")
+		t.Error("no error for an incomplete batch")
 	}
 }
 
-func TestSettings(t *testing.T) {
-	set, err := parseFacts(`{"balancers":3,"classes":[{"semantics":"dedup","group":"cell","windowUs":4000000,"byArrival":true}],
+func TestParseSettings(t *testing.T) {
+	set, err := parseSettings(`{"balancers":3,"classes":[{"semantics":"dedup","group":"cell","windowUs":4000000,"byArrival":true}],
 		"contracts":[{"ceilingRate":17,"limitBurst":48}],"safety":{"keyRestUs":200,"budgetSpanUs":5}}`)
 	c := set.Classes[0]
 	if err != nil || set.Fronts != 3 || c.Idempotency != scheduler.IdempotentByKey || c.DedupScope != scheduler.SameShard || !c.InOrder ||
 		set.Plans[0].Limit != 17 || set.KeyPause != 200 || set.RetryBudgetSpan != 5 {
-		t.Errorf("%+v, %v", set, err)
+		t.Errorf("unexpected settings %+v, error %v", set, err)
 	}
-	if _, err := parseFacts(`{"classes":[{"semantics":"odd"}]}`); err == nil {
+	if _, err := parseSettings(`{"classes":[{"semantics":"odd"}]}`); err == nil {
 		t.Error("no error for unknown semantics")
 	}
 }
 
-func TestProbeTellsTheQueueOrThatItDoesNot(t *testing.T) {
+func TestProbeResultQueue(t *testing.T) {
 	for text, want := range map[string]float64{"utilization:0.5,backlog:3": 3, "utilization:0.5": -1, "": -1} {
 		l := parseLine("PROBE_RESULT\ttarget=a\tstateCode=0\tlatencyUs=5\tfeedback=" + text)
-		if p := l.probed(); !p.OK || p.Queue != want || l.err != nil {
-			t.Errorf("%q: %+v, %v", text, p, l.err)
+		if p := l.healthChecked(); !p.OK || p.Queue != want || l.err != nil {
+			t.Errorf("feedback %q: %+v, error %v", text, p, l.err)
 		}
 	}
 }
