--- a/internal/lab/authority/authority.go
+++ b/internal/lab/authority/authority.go
@@ -1,6 +1,7 @@
-// Package authority is the laboratory's certificate authority: it speaks ACME (RFC 8555) with HTTP-01, TLS-ALPN-01
-// (RFC 8737), external account binding, key rollover, revocation and renewal information (RFC 9773). It is strict
-// where an authority may be, and fails by script. It is for loopback and for tests: nobody should trust it.
+// Package authority provides the certificate authority of the laboratory. It implements ACME (RFC 8555) with HTTP-01,
+// TLS-ALPN-01 (RFC 8737), external account binding, key rollover, revocation and renewal information (RFC 9773). It
+// makes all checks that an authority may make, and injects faults from a script. It is for tests on loopback: its
+// certificates must not be trusted anywhere else.
 package authority
 
 import (
@@ -22,19 +23,19 @@
 	"github.com/go-jose/go-jose/v4"
 )
 
-// Settings are what the authority is told.
+// Settings configure an authority.
 type Settings struct {
-	Lifetime time.Duration     // of certificates, and up to a second more: X.509 knows no parts of one
-	Backdate time.Duration     // certificates are valid from so long ago
-	HTTP     string            // where HTTP-01 answers are fetched, in the place of a name's port 80
-	TLS      string            // and TLS-ALPN-01 ones, in the place of its port 443
-	Bindings map[string][]byte // keys of external accounts by their ids; where there are any, an account needs one
-	Informs  bool              // whether it offers renewal information
-	Patience time.Duration     // a challenge must be answered within
+	Lifetime time.Duration     // lifetime of certificates, which last up to 1 s longer because X.509 times have whole seconds
+	Backdate time.Duration     // certificates are valid from this long before their issue
+	HTTP     string            // address that HTTP-01 validation connects to in place of port 80 of a name
+	TLS      string            // address that TLS-ALPN-01 validation connects to in place of port 443 of a name
+	Bindings map[string][]byte // keys of external accounts by id; if there are any, each new account needs one
+	Informs  bool              // renewal information is offered
+	Patience time.Duration     // timeout of the validation of a challenge, 5 s if 0
 	Faults   *Faults           // nil for none
 }
 
-// Authority is a running one.
+// Authority is a running certificate authority.
 type Authority struct {
 	Settings
 	server *httptest.Server
@@ -112,32 +113,32 @@
 	return a, nil
 }
 
-// Close ends the authority, and what it has stalled.
+// Close stops the authority and ends requests that a fault has stalled.
 func (a *Authority) Close() {
 	close(a.stopped)
 	a.server.CloseClientConnections()
 	a.server.Close()
 }
 
-// Directory is the URL that clients are given.
+// Directory returns the URL of the ACME directory.
 func (a *Authority) Directory() string { return a.url("/directory") }
 
 func (a *Authority) url(path string) string { return a.server.URL + path }
 
-// ServerRoots is what a client needs to trust the authority's own server, in PEM.
+// ServerRoots returns the certificate of the authority's own HTTPS server in PEM, which clients must trust.
 func (a *Authority) ServerRoots() []byte { return encodePEM(a.server.Certificate().Raw) }
 
-// Roots is what its certificates chain to.
+// Roots returns the pool with the root of the certificates that the authority issues.
 func (a *Authority) Roots() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.root)
 	return pool
 }
 
-// Counts are what the authority has seen.
+// Counts holds the numbers of accounts, orders, and issued and revoked certificates.
 type Counts struct{ Accounts, Orders, Issued, Revoked int }
 
-// Counts tells what the authority has seen.
+// Counts returns the present numbers.
 func (a *Authority) Counts() Counts {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -150,7 +151,7 @@
 	return c
 }
 
-// Ask has all certificates that are out renewed within a window, by renewal information.
+// Ask sets the window that renewal information suggests for all certificates issued so far.
 func (a *Authority) Ask(from, to time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -159,7 +160,7 @@
 	}
 }
 
-// sign makes a certificate.
+// sign creates a certificate.
 func sign(template, parent *x509.Certificate, pub any, key *ecdsa.PrivateKey) (*x509.Certificate, error) {
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, pub, key)
 	if err != nil {
@@ -172,8 +173,8 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
 }
 
-// issue certifies an order's names for the key of its request. Wrong chains are for another key, other names or the
-// past.
+// issue issues the certificate chain of an order. A fault may make the chain wrong: for another key, for other names or
+// already expired.
 func (a *Authority) issue(o *order, csr *x509.CertificateRequest, wrong string) ([]byte, error) {
 	a.serial++
 	now := time.Now()
@@ -203,7 +204,7 @@
 	return append(encodePEM(leaf.Raw), encodePEM(a.root.Raw)...), nil
 }
 
-// problem is an error of RFC 7807, as RFC 8555, section 6.7, has it.
+// problem is a problem document (RFC 7807) of RFC 8555, section 6.7.
 type problem struct {
 	status     int
 	kind       string
@@ -221,7 +222,7 @@
 	return &problem{status: status, kind: kind, detail: fmt.Sprintf(format, args...)}
 }
 
-// newID makes a URL that nobody could guess.
+// newID returns a URL that can't be guessed.
 func (a *Authority) newID(kind string) string {
 	return a.url("/" + kind + "/" + strings.ToLower(rand.Text()))
 }
@@ -234,7 +235,8 @@
 
 type pkixExtension = pkix.Extension
 
-// serialBytes is a certificate's serial as its DER encoding has it, which RFC 9773, section 4.1, names it by.
+// serialBytes returns the serial number of a certificate in its DER encoding, as used in the identifiers of RFC 9773,
+// section 4.1.
 func serialBytes(c *x509.Certificate) []byte {
 	b := c.SerialNumber.Bytes()
 	if len(b) == 0 || b[0]&0x80 != 0 {
@@ -243,7 +245,7 @@
 	return b
 }
 
-// SelfSigned is a certificate for a name that no authority made, and what trusts it.
+// SelfSigned returns a self-signed certificate for a name and the pool that trusts it.
 func SelfSigned(name string, lifetime time.Duration) (tls.Certificate, *x509.CertPool, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/lab/authority/faults.go
+++ b/internal/lab/authority/faults.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Fault is what goes wrong at a step, and when.
+// Fault is a fault at a step of the protocol, with the time in which it occurs.
 type Fault struct {
-	Step  string        `toml:"step"`  // directory, nonce, account, order, authz, challenge, finalize, cert, key, revoke, info, or "" for each
+	Step  string        `toml:"step"`  // directory, nonce, account, order, authz, challenge, finalize, cert, key, revoke, info, or "" for all
 	Do    string        `toml:"do"`    // refuse, reject, limit, stall, cut, nonsense, nonces, invalid, forget, wrong key, wrong names, wrong time
-	After time.Duration `toml:"after"` // from so long after the start on
-	For   time.Duration `toml:"for"`   // for so long, 0 for ever
-	Times int           `toml:"times"` // so often at the most, 0 for always
-	Retry time.Duration `toml:"retry"` // Retry-After of a limit
+	After time.Duration `toml:"after"` // starts this long after Set
+	For   time.Duration `toml:"for"`   // lasts this long, 0 for no end
+	Times int           `toml:"times"` // occurs at most this often, 0 for no bound
+	Retry time.Duration `toml:"retry"` // Retry-After of "limit"
 }
 
-// Faults is a script. It may be changed while the authority runs.
+// Faults is a script of faults. It may be changed while the authority runs.
 type Faults struct {
 	mu    sync.Mutex
 	start time.Time
@@ -24,21 +24,21 @@
 	count int
 }
 
-// Count tells how often something went wrong by the script.
+// Count returns how many faults have occurred.
 func (f *Faults) Count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.count
 }
 
-// Set replaces the script; its times count from here.
+// Set replaces the script. The times of its faults count from this call.
 func (f *Faults) Set(list ...Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.start, f.list = time.Now(), list
 }
 
-// at tells what goes wrong at a step now, and counts it.
+// at returns the fault that occurs at a step now, nil for none, and counts it.
 func (f *Faults) at(step string) *Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// strike has a fault take the place of an answer; it tells whether it did.
+// strike applies a fault that replaces the answer, and reports whether there was one.
 func (a *Authority) strike(w http.ResponseWriter, r *http.Request, f *Fault) bool {
 	switch {
 	case f == nil:
@@ -70,11 +70,11 @@
 	case f.Do == "reject":
 		a.fail(w, bad(http.StatusForbidden, "rejectedIdentifier", "the authority will not certify this"))
 	case f.Do == "limit":
-		p := bad(http.StatusTooManyRequests, "rateLimited", "too many of these")
+		p := bad(http.StatusTooManyRequests, "rateLimited", "rate limit exceeded")
 		p.retryAfter = f.Retry
 		a.fail(w, p)
 	case f.Do == "nonces":
-		a.fail(w, bad(http.StatusBadRequest, "badNonce", "not taken"))
+		a.fail(w, bad(http.StatusBadRequest, "badNonce", "nonce rejected"))
 	case f.Do == "forget":
 		a.fail(w, bad(http.StatusBadRequest, "accountDoesNotExist", "no such account"))
 	case f.Do == "stall":
@@ -87,7 +87,7 @@
 	case f.Do == "nonsense":
 		w.Write([]byte("<html>maintenance</html>"))
 	default:
-		return false // it changes the step's answer, and does not take its place
+		return false // the fault changes the answer of the step instead of replacing it
 	}
 	return true
 }
--- a/internal/lab/authority/protocol.go
+++ b/internal/lab/authority/protocol.go
@@ -21,11 +21,13 @@
 	"github.com/go-jose/go-jose/v4"
 )
 
-// message is a signed request that holds (section 6.2 to 6.4).
+// Section numbers without an RFC are those of RFC 8555.
+
+// message is a verified request (sections 6.2 to 6.4).
 type message struct {
 	payload []byte
-	account *account         // nil for one that is signed by a key of its own
-	key     *jose.JSONWebKey // then that key
+	account *account         // nil if the message carries its own key
+	key     *jose.JSONWebKey // the key that the message carries, otherwise nil
 }
 
 func (a *Authority) routes() http.Handler {
@@ -60,7 +62,7 @@
 	return mux
 }
 
-// step is one step of the protocol: it may fail by script, it has a fresh nonce, and it owns the state.
+// step wraps the handler of a protocol step: it applies faults of the script and adds a fresh nonce to the answer.
 func (a *Authority) step(name string, do func(http.ResponseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		fault := a.Faults.at(name)
@@ -81,7 +83,7 @@
 
 type faultKey struct{}
 
-// wrong is a fault of the step that does not take the place of its answer.
+// wrong returns the fault that changes the answer of the step, "" for none.
 func wrong(r *http.Request) string {
 	s, _ := r.Context().Value(faultKey{}).(string)
 	return s
@@ -108,10 +110,12 @@
 
 var algorithms = []jose.SignatureAlgorithm{jose.ES256, jose.RS256}
 
-// open checks a signed message: media type, nonce, address, and the signature by the account's key or its own.
+// open verifies a signed message: media type, nonce, URL, and the signature by the account's key or by the key that the
+// message carries.
 func (a *Authority) open(r *http.Request) (message, error) {
 	if r.Header.Get("Content-Type") != "application/jose+json" {
-		return message{}, bad(http.StatusUnsupportedMediaType, "malformed", "content type %q", r.Header.Get("Content-Type"))
+		return message{}, bad(http.StatusUnsupportedMediaType, "malformed",
+			"content type %q is not application/jose+json", r.Header.Get("Content-Type"))
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<16))
 	if err != nil {
@@ -119,45 +123,45 @@
 	}
 	signed, err := jose.ParseSignedJSON(string(body), algorithms)
 	if err != nil || len(signed.Signatures) != 1 {
-		return message{}, bad(http.StatusBadRequest, "malformed", "no signed message: %v", err)
+		return message{}, bad(http.StatusBadRequest, "malformed", "not a message with one signature: %v", err)
 	}
 	head := signed.Signatures[0].Protected
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.nonces[head.Nonce] {
-		return message{}, bad(http.StatusBadRequest, "badNonce", "a nonce that was never given or is used up")
+		return message{}, bad(http.StatusBadRequest, "badNonce", "nonce unknown or already used")
 	}
 	delete(a.nonces, head.Nonce)
 	if url, _ := head.ExtraHeaders["url"].(string); url != a.url(r.URL.Path) {
-		return message{}, bad(http.StatusUnauthorized, "unauthorized", "signed for %q", url)
+		return message{}, bad(http.StatusUnauthorized, "unauthorized", "message is signed for another URL: %q", url)
 	}
 	var m message
 	key := head.JSONWebKey
 	switch {
 	case (key != nil) == (head.KeyID != ""):
-		return message{}, bad(http.StatusBadRequest, "malformed", "either jwk or kid must stand in the head")
+		return message{}, bad(http.StatusBadRequest, "malformed", "protected header must have either jwk or kid")
 	case key != nil:
 		m.key = key
 	default:
 		m.account = a.accounts[head.KeyID]
 		if m.account == nil {
-			return message{}, bad(http.StatusBadRequest, "accountDoesNotExist", "no account %q", head.KeyID)
+			return message{}, bad(http.StatusBadRequest, "accountDoesNotExist", "account %q does not exist", head.KeyID)
 		}
 		if m.account.status != "valid" {
-			return message{}, bad(http.StatusUnauthorized, "unauthorized", "the account is %s", m.account.status)
+			return message{}, bad(http.StatusUnauthorized, "unauthorized", "account status is %s", m.account.status)
 		}
 		key = &m.account.key
 	}
 	if m.payload, err = signed.Verify(key); err != nil {
-		return message{}, bad(http.StatusUnauthorized, "unauthorized", "the signature does not hold")
+		return message{}, bad(http.StatusUnauthorized, "unauthorized", "signature does not verify")
 	}
 	if own := r.URL.Path == "/account" || r.URL.Path == "/revoke"; m.account == nil && !own {
-		return message{}, bad(http.StatusBadRequest, "malformed", "the message must be signed for an account")
+		return message{}, bad(http.StatusBadRequest, "malformed", "message must be signed by an account")
 	}
 	return m, nil
 }
 
-// newAccount is section 7.3: an account for a key, the same one for the same key.
+// newAccount creates an account or returns the existing account of the key (section 7.3).
 func (a *Authority) newAccount(w http.ResponseWriter, _ *http.Request, m message) error {
 	var in struct {
 		OnlyReturnExisting     bool
@@ -165,7 +169,7 @@
 		ExternalAccountBinding json.RawMessage
 	}
 	if m.key == nil || json.Unmarshal(m.payload, &in) != nil {
-		return bad(http.StatusBadRequest, "malformed", "no request for an account")
+		return bad(http.StatusBadRequest, "malformed", "not an account request")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -176,7 +180,7 @@
 		}
 	}
 	if in.OnlyReturnExisting {
-		return bad(http.StatusBadRequest, "accountDoesNotExist", "no account has this key")
+		return bad(http.StatusBadRequest, "accountDoesNotExist", "no account exists for this key")
 	}
 	acct := &account{url: a.newID("account"), status: "valid", key: *m.key}
 	if len(a.Bindings) > 0 {
@@ -190,20 +194,21 @@
 	return reply(w, http.StatusCreated, map[string]any{"status": acct.status})
 }
 
-// binding is section 7.3.4: the external account's key has signed the account's.
+// binding verifies an external account binding, in which the key of the external account signs the account's key
+// (section 7.3.4). It returns the id of the external account.
 func (a *Authority) binding(text json.RawMessage, key jose.JSONWebKey) (string, error) {
 	if len(text) == 0 {
-		return "", bad(http.StatusForbidden, "externalAccountRequired", "an external account must be named")
+		return "", bad(http.StatusForbidden, "externalAccountRequired", "external account binding is missing")
 	}
 	signed, err := jose.ParseSignedJSON(string(text), []jose.SignatureAlgorithm{jose.HS256})
 	if err != nil {
-		return "", bad(http.StatusBadRequest, "malformed", "the binding: %v", err)
+		return "", bad(http.StatusBadRequest, "malformed", "external account binding: %v", err)
 	}
 	id := signed.Signatures[0].Protected.KeyID
 	payload, err := signed.Verify(a.Bindings[id])
 	var bound jose.JSONWebKey
 	if err != nil || json.Unmarshal(payload, &bound) != nil || !sameKey(bound, key) {
-		return "", bad(http.StatusUnauthorized, "unauthorized", "the binding to %q does not hold", id)
+		return "", bad(http.StatusUnauthorized, "unauthorized", "external account binding to %q does not verify", id)
 	}
 	return id, nil
 }
@@ -216,16 +221,16 @@
 
 func (a *Authority) showAccount(w http.ResponseWriter, r *http.Request, m message) error {
 	if m.account.url != a.url(r.URL.Path) {
-		return bad(http.StatusUnauthorized, "unauthorized", "another's account")
+		return bad(http.StatusUnauthorized, "unauthorized", "account of another key")
 	}
 	return reply(w, http.StatusOK, map[string]any{"status": m.account.status})
 }
 
-// changeKey is section 7.3.5: the new key signs for the old one's account.
+// changeKey replaces the key of an account. The inner message is signed by the new key (section 7.3.5).
 func (a *Authority) changeKey(w http.ResponseWriter, _ *http.Request, m message) error {
 	inner, err := jose.ParseSignedJSON(string(m.payload), algorithms)
 	if err != nil || inner.Signatures[0].Protected.JSONWebKey == nil {
-		return bad(http.StatusBadRequest, "malformed", "no inner message with a key: %v", err)
+		return bad(http.StatusBadRequest, "malformed", "inner message with a key is missing: %v", err)
 	}
 	next := inner.Signatures[0].Protected.JSONWebKey
 	payload, err := inner.Verify(next)
@@ -234,29 +239,29 @@
 		OldKey  jose.JSONWebKey
 	}
 	if err != nil || json.Unmarshal(payload, &in) != nil {
-		return bad(http.StatusBadRequest, "malformed", "the inner message does not hold")
+		return bad(http.StatusBadRequest, "malformed", "inner message does not verify")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if in.Account != m.account.url || !sameKey(in.OldKey, m.account.key) {
-		return bad(http.StatusUnauthorized, "unauthorized", "of another account or key")
+		return bad(http.StatusUnauthorized, "unauthorized", "inner message names another account or key")
 	}
 	for _, has := range a.accounts {
 		if sameKey(has.key, *next) {
-			return bad(http.StatusConflict, "malformed", "the key has an account")
+			return bad(http.StatusConflict, "malformed", "new key already has an account")
 		}
 	}
 	m.account.key = *next
 	return reply(w, http.StatusOK, map[string]any{"status": "valid"})
 }
 
-// newOrder is section 7.4.
+// newOrder creates an order with an authorization per name (section 7.4).
 func (a *Authority) newOrder(w http.ResponseWriter, r *http.Request, m message) error {
 	var in struct {
 		Identifiers []struct{ Type, Value string }
 	}
 	if err := json.Unmarshal(m.payload, &in); err != nil || len(in.Identifiers) == 0 {
-		return bad(http.StatusBadRequest, "malformed", "no identifiers")
+		return bad(http.StatusBadRequest, "malformed", "order without identifiers")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -273,7 +278,7 @@
 		o.names, o.authzs = append(o.names, id.Value), append(o.authzs, z)
 	}
 	if wrong(r) == "invalid" {
-		o.status, o.problem = "invalid", bad(http.StatusForbidden, "unauthorized", "the order is void").body()
+		o.status, o.problem = "invalid", bad(http.StatusForbidden, "unauthorized", "order is invalid").body()
 	}
 	a.orders[o.url] = o
 	w.Header().Set("Location", o.url)
@@ -282,7 +287,7 @@
 
 func (a *Authority) id(url string) string { return url[strings.LastIndex(url, "/")+1:] }
 
-// view is an order as clients see it (section 7.1.3). The lock is held.
+// view updates the status of an order and returns its representation (section 7.1.3). a.mu must be held.
 func (a *Authority) view(o *order) map[string]any {
 	if o.status == "pending" && !slices.ContainsFunc(o.authzs, func(z *authz) bool { return z.status != "valid" }) {
 		o.status = "ready"
@@ -307,11 +312,11 @@
 	return out
 }
 
-// own finds an account's order.
+// own returns the order of a request if it belongs to the account. a.mu must be held.
 func (a *Authority) own(r *http.Request, m message) (*order, error) {
 	o := a.orders[a.url("/order/"+r.PathValue("id"))]
 	if o == nil || o.owner != m.account.url {
-		return nil, bad(http.StatusNotFound, "malformed", "no such order")
+		return nil, bad(http.StatusNotFound, "malformed", "order does not exist")
 	}
 	return o, nil
 }
@@ -348,12 +353,12 @@
 	defer a.mu.Unlock()
 	z := a.authzs[a.url(r.URL.Path)]
 	if z == nil || z.owner != m.account.url {
-		return bad(http.StatusNotFound, "malformed", "no such authorization")
+		return bad(http.StatusNotFound, "malformed", "authorization does not exist")
 	}
 	return reply(w, http.StatusOK, z.view())
 }
 
-// challenge is section 7.5.1: the client says that it is ready, and the authority looks for itself.
+// challenge starts the validation of a challenge that the client declares ready (section 7.5.1).
 func (a *Authority) challenge(w http.ResponseWriter, r *http.Request, m message) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -373,10 +378,10 @@
 			return reply(w, http.StatusOK, z.challengeView(c))
 		}
 	}
-	return bad(http.StatusNotFound, "malformed", "no such challenge")
+	return bad(http.StatusNotFound, "malformed", "challenge does not exist")
 }
 
-// validate fetches the answer to a challenge.
+// validate validates a challenge and sets its status and the status of its authorization.
 func (a *Authority) validate(z *authz, c *challenge, want string) {
 	ctx, end := context.WithTimeout(context.Background(), a.Patience)
 	defer end()
@@ -394,7 +399,7 @@
 	}
 }
 
-// fetchHTTP is section 8.3.
+// fetchHTTP validates an HTTP-01 challenge (section 8.3).
 func (a *Authority) fetchHTTP(ctx context.Context, z *authz, want string) *problem {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.HTTP+"/.well-known/acme-challenge/"+z.token, nil)
 	if err != nil {
@@ -409,12 +414,12 @@
 	defer resp.Body.Close()
 	got, err := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
 	if err != nil || resp.StatusCode != http.StatusOK || string(bytes.TrimSpace(got)) != want {
-		return bad(http.StatusForbidden, "unauthorized", "answered %d %q, %v", resp.StatusCode, got, err)
+		return bad(http.StatusForbidden, "unauthorized", "HTTP-01 answer with status %d: %q, %v", resp.StatusCode, got, err)
 	}
 	return nil
 }
 
-// fetchTLS is RFC 8737, section 3.
+// fetchTLS validates a TLS-ALPN-01 challenge (RFC 8737, section 3).
 func (a *Authority) fetchTLS(ctx context.Context, z *authz, want string) *problem {
 	dialer := &tls.Dialer{Config: &tls.Config{ServerName: z.name, NextProtos: []string{"acme-tls/1"}, InsecureSkipVerify: true}}
 	conn, err := dialer.DialContext(ctx, "tcp", a.TLS)
@@ -425,17 +430,18 @@
 	state := conn.(*tls.Conn).ConnectionState()
 	leaf := state.PeerCertificates[0]
 	sum := sha256.Sum256([]byte(want))
-	extension := append([]byte{4, 32}, sum[:]...) // an octet string
+	extension := append([]byte{4, 32}, sum[:]...) // tag and length of a DER octet string
 	found := slices.ContainsFunc(leaf.Extensions, func(e pkixExtension) bool {
 		return e.Id.String() == "1.3.6.1.5.5.7.1.31" && e.Critical && bytes.Equal(e.Value, extension)
 	})
 	if state.NegotiatedProtocol != "acme-tls/1" || !slices.Equal(leaf.DNSNames, []string{z.name}) || !found {
-		return bad(http.StatusForbidden, "unauthorized", "protocol %q, a certificate of %v", state.NegotiatedProtocol, leaf.DNSNames)
+		return bad(http.StatusForbidden, "unauthorized",
+			"TLS-ALPN-01 answer with protocol %q and a certificate for %v", state.NegotiatedProtocol, leaf.DNSNames)
 	}
 	return nil
 }
 
-// finalize is section 7.4: the request must be for the order's names, all and no others.
+// finalize issues the certificate of an order. The signing request must have exactly the order's names (section 7.4).
 func (a *Authority) finalize(w http.ResponseWriter, r *http.Request, m message) error {
 	var in struct{ CSR string }
 	if err := json.Unmarshal(m.payload, &in); err != nil {
@@ -465,14 +471,14 @@
 	}
 	slices.Sort(names)
 	if want := slices.Sorted(slices.Values(o.names)); !slices.Equal(names, want) {
-		return bad(http.StatusBadRequest, "badCSR", "for %v, the order is for %v", names, want)
+		return bad(http.StatusBadRequest, "badCSR", "signing request is for %v, order is for %v", names, want)
 	}
 	if o.status != "ready" {
-		return bad(http.StatusForbidden, "orderNotReady", "the order is %s", o.status)
+		return bad(http.StatusForbidden, "orderNotReady", "order status is %s", o.status)
 	}
 	if same, err := x509.MarshalPKIXPublicKey(csr.PublicKey); err == nil {
 		if own, err := x509.MarshalPKIXPublicKey(m.account.key.Key); err == nil && bytes.Equal(same, own) {
-			return bad(http.StatusBadRequest, "badCSR", "for the account's own key")
+			return bad(http.StatusBadRequest, "badCSR", "signing request is for the account's own key")
 		}
 	}
 	if o.chain, err = a.issue(o, csr, wrong(r)); err != nil {
@@ -488,14 +494,14 @@
 	defer a.mu.Unlock()
 	o, err := a.own(r, m)
 	if err != nil || o.chain == nil {
-		return bad(http.StatusNotFound, "malformed", "no certificate yet")
+		return bad(http.StatusNotFound, "malformed", "certificate not issued yet")
 	}
 	w.Header().Set("Content-Type", "application/pem-certificate-chain")
 	_, err = w.Write(o.chain)
 	return err
 }
 
-// revoke is section 7.6: by the account that ordered it, or by the certificate's own key.
+// revoke revokes a certificate for the account that ordered it or for the owner of its key (section 7.6).
 func (a *Authority) revoke(w http.ResponseWriter, _ *http.Request, m message) error {
 	var in struct{ Certificate string }
 	if err := json.Unmarshal(m.payload, &in); err != nil {
@@ -514,18 +520,18 @@
 	has := a.issued[fmt.Sprintf("%x", cert.SerialNumber)]
 	switch {
 	case has == nil || !bytes.Equal(has.cert.Raw, der):
-		return bad(http.StatusNotFound, "malformed", "not issued here")
+		return bad(http.StatusNotFound, "malformed", "certificate was not issued by this authority")
 	case has.revoked:
-		return bad(http.StatusBadRequest, "alreadyRevoked", "it is revoked")
+		return bad(http.StatusBadRequest, "alreadyRevoked", "certificate is already revoked")
 	case m.account != nil && m.account.url != has.owner, m.key != nil && !sameKey(*m.key, jose.JSONWebKey{Key: cert.PublicKey}):
-		return bad(http.StatusForbidden, "unauthorized", "neither the account's nor the certificate's key")
+		return bad(http.StatusForbidden, "unauthorized", "signed by neither the owning account nor the certificate's key")
 	}
 	has.revoked = true
 	w.WriteHeader(http.StatusOK)
 	return nil
 }
 
-// info is RFC 9773, section 4.2.
+// info returns the renewal information of a certificate (RFC 9773, section 4.2).
 func (a *Authority) info(w http.ResponseWriter, r *http.Request) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -545,5 +551,5 @@
 			"start": window[0].UTC().Format(time.RFC3339Nano), "end": window[1].UTC().Format(time.RFC3339Nano),
 		}})
 	}
-	return bad(http.StatusNotFound, "malformed", "no such certificate")
+	return bad(http.StatusNotFound, "malformed", "certificate does not exist")
 }
--- a/internal/lab/faults/injector.go
+++ b/internal/lab/faults/injector.go
@@ -1,6 +1,7 @@
 // Package faults makes system calls of a child process fail in the ways that Linux documents, without special rights: a seccomp
-// filter hands the calls chosen to the parent (user notification, seccomp_unotify(2)), which lets each go on, holds it up, or
-// answers it with an error. It sees what a Go program calls itself, unlike a library that is loaded ahead of the C library.
+// filter passes selected calls to the parent (user notification, seccomp_unotify(2)), which lets each call continue, delays it or
+// fails it with an error. Unlike a preloaded library that replaces functions of the C library, the filter also covers the system calls
+// that a Go program makes directly.
 package faults
 
 import (
@@ -18,17 +19,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Rule has calls of one number fail or wait. A rule without Times and Until holds until Clear.
+// Rule makes calls of one system call fail or wait. A rule without Times and Until applies until Clear.
 type Rule struct {
-	Call  uintptr       // number of the system call
-	Err   unix.Errno    // the error that it returns, 0 for none: it goes on after Hold
-	Hold  time.Duration // for which the call waits first
-	Times int           // so many calls, 0 for any number
-	Until time.Time     // and none after this, zero for no end
-	Match func(pid uint32, args [6]uint64) bool
+	Call  uintptr                               // number of the system call
+	Err   unix.Errno                            // error that the call returns; 0 if the call continues after Hold
+	Hold  time.Duration                         // delay of the call
+	Times int                                   // number of calls that the rule applies to, 0 for no bound
+	Until time.Time                             // end of the rule, zero for none
+	Match func(pid uint32, args [6]uint64) bool // restricts the rule to some calls, nil for all
 }
 
-// Injector decides on the calls of one child process.
+// Injector applies rules to the system calls of one child process.
 type Injector struct {
 	listener int
 	ended    chan struct{}
@@ -38,7 +39,7 @@
 	injected map[uintptr]int
 }
 
-// Start starts a command under a filter that hands the calls of these numbers to the Injector. wrapper is a program whose main
+// Start starts a command under a filter that passes the given system calls to the Injector. wrapper is a program whose main function
 // begins with ExecIfWrapper.
 func Start(cmd *exec.Cmd, wrapper string, calls ...uintptr) (*Injector, error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -72,7 +73,7 @@
 	return i, nil
 }
 
-var errNoListener = errors.New("the wrapper ended before it handed over the listener")
+var errNoListener = errors.New("wrapper process ended before it sent the filter's listener")
 
 func receiveListener(channel int) (int, error) {
 	text, control := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
@@ -94,28 +95,28 @@
 	return fds[0], nil
 }
 
-// Inject adds a rule. The first that fits a call decides on it.
+// Inject adds a rule. The first rule that matches a call applies.
 func (i *Injector) Inject(r Rule) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.rules = append(i.rules, &r)
 }
 
-// Clear drops all rules.
+// Clear removes all rules.
 func (i *Injector) Clear() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.rules = nil
 }
 
-// Injected tells how many calls of a number failed or were held up.
+// Injected returns how many calls of a system call have failed or been delayed.
 func (i *Injector) Injected(call uintptr) int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.injected[call]
 }
 
-// decide takes the rule for a call, if there is one.
+// decide returns the rule that applies to a call, if there is one, and counts the call.
 func (i *Injector) decide(n *notification) (Rule, bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -156,10 +157,10 @@
 	flags uint32
 }
 
-// goOn has the kernel carry out a call as if there was no filter.
+// goOn makes the kernel execute a call as if there were no filter.
 const goOn = unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE
 
-// serve answers calls until the child has ended.
+// serve answers notifications until the child has ended.
 func (i *Injector) serve() {
 	defer close(i.ended)
 	defer unix.Close(i.listener)
@@ -176,7 +177,7 @@
 		}
 		var n notification
 		if i.control(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)) != 0 {
-			continue // the call was broken off
+			continue // the call was interrupted
 		}
 		rule, found := i.decide(&n)
 		switch {
@@ -197,7 +198,7 @@
 	return response{id: id, err: -int32(r.Err)}
 }
 
-// answer ends a notification; where the child has gone nobody waits for it.
+// answer sends the response to a notification. The error is ignored, as it occurs only after the child has ended.
 func (i *Injector) answer(r response) { i.control(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)) }
 
 func (i *Injector) control(request uintptr, argument unsafe.Pointer) unix.Errno {
@@ -205,7 +206,7 @@
 	return errno
 }
 
-// RegularFile is a Match for calls whose first argument is a descriptor of a file in a file system.
+// RegularFile is a Match for calls whose first argument is a descriptor of a file outside /dev.
 func RegularFile(pid uint32, args [6]uint64) bool {
 	name, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", pid, args[0]))
 	return err == nil && strings.HasPrefix(name, "/") && !strings.HasPrefix(name, "/dev/")
@@ -217,7 +218,7 @@
 	return err == nil && strings.HasPrefix(name, "socket:")
 }
 
-// StreamSocket is a Match for socket(2): TCP sockets alone.
+// StreamSocket is a Match for socket(2) that selects TCP sockets over IPv4.
 func StreamSocket(_ uint32, args [6]uint64) bool {
 	return args[0] == unix.AF_INET && args[1]&0xf == unix.SOCK_STREAM
 }
--- a/internal/lab/faults/wrapper.go
+++ b/internal/lab/faults/wrapper.go
@@ -11,18 +11,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Variables by which Start tells its wrapper process what to do.
+// Environment variables with which Start passes parameters to the wrapper process.
 const (
-	channelVariable = "OTTERTURN_FAULTS_FD"    // descriptor on which the wrapper hands over the filter's listener
+	channelVariable = "OTTERTURN_FAULTS_FD"    // descriptor of the socket on which the wrapper sends the filter's listener
 	programVariable = "OTTERTURN_FAULTS_EXEC"  // program to run under the filter
-	callsVariable   = "OTTERTURN_FAULTS_CALLS" // numbers of the system calls that the filter hands to the parent
+	callsVariable   = "OTTERTURN_FAULTS_CALLS" // numbers of the system calls that the filter passes to the parent
 )
 
 // wrapperFailed is the exit status of a wrapper that could not run its program.
 const wrapperFailed = 126
 
-// ExecIfWrapper is to be called first in main by a program that Start uses as its wrapper. In the wrapper process it installs
-// the filter and becomes the program under test; in any other process it returns at once.
+// ExecIfWrapper must be called first in main by a program that Start uses as its wrapper. In the wrapper process it installs the
+// filter and executes the program under test in its place; in any other process it returns at once.
 func ExecIfWrapper() {
 	channel := os.Getenv(channelVariable)
 	if channel == "" {
@@ -33,8 +33,8 @@
 	os.Exit(wrapperFailed)
 }
 
-// execFiltered installs the filter on this thread, which execve keeps as the only one, and runs the program. It returns only
-// with an error.
+// execFiltered installs the filter on this thread, the only one that survives execve, and executes the program. It returns only on
+// failure.
 func execFiltered(channel, program, calls string) error {
 	fd, err := strconv.Atoi(channel)
 	if err != nil {
@@ -57,7 +57,7 @@
 		return fmt.Errorf("seccomp filter: %w", err)
 	}
 	if err := unix.Sendmsg(fd, []byte{0}, unix.UnixRights(listener), nil, 0); err != nil {
-		return fmt.Errorf("hand over the listener: %w", err)
+		return fmt.Errorf("send the filter's listener: %w", err)
 	}
 	unix.Close(fd)
 	for _, name := range []string{channelVariable, programVariable, callsVariable} {
@@ -66,7 +66,7 @@
 	return fmt.Errorf("exec %s: %w", program, unix.Exec(program, os.Args, os.Environ()))
 }
 
-// Instructions of a classic BPF program over struct seccomp_data, whose first field is the number of the call.
+// Instructions of a classic BPF program over struct seccomp_data, whose first field is the system call number.
 const (
 	loadWord     = unix.BPF_LD | unix.BPF_W | unix.BPF_ABS
 	jumpIfEqual  = unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K
@@ -74,7 +74,7 @@
 	numberOffset = 0
 )
 
-// installFilter has the calls named wait for the listener's answer, on this thread and all that come from it.
+// installFilter makes the given calls wait for an answer from the listener, on this thread and on all its descendants.
 func installFilter(calls []uint32) (listener int, err error) {
 	program := []unix.SockFilter{{Code: loadWord, K: numberOffset}}
 	for i, number := range calls {
@@ -85,7 +85,7 @@
 		unix.SockFilter{Code: returnValue, K: unix.SECCOMP_RET_ALLOW},
 		unix.SockFilter{Code: returnValue, K: unix.SECCOMP_RET_USER_NOTIF})
 	filter := unix.SockFprog{Len: uint16(len(program)), Filter: &program[0]}
-	// Without WAIT_KILLABLE_RECV the run time's own signals would break off and repeat the calls that wait.
+	// Without WAIT_KILLABLE_RECV, signals of the Go runtime would interrupt and repeat the waiting calls.
 	flags := uintptr(unix.SECCOMP_FILTER_FLAG_NEW_LISTENER | unix.SECCOMP_FILTER_FLAG_WAIT_KILLABLE_RECV)
 	fd, _, errno := unix.Syscall(unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER, flags, uintptr(unsafe.Pointer(&filter)))
 	runtime.KeepAlive(program)
--- a/internal/lab/histories/histories.go
+++ b/internal/lab/histories/histories.go
@@ -1,5 +1,5 @@
-// Package histories plays certificates' years in virtual time against authorities that fail at random, and counts what
-// ran out that need not have.
+// Package histories simulates years of certificate renewal in virtual time against authorities that fail at random, and
+// counts the expiries that were avoidable.
 package histories
 
 import (
@@ -11,7 +11,7 @@
 	"otterturn/internal/certs/plan"
 )
 
-// Planner is what History plays: this package's plan, or another way to renew.
+// Planner decides when a certificate is renewed. History runs it: package plan, or another strategy to compare with.
 type Planner interface {
 	Next(now time.Time) plan.Try
 	Began(now time.Time, t plan.Try)
@@ -19,22 +19,21 @@
 	Renewed(c plan.Cert, draw float64)
 }
 
-// spell is a stretch of time in which an authority answers every try alike.
+// spell is a period in which every try at an authority ends with the same outcome.
 type spell struct {
 	from, to time.Time
 	outcome  plan.Outcome
 }
 
-// Count is what a history came to.
+// Count sums up a history.
 type Count struct {
 	Renewals, Expiries, Avoidable int
-	Beyond                        int // tries beyond an authority's limit, or before its Retry-After
+	Beyond                        int // tries that exceed an authority's limit or ignore its Retry-After
 }
 
-// History plays one certificate's years against authorities that fail at random, in virtual time: a draw of the
-// lifetime, of outages, of limits and of the length of a try. An expiry is avoidable if in the time that was left as
-// renewal was due some authority was usable, without a limit in the way, for a stretch that is longer than two
-// spacings of a plan at that time and two tries.
+// History simulates the renewals of one certificate over six lifetimes in virtual time. The seed draws the lifetime,
+// outages, limits and the duration of a try. An expiry is avoidable if, between the due time of the renewal and the
+// expiry, some authority was usable and not limited for longer than two spacings of the plan at that time and two tries.
 func History(seed uint64, start func(plan.Policy, plan.Cert, float64) Planner) Count {
 	rng := rand.New(rand.NewPCG(seed, 8))
 	var n Count
@@ -56,12 +55,12 @@
 	for now.Before(end) {
 		t := p.Next(now)
 		at := later(now, t.At)
-		if at.After(cert.NotAfter) { // nothing more is tried in time
+		if at.After(cert.NotAfter) { // no further try before the expiry
 			n.Expiries++
 			if avoidable(policy, cert, spells, took) {
 				n.Avoidable++
 			}
-			// Service is restored by hand, and the years go on.
+			// The certificate is replaced by hand 1 h later, and the history continues.
 			now = cert.NotAfter.Add(time.Hour)
 			cert = plan.Cert{NotBefore: now, NotAfter: now.Add(life)}
 			p.Renewed(cert, rng.Float64())
@@ -95,8 +94,7 @@
 	return n
 }
 
-// drawSpells draws an authority's bad times: short ones often, long ones seldom, some that last for most of a
-// lifetime.
+// drawSpells draws the periods in which an authority fails, from minutes up to half a lifetime in the mean.
 func drawSpells(rng *rand.Rand, from, to time.Time, life time.Duration) []spell {
 	var out []spell
 	for at := from; at.Before(to); {
@@ -115,7 +113,7 @@
 	return out
 }
 
-// at1 is how a try ends that begins at a time: well where no bad spell touches it.
+// at1 returns the outcome of a try that begins at a time: it succeeds unless it overlaps a spell.
 func at1(spells []spell, begin time.Time, took time.Duration) plan.Outcome {
 	for _, s := range spells {
 		if s.from.Before(begin.Add(took)) && begin.Before(s.to) {
@@ -125,7 +123,7 @@
 	return plan.Outcome{Kind: plan.Obtained}
 }
 
-// avoidable tells whether an authority was usable for long enough in the last third of a certificate's life.
+// avoidable reports whether an authority was usable for long enough in the last third of a certificate's lifetime.
 func avoidable(policy plan.Policy, c plan.Cert, spells [][]spell, took time.Duration) bool {
 	from := c.NotAfter.Add(-time.Duration(float64(c.NotAfter.Sub(c.NotBefore)) / 3))
 	measure := plan.New(policy, c, 0)
@@ -137,12 +135,12 @@
 				if until.After(c.NotAfter) {
 					until = c.NotAfter
 				}
-				// A limit of five tries in an hour holds a sixth one off for as long.
+				// A limit of five tries per hour delays the sixth try by up to an hour.
 				if until.Sub(at) > 2*(measure.Spacing(at)+took)+policy.Authorities[0].Window {
 					return true
 				}
 			}
-			at = later(at, s.to.Add(s.outcome.RetryAfter)) // asked in its last moment, it holds off for so long
+			at = later(at, s.to.Add(s.outcome.RetryAfter)) // a try at the end of the spell has to respect its Retry-After
 			if !at.Before(c.NotAfter) {
 				break
 			}
@@ -151,8 +149,9 @@
 	return false
 }
 
-// manager is the way of renewal that the plan replaced, as its documentation has it: up to an hour ahead of the
-// time before the end, and after a failure again in half an hour to an hour; one authority, no limits kept.
+// manager renews as documented for the manager that package plan replaced: 30 days or a third of the lifetime before
+// the expiry, and up to an hour earlier. After a failure it tries again in 30 to 60 minutes. It uses one authority and
+// respects no limits.
 type manager struct {
 	cert   plan.Cert
 	before time.Duration
@@ -179,14 +178,14 @@
 	}
 }
 
-// Report plays histories with the plan and with the manager before, and writes what they came to.
+// Report runs histories with the plan and with the manager that it replaced, and writes the sums of both.
 func Report(out io.Writer, histories int) (ours Count, err error) {
 	var before Count
 	for seed := range uint64(histories) {
 		ours.add(History(seed, func(p plan.Policy, c plan.Cert, draw float64) Planner { return plan.New(p, c, draw) }))
 		before.add(History(seed, newManager))
 	}
-	_, err = fmt.Fprintf(out, "histories: %d of six lifetimes; the plan %v; the manager before %v\n", histories, ours, before)
+	_, err = fmt.Fprintf(out, "histories: %d of six lifetimes; the plan: %v; the replaced manager: %v\n", histories, ours, before)
 	return ours, err
 }
 
@@ -196,7 +195,7 @@
 }
 
 func (n Count) String() string {
-	return fmt.Sprintf("%d renewals, %d expiries, %d of them avoidable, %d tries beyond a limit", n.Renewals, n.Expiries,
+	return fmt.Sprintf("%d renewals, %d expiries, %d of them avoidable, %d tries over a limit", n.Renewals, n.Expiries,
 		n.Avoidable, n.Beyond)
 }
 
--- a/internal/lab/histories/histories_test.go
+++ b/internal/lab/histories/histories_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// The invariant of package plan, over many histories: no expiry that could have been avoided, no try beyond a limit.
+// The invariant of package plan over many histories: no avoidable expiry and no try over a limit.
 func TestNoAvoidableExpiry(t *testing.T) {
-	const histories = 1500 // 'make histories' plays 10,000
+	const histories = 1500 // 'make histories' runs 10,000
 	got, err := Report(io.Discard, histories)
 	if err != nil || got.Avoidable > 0 || got.Beyond > 0 {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("%v, error %v", got, err)
 	}
 	if got.Expiries == 0 || got.Renewals < histories {
-		t.Errorf("%v: too little happened to show anything", got)
+		t.Errorf("%v: too few renewals or expiries for a conclusion", got)
 	}
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,5 +1,5 @@
-// Package load asks a running front for what clients would, open-loop: what is asked is drawn ahead, nothing waits for
-// an answer, and latency counts from when a request was meant to be sent.
+// Package load generates open-loop load on a running front: requests are sent at drawn times without waiting for earlier
+// answers, and latency counts from the scheduled time of a request.
 package load
 
 import (
@@ -22,7 +22,7 @@
 	"otterturn/scheduler"
 )
 
-// Verdict is how a request ended.
+// Verdict is the outcome of a request.
 type Verdict int
 
 // The kinds of Verdict.
@@ -33,32 +33,32 @@
 	verdicts
 )
 
-// Settings say how much is asked for.
+// Settings describe the load.
 type Settings struct {
-	Rate float64 // requests a second
+	Rate float64 // requests per second
 	For  time.Duration
 	Seed uint64
-	Open int // requests open at once, past which a front is hopelessly behind and the rest counts as failed
+	Open int // bound of open requests; above it the front is overloaded and further requests count as failed without being sent
 }
 
-// Progress is how far a run is.
+// Progress holds the figures of a run so far.
 type Progress struct {
 	At    time.Duration
 	Asked int64
 	Ended [verdicts]int64
-	Half  time.Duration // median latency of what was served
-	Most  time.Duration // and its 99th percentile
+	Half  time.Duration // median latency of served requests
+	Most  time.Duration // 99th percentile of their latency
 }
 
 func (p Progress) String() string {
-	return fmt.Sprintf("%.0f s: %d asked, %d served, %d refused, %d failed; %.0f ms in the median, %.0f ms at 99%%", p.At.Seconds(), p.Asked,
-		p.Ended[Served], p.Ended[Refused], p.Ended[Failed], p.Half.Seconds()*1000, p.Most.Seconds()*1000)
+	return fmt.Sprintf("%.0f s: %d requests, %d served, %d rejected, %d failed; latency %.0f ms (median), %.0f ms (99th percentile)",
+		p.At.Seconds(), p.Asked, p.Ended[Served], p.Ended[Refused], p.Ended[Failed], p.Half.Seconds()*1000, p.Most.Seconds()*1000)
 }
 
-// Ask sends the request of a number and tells how it ended.
+// Ask sends the request with number n and returns its outcome.
 type Ask func(ctx context.Context, n int, rng *rand.Rand) Verdict
 
-// Run asks, and tells its progress every second and at its end, which it returns.
+// Run generates load. It reports its progress to tell every second and at the end, and returns the last progress.
 func Run(ctx context.Context, set Settings, ask Ask, tell func(Progress)) Progress {
 	rng := rand.New(rand.NewPCG(set.Seed, 3))
 	var mu sync.Mutex
@@ -124,7 +124,7 @@
 	return last
 }
 
-// HTTP asks by the platform's protocol: for pieces of so many projects.
+// HTTP returns an Ask that sends requests of the platform's protocol for the volumes of the given number of projects.
 func HTTP(addr string, set protocol.Settings, projects int) Ask {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 	return func(ctx context.Context, n int, rng *rand.Rand) Verdict {
@@ -139,8 +139,8 @@
 	}
 }
 
-// Send sends a request to a front by the platform's protocol, and tells how it was answered, and when a refused one should
-// come back.
+// Send sends a request to a front in the platform's protocol. It returns the outcome and, for a rejected request, the time
+// after which it may be retried.
 func Send(ctx context.Context, client *http.Client, addr string, set protocol.Settings, q scheduler.Request) (v Verdict, retryAfter scheduler.Micros) {
 	r, err := protocol.FormatRequest(ctx, addr, set, q)
 	if err != nil {
@@ -160,8 +160,8 @@
 	return Failed, 0
 }
 
-// Files asks with file commands: each request is a file written or read, in the folders given, over one of so many
-// sessions. The end function closes them.
+// Files returns an Ask that writes or reads a file in one of the folders per request, over the given number of SFTP
+// sessions. The end function closes the sessions.
 func Files(addr string, folders []string, sessions int) (ask Ask, end func(), err error) {
 	free := make(chan *sftp.Client, sessions)
 	end = func() {
@@ -180,7 +180,7 @@
 		c, err := connect()
 		if err != nil {
 			end()
-			return nil, nil, fmt.Errorf("a session with %s: %w", addr, err)
+			return nil, nil, fmt.Errorf("SFTP session with %s: %w", addr, err)
 		}
 		free <- c
 	}
@@ -193,7 +193,7 @@
 		}
 		name := folders[rng.IntN(len(folders))] + "/file-" + strconv.Itoa(rng.IntN(8))
 		err := transfer(c, name, rng.IntN(3) == 0, make([]byte, 1+rng.IntN(48<<10)))
-		if err != nil && !refusedFile(err) { // the session may be gone
+		if err != nil && !refusedFile(err) { // the session may be broken
 			c.Close()
 			if next, again := connect(); again == nil {
 				c = next
@@ -210,7 +210,7 @@
 	}, end, nil
 }
 
-// transfer writes a file, or reads the beginning of it. One that isn't there yet is nothing to fail for.
+// transfer writes a file or reads the beginning of it. Reading a file that does not exist yet is not an error.
 func transfer(c *sftp.Client, name string, write bool, data []byte) error {
 	if write {
 		f, err := c.Create(name)
--- a/internal/lab/load/status.go
+++ b/internal/lab/load/status.go
@@ -9,8 +9,8 @@
 
 func isMissing(err error) bool { return errors.Is(err, fs.ErrNotExist) }
 
-// refusedFile tells that a file command was answered with a status: the session is whole, and the command had its one
-// final answer. SFTP has no word for 'come back later'.
+// refusedFile reports whether a file command was answered with an error status. The session is then still usable. Every
+// error status counts as a rejection, since SFTP has no status for 'try again later'.
 func refusedFile(err error) bool {
 	var status *sftp.StatusError
 	return errors.As(err, &status)
--- a/internal/lab/sockets/emulate.go
+++ b/internal/lab/sockets/emulate.go
@@ -14,22 +14,23 @@
 	"otterturn/internal/net/protocol"
 )
 
-// Emulated is a node to be started by hand. An empty address is not served; its files begin with these folders.
+// Emulated describes a node that Emulate serves. A protocol with an empty address is not served. The node's file system
+// starts with the given folders.
 type Emulated struct {
 	Name, HTTP, SFTP string
 	Folders          []string
 }
 
-// Work that file commands cost, in microseconds of a core of speed 1.
+// Work of file commands, in microseconds of a core of speed 1.
 const (
 	commandWork = 2_000
-	readWork    = 5_000 // for each unit of bytes
+	readWork    = 5_000 // per started unitBytes
 	writeWork   = 9_000
 	unitBytes   = 16 << 10
 )
 
-// Emulate serves nodes until ctx ends: each with its own model of the figures given, and files in memory. Requests of
-// the platform's protocol cost what cost says.
+// Emulate serves nodes until ctx ends, each with its own model of the given figures and with files in memory. cost returns
+// the work of a request of the platform's protocol.
 func Emulate(ctx context.Context, nodes []Emulated, f model.Figures, set protocol.Settings, cost func(protocol.Request) model.Job) error {
 	var models []*model.Node
 	for range nodes {
@@ -80,10 +81,10 @@
 	return nil
 }
 
-// forever is longer than any program runs, in microseconds.
+// forever is a run time without an end, in microseconds.
 const forever = 1 << 60
 
-// serveFiles accepts file sessions. The files of a node are the same for all of them.
+// serveFiles accepts SFTP sessions. All sessions of a node share its files.
 func serveFiles(l net.Listener, w *world.World, n *world.Node, files sftp.Handlers) {
 	for {
 		c, err := l.Accept()
@@ -98,7 +99,7 @@
 	}
 }
 
-// session is one file session. The model decides when each command is done; where it breaks, so does the session.
+// session is one SFTP session. The model decides when each command is done. If the model breaks a command, the session ends.
 type session struct {
 	conn  net.Conn
 	world *world.World
@@ -106,9 +107,9 @@
 	files sftp.Handlers
 }
 
-var errFull = errors.New("the node is full")
+var errFull = errors.New("node queue is full")
 
-// wait has the model do some work.
+// wait waits until the model has done some work.
 func (s *session) wait(j model.Job) error {
 	reply := make(chan world.Reply, 1)
 	s.world.Do(func() { s.world.Arrive(s.node, j, func(r world.Reply) { reply <- r }) })
--- a/internal/lab/sockets/node.go
+++ b/internal/lab/sockets/node.go
@@ -1,5 +1,4 @@
-// Package sockets puts the laboratory's nodes and the program's true fronts on loopback sockets: the same model, driven
-// by the clock.
+// Package sockets runs the laboratory's node models and real fronts of the program on loopback sockets in real time.
 package sockets
 
 import (
@@ -17,22 +16,22 @@
 	"otterturn/scheduler"
 )
 
-// node is an emulated node that speaks the platform's protocol.
+// node is an emulated node that serves the platform's protocol.
 type node struct {
 	world   *world.World
 	node    *world.Node
 	set     protocol.Settings
-	cost    func(protocol.Request) model.Job // of a request that the world knows nothing of, nil for none
+	cost    func(protocol.Request) model.Job // work of a request that the world did not submit, nil if there are none
 	addr    string
 	mu      sync.Mutex
-	server  *http.Server // nil while its process is dead
+	server  *http.Server // nil while the node is dead
 	pending sync.WaitGroup
 }
 
-// quiet is the log of servers whose clients' mistakes are no news.
+// quiet discards the log of the emulated servers: failing clients are part of the experiment.
 var quiet = log.New(io.Discard, "", 0)
 
-// listen opens the node's address, which stays the same over its restarts.
+// listen starts to serve an address, which stays the same when the node restarts.
 func (n *node) listen(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -47,7 +46,7 @@
 	return nil
 }
 
-// die closes everything at once, as the end of a process does.
+// die closes the listener and all connections at once, as the end of a process does.
 func (n *node) die() {
 	n.mu.Lock()
 	server := n.server
@@ -59,7 +58,7 @@
 	}
 }
 
-// connection has the model count connections, and closes those that it has no room for.
+// connection lets the model count connections, and closes those that exceed its capacity.
 func (n *node) connection(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -73,13 +72,13 @@
 	}
 }
 
-// results are what becomes of an attempt by a node's reply.
+// results maps the reply of a node to the result of the attempt.
 var results = map[world.Reply]scheduler.Result{
 	world.Answer: scheduler.OK, world.TurnedAway: scheduler.QueueFull, world.Unreachable: scheduler.Unreachable,
 	world.Broken: scheduler.Reset, world.Garbled: scheduler.Reset,
 }
 
-// ServeHTTP is a node's answer: to a probe, or to an attempt.
+// ServeHTTP answers health checks and attempts.
 func (n *node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/health" {
 		answered := make(chan bool, 1)
@@ -123,7 +122,7 @@
 		case world.TurnedAway:
 			w.Header().Set("X-Unprocessed", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case world.Garbled: // the connection ends before the answer does
+		case world.Garbled: // the connection ends before the answer is complete
 			w.Header().Set("Content-Length", "100")
 			w.Write([]byte("garbled"))
 			panic(http.ErrAbortHandler)
--- a/internal/lab/sockets/site.go
+++ b/internal/lab/sockets/site.go
@@ -20,7 +20,7 @@
 	"otterturn/scheduler"
 )
 
-// Site is a live world behind sockets.
+// Site is a world that runs in real time behind sockets.
 type Site struct {
 	world *world.World
 	set   protocol.Settings
@@ -29,14 +29,15 @@
 	all   sync.WaitGroup
 }
 
-// host is a loopback address that this process alone uses: on a shared one, a port that a dead node gave back could be
-// taken by another program.
+// host returns a loopback address that only this process uses. On a shared address, another program could take the port
+// of a dead node before the node restarts.
 func host() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>16&0x3f, pid>>8&0xff, pid&0xff)
 }
 
-// settings are what the platform's protocol needs to know of a world: kinds are its classes' names, by class.
+// settings returns the settings of the platform's protocol for a world. kinds holds the name of each class, writes whether
+// its requests write.
 func settings(w *world.World, kinds []string, writes []bool) protocol.Settings {
 	return protocol.Settings{
 		Scheduler: w.Set, Classes: kinds, Writes: writes, Plans: []string{"reserved", "limited"}, Shards: len(w.Nodes),
@@ -44,7 +45,7 @@
 	}
 }
 
-// Start puts a world's nodes on sockets, and so many fronts before them; the world goes by the clock from here on.
+// Start serves the nodes of a world on sockets and starts fronts for them. From here on the world runs in real time.
 func Start(w *world.World, kinds []string, writes []bool, fronts int) (*Site, error) {
 	w.Live()
 	s := &Site{world: w, set: settings(w, kinds, writes), nodes: map[string]*node{}}
@@ -72,7 +73,8 @@
 	return s.nodes[n.Name].listen(addr)
 }
 
-// changed follows a node that was added, died or began anew. The world has ended where an address is lost.
+// changed starts or stops the server of a node that was added, died or restarted. It panics if the address of a node can't
+// be opened again, as the world can't go on then.
 func (s *Site) changed(n *world.Node) {
 	has := s.nodes[n.Name]
 	var err error
@@ -80,17 +82,17 @@
 	case has == nil:
 		err = s.add(n, host()+":0")
 	case n.Dead:
-		s.all.Go(has.die) // it waits for what asks the world
+		s.all.Go(has.die) // in its own goroutine: die waits for handlers, which need the world
 	default:
 		s.all.Wait()
 		err = has.listen(has.addr)
 	}
 	if err != nil {
-		panic(fmt.Sprintf("a node of the laboratory lost its address: %v", err))
+		panic(fmt.Sprintf("emulated node can't listen on its address: %v", err))
 	}
 }
 
-// Close ends fronts and nodes, once the world has ended.
+// Close stops fronts and nodes. The world must have ended.
 func (s *Site) Close() {
 	for _, end := range s.ends {
 		end()
@@ -101,7 +103,7 @@
 	s.all.Wait()
 }
 
-// front is one of the program's, with its clients.
+// front is a real front of the program, with its clients.
 type front struct {
 	site   *Site
 	core   *routing.Core
@@ -112,11 +114,11 @@
 
 func (s *Site) front(i int) (*front, error) {
 	l := limits.For(limits.Site{MemoryMB: 192, Sockets: 1024, Connect: 250 * time.Millisecond, ConnIdle: 15 * time.Second, Deadline: time.Minute})
-	l.Stop.Accept, l.Stop.Serve, l.Stop.AtMost = 0, 0, time.Millisecond // there is no one left to wait for
+	l.Stop.Accept, l.Stop.Serve, l.Stop.AtMost = 0, 0, time.Millisecond // no client is left to wait for when it stops
 	f := &front{site: s, nodes: transport.NewNodes(l), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}}
 	set := s.set
 	set.Scheduler.MaxOpen = l.Requests.Scheduled
-	set.Scheduler.FrontIndex, set.Scheduler.PeerMessages = i, false // no messages go between these fronts
+	set.Scheduler.FrontIndex, set.Scheduler.PeerMessages = i, false // these fronts exchange no messages
 	var err error
 	if f.core, err = routing.New(set.Scheduler, int64(i), l, transport.NewHealthChecker(f.nodes, set, logs.Quiet()).Check); err != nil {
 		return nil, err
@@ -141,7 +143,7 @@
 	return f, nil
 }
 
-// Submit has a client ask over a connection.
+// Submit sends a request from a client of the front.
 func (f *front) Submit(r scheduler.Request) {
 	go func() {
 		ctx, end := context.WithTimeout(context.Background(), time.Duration(r.TimeLeft)*time.Microsecond+time.Second)
@@ -151,7 +153,7 @@
 	}()
 }
 
-// Tell hands the node list over, as discovery would.
+// Tell passes the endpoint list to the front, as discovery would.
 func (f *front) Tell(list scheduler.EndpointsChanged) {
 	out := protocol.List{Whole: list.Full}
 	for _, l := range list.Endpoints {
@@ -160,13 +162,13 @@
 	f.core.UpdateEndpoints(f.nodes.Apply(out))
 }
 
-// End does nothing: a live front ends with its site.
+// End does nothing: Site.Close stops the front.
 func (f *front) End() {}
 
-// verdicts are those of a load, for the world.
+// verdicts maps verdicts of package load to those of package world.
 var verdicts = map[load.Verdict]world.Verdict{load.Served: world.Served, load.Refused: world.Refused, load.Failed: world.Failed}
 
-// Play plays one day of a scenario on sockets, in real time.
+// Play runs one day of a scenario on sockets in real time.
 func Play(s scenario.Scenario, seed uint64) (scenario.Result, error) {
 	var kinds []string
 	var writes []bool
--- a/internal/lab/sockets/site_test.go
+++ b/internal/lab/sockets/site_test.go
@@ -8,8 +8,8 @@
 	"otterturn/internal/lab/scenario"
 )
 
-// The model is held against itself: a short day on sockets, before the program's true fronts, comes out as in virtual
-// time, and breaks no rule. 'make agree' holds it closer, over more days.
+// A short day on sockets with real fronts gives the same result as in virtual time within a tolerance, and violates no
+// rule. 'make agree' compares more days with a smaller tolerance.
 func TestSocketsAgreeWithVirtualTime(t *testing.T) {
 	s, err := scenario.Calm(4, 2, 6*time.Second)
 	if err != nil {
@@ -24,12 +24,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("in time: on sockets %.3f, in virtual time %.3f; reads %d and %d us in the median; %v, %v", got.Share(), want.Share(),
+	t.Logf("share in time: on sockets %.3f, in virtual time %.3f; median of reads %d and %d us; %v, %v", got.Share(), want.Share(),
 		got.Latency[0].ValueAtQuantile(50), want.Latency[0].ValueAtQuantile(50), got.Ended, want.Ended)
 	if len(got.Breaks) > 0 || got.Fallen > 0 || got.Requests != want.Requests {
-		t.Errorf("%v broken, %d fell, %d requests of %d", got.Breaks, got.Fallen, got.Requests, want.Requests)
+		t.Errorf("rules violated: %v; %d nodes overloaded; %d requests, want %d", got.Breaks, got.Fallen, got.Requests, want.Requests)
 	}
 	if math.Abs(got.Share()-want.Share()) > 0.1 {
-		t.Errorf("on sockets %.3f in time, in virtual time %.3f", got.Share(), want.Share())
+		t.Errorf("share in time: on sockets %.3f, in virtual time %.3f", got.Share(), want.Share())
 	}
 }
--- a/internal/soak/audit/judge.go
+++ b/internal/soak/audit/judge.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// The operators' terms, as their pages give them.
+// Time bounds as documented for operators.
 const (
-	lateAnswer    = 500 * time.Millisecond // behind its time an answer is not lost yet
-	socketSlack   = 50 * time.Millisecond  // every time limit is so much longer on sockets
-	countedBehind = 700 * time.Millisecond // a request that came so long behind SIGTERM counts at SIGKILL
-	leaveSlack    = 100 * time.Millisecond // behind a client's end nothing begins
-	toldSlack     = 150 * time.Millisecond // a node is told so much more than the client has left at most
+	lateAnswer    = 500 * time.Millisecond // an answer this long after its deadline is not lost yet
+	socketSlack   = 50 * time.Millisecond  // tolerance of time bounds measured on sockets
+	countedBehind = 700 * time.Millisecond // a request sent later than this after SIGTERM must be answered before SIGKILL
+	leaveSlack    = 100 * time.Millisecond // an attempt may still be received this long after its client has left
+	toldSlack     = 150 * time.Millisecond // the announced time may exceed the client's time left by this
 	drainGrace    = 500 * time.Millisecond
-	badClientTime = 3 * time.Second
-	crossingTime  = 300 * time.Millisecond // a close that crosses a request is seen by its client within this
+	badClientTime = 3 * time.Second        // a front closes an incomplete request within this
+	crossingTime  = 300 * time.Millisecond // a client whose request crosses the close of its connection sees the close within this
 )
 
 // The rules that a run may break.
 const (
 	Lost      = "lost"
 	Duplicate = "duplicate"
-	Refusal   = "refused with an effect"
-	Late      = "begun too late"
-	ToldMore  = "told too much time"
+	Refusal   = "rejected after execution"
+	Late      = "attempt received too late"
+	ToldMore  = "announced too much time"
 	Draining  = "drain"
 	Crash     = "crash"
-	BadStays  = "bad client"
+	BadStays  = "incomplete request kept open"
 	SelfCount = "violations counted by the front"
 )
 
-// Violation is one break of a rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule, ID, Text string
 	At             time.Duration
@@ -42,14 +42,14 @@
 	return fmt.Sprintf("%8.3f s  %s: %s %s", v.At.Seconds(), v.Rule, v.ID, v.Text)
 }
 
-// judge is a run under judgement.
+// judge checks one run and collects its violations.
 type judge struct {
 	*Record
 	attempts map[string][]Attempt
 	found    []Violation
 }
 
-// Judge returns what a run broke, in the order of time.
+// Judge returns the violations of a run, ordered by time.
 func Judge(r *Record) []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,7 +79,7 @@
 	j.found = append(j.found, Violation{rule, id, fmt.Sprintf(format, args...), at})
 }
 
-// heldUp tells for how long a process was stopped between two moments.
+// heldUp returns how long a process was stopped between two moments.
 func (j *judge) heldUp(process int, from, to time.Duration) (sum time.Duration) {
 	for _, s := range j.Process[process].HoldUps {
 		sum += max(0, min(s.To, to)-max(s.From, from))
@@ -87,14 +87,15 @@
 	return sum
 }
 
-// answer judges whether a request got its one final answer.
+// answer checks that a request got an answer in time.
 func (j *judge) answer(x Request) {
 	p := j.Process[x.Process]
 	due := x.Sent + x.Wait + lateAnswer + socketSlack
 	switch x.Ending {
 	case Answered:
 		if held := j.heldUp(x.Process, x.Sent, x.Ended); x.Ended > due+held {
-			j.add(Lost, x.ID, x.Ended, "answered with %d %v behind its time, sent to %s at %v", x.Status, x.Ended-x.Sent-x.Wait, p.Name, x.Sent)
+			j.add(Lost, x.ID, x.Ended, "answered with status %d %v after its deadline, sent to %s at %v",
+				x.Status, x.Ended-x.Sent-x.Wait, p.Name, x.Sent)
 		}
 		return
 	case Left:
@@ -102,18 +103,20 @@
 	}
 	if p.Killed > 0 && x.Ended >= p.Killed-socketSlack {
 		if p.Term > 0 && x.Sent > p.Term+countedBehind {
-			j.add(Lost, x.ID, x.Ended, "no answer at SIGKILL, sent to %s %v behind SIGTERM, %d attempts", p.Name, x.Sent-p.Term, len(j.attempts[x.ID]))
+			j.add(Lost, x.ID, x.Ended, "no answer at SIGKILL, sent to %s %v after SIGTERM, %d attempts",
+				p.Name, x.Sent-p.Term, len(j.attempts[x.ID]))
 		}
 		return
 	}
 	crossing := x.Ending == Closed && len(j.attempts[x.ID]) == 0 && x.Ended-x.Sent < crossingTime+j.heldUp(x.Process, x.Sent, x.Ended)
-	if crossing || p.Crashed { // a crash is a finding of its own
+	if crossing || p.Crashed { // a crash is reported separately
 		return
 	}
-	j.add(Lost, x.ID, x.Ended, "no answer %v behind its sending to %s (ending %d, %d attempts)", x.Ended-x.Sent, p.Name, x.Ending, len(j.attempts[x.ID]))
+	j.add(Lost, x.ID, x.Ended, "no answer %v after it was sent to %s (ending %d, %d attempts)",
+		x.Ended-x.Sent, p.Name, x.Ending, len(j.attempts[x.ID]))
 }
 
-// effects judges how often a request ran.
+// effects checks how often a request ran.
 func (j *judge) effects(x Request) {
 	var ran []Attempt
 	for _, a := range j.attempts[x.ID] {
@@ -128,39 +131,41 @@
 		first := ran[0]
 		switch {
 		case x.Class == Once:
-			j.add(Duplicate, x.ID, a.Whole, "run %d times", len(ran))
+			j.add(Duplicate, x.ID, a.Whole, "executed %d times", len(ran))
 		case x.Class == Keyed && a.Whole-first.Began > j.Window+socketSlack+j.heldUp(x.Process, first.Began, a.Whole):
-			j.add(Duplicate, x.ID, a.Whole, "repeated %v behind the first, the window is %v", a.Whole-first.Began, j.Window)
+			j.add(Duplicate, x.ID, a.Whole, "repeated %v after the first attempt, the deduplication window is %v",
+				a.Whole-first.Began, j.Window)
 		}
 		if before := ran[i-1]; before.Ended == 0 || before.Ended > a.Whole {
-			j.add(Duplicate, x.ID, a.Whole, "an attempt at %s beside one at %s", a.Node, before.Node)
+			j.add(Duplicate, x.ID, a.Whole, "attempt at %s while an attempt at %s was open", a.Node, before.Node)
 		}
 	}
 	refused := x.Ending == Answered && (x.Status == 429 || x.Status == 503)
 	if refused && x.Class == Once && len(ran) > 0 {
-		j.add(Refusal, x.ID, x.Ended, "answered %d, run at %s", x.Status, ran[0].Node)
+		j.add(Refusal, x.ID, x.Ended, "answered with status %d, executed at %s", x.Status, ran[0].Node)
 	}
 }
 
-// attempt judges one attempt of a request.
+// attempt checks one attempt of a request.
 func (j *judge) attempt(x Request, a Attempt) {
 	held := j.heldUp(x.Process, x.Sent, max(a.Began, a.Whole))
 	if a.Whole > 0 {
-		if late := a.Whole - x.Sent - x.Wait; late > leaveSlack+held { // its client leaves at its time
-			j.add(Late, x.ID, a.Whole, "%v behind its client's time of %v, by %s at %s, sent at %v, begun at %v, told %v, long %v, ending %d",
+		if late := a.Whole - x.Sent - x.Wait; late > leaveSlack+held { // a client leaves at its deadline
+			j.add(Late, x.ID, a.Whole,
+				"%v after its client's deadline of %v, by %s at %s, sent at %v, started at %v, announced %v, long %v, ending %d",
 				late, x.Wait, j.Process[x.Process].Name, a.Node, x.Sent, a.Began, a.Told, x.Long, x.Ending)
 		}
 		if x.Ending == Left && a.Whole-x.Ended > leaveSlack+held {
-			j.add(Lost, x.ID, a.Whole, "an attempt at %s begun %v behind its client's end", a.Node, a.Whole-x.Ended)
+			j.add(Lost, x.ID, a.Whole, "attempt at %s received %v after its client left", a.Node, a.Whole-x.Ended)
 		}
 	}
-	// A long request's head goes ahead of the decision on its end: known, see KNOWN-RED.txt.
+	// The head of a long request is sent before the decision about its deadline: a known fault, see KNOWN-RED.txt.
 	if left := x.Sent + x.Wait - a.Began; a.Told >= 0 && !x.Long && a.Told > max(0, left)+toldSlack+held {
-		j.add(ToldMore, x.ID, a.Began, "%s was told %v, %v are left", a.Node, a.Told, left)
+		j.add(ToldMore, x.ID, a.Began, "node %s: announced time %v, %v left", a.Node, a.Told, left)
 	}
 	for _, d := range j.Drains {
 		if d.Process == x.Process && d.Node == a.Node && a.Began > d.Told+drainGrace+socketSlack && (d.Until == 0 || a.Began < d.Until) {
-			j.add(Draining, x.ID, a.Began, "sent to %s %v behind the news of its drain", a.Node, a.Began-d.Told)
+			j.add(Draining, x.ID, a.Began, "sent to %s %v after the front learned of its drain", a.Node, a.Began-d.Told)
 		}
 	}
 }
@@ -171,7 +176,7 @@
 			j.add(Crash, p.Name, p.Exited, "ended with status %d", p.Status)
 		}
 		if p.LateTake {
-			j.add(Crash, p.Name, p.Exited, "was not ready in time")
+			j.add(Crash, p.Name, p.Exited, "not ready in time")
 		}
 		if p.Counted > 0 {
 			j.add(SelfCount, p.Name, p.Exited, "%d", p.Counted)
@@ -186,6 +191,7 @@
 	}
 	limit := badClientTime + socketSlack + j.heldUp(b.Process, b.Began, b.Began+badClientTime)
 	if b.Ended == 0 || b.Ended-b.Began > limit {
-		j.add(BadStays, p.Name, b.Began, "a client that stopped behind %d bytes was left open, first request %v, ended %v", b.Bytes, b.First, b.Ended)
+		j.add(BadStays, p.Name, b.Began, "client stopped after %d bytes and its connection stayed open, first request %v, ended %v",
+			b.Bytes, b.First, b.Ended)
 	}
 }
--- a/internal/soak/audit/judge_test.go
+++ b/internal/soak/audit/judge_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// good is a run in which nothing is broken: a request, its attempt, a stop and a kill.
+// good returns a run without a violation: a request, its attempt, SIGTERM and SIGKILL.
 func good() *Record {
 	r := &Record{Window: time.Second}
 	r.AddProcess(Process{Name: "n0", Term: 2000 * ms, Kill: 3700 * ms, Killed: 3700 * ms})
@@ -17,7 +17,7 @@
 	return r
 }
 
-// Each break of a rule is found, and what the terms allow is not one.
+// Each violation of a rule is reported, and permitted behavior is not.
 func TestBreaksAreFound(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -25,55 +25,55 @@
 		want []string
 	}{
 		{"nothing", func(*Record) {}, nil},
-		{"no answer at the kill", func(r *Record) { r.Requests[0].Ending, r.Requests[0].Ended = Open, 3700*ms }, []string{Lost}},
-		{"no answer at the kill, sent just behind SIGTERM", func(r *Record) {
+		{"no answer at SIGKILL", func(r *Record) { r.Requests[0].Ending, r.Requests[0].Ended = Open, 3700*ms }, []string{Lost}},
+		{"no answer at SIGKILL, sent soon after SIGTERM", func(r *Record) {
 			x := &r.Requests[0]
 			x.Sent, x.Wait, x.Ending, x.Ended = 2600*ms, 1000*ms, Open, 3700*ms
 			r.Attempts = nil
 		}, nil},
-		{"an answer too late", func(r *Record) { r.Requests[0].Ended = 4000 * ms }, []string{Lost}},
-		{"an answer too late, held up", func(r *Record) {
+		{"answer too late", func(r *Record) { r.Requests[0].Ended = 4000 * ms }, []string{Lost}},
+		{"answer too late, process stalled", func(r *Record) {
 			r.Requests[0].Ended = 4000 * ms
 			r.Process[0].HoldUps = []Span{{3000 * ms, 3150 * ms}}
 		}, nil},
-		{"closed behind an attempt", func(r *Record) { r.Requests[0].Ending = Closed }, []string{Lost}},
-		{"closed as it crossed", func(r *Record) { r.Requests[0].Ending, r.Attempts = Closed, nil }, nil},
-		{"closed long behind it", func(r *Record) {
+		{"closed after an attempt", func(r *Record) { r.Requests[0].Ending = Closed }, []string{Lost}},
+		{"closed while the request was on its way", func(r *Record) { r.Requests[0].Ending, r.Attempts = Closed, nil }, nil},
+		{"closed long after the request was sent", func(r *Record) {
 			r.Requests[0].Ending, r.Requests[0].Ended, r.Attempts = Closed, 3300*ms, nil
 		}, []string{Lost}},
-		{"run twice", func(r *Record) {
+		{"executed twice", func(r *Record) {
 			r.AddAttempt(Attempt{ID: "a", Node: "t", Began: 2995 * ms, Whole: 2996 * ms, Ended: 2999 * ms, Told: -1})
 		}, []string{Duplicate}},
-		{"repeated in the window", func(r *Record) {
+		{"repeated within the deduplication window", func(r *Record) {
 			r.Requests[0].Class = Keyed
 			r.AddAttempt(Attempt{ID: "a", Node: "t", Began: 2995 * ms, Whole: 2996 * ms, Ended: 2999 * ms, Told: -1})
 		}, nil},
-		{"repeated behind the window", func(r *Record) {
+		{"repeated after the deduplication window", func(r *Record) {
 			r.Requests[0].Class, r.Window = Keyed, 10*ms
 			r.AddAttempt(Attempt{ID: "a", Node: "t", Began: 2995 * ms, Whole: 2996 * ms, Ended: 2999 * ms, Told: -1})
 		}, []string{Duplicate}},
-		{"two at once", func(r *Record) {
+		{"two attempts at once", func(r *Record) {
 			r.Requests[0].Class = Repeatable
 			r.AddAttempt(Attempt{ID: "a", Node: "t", Began: 2950 * ms, Whole: 2951 * ms, Ended: 2999 * ms, Told: -1})
 		}, []string{Duplicate}},
-		{"turned away first", func(r *Record) {
+		{"rejected by the first node", func(r *Record) {
 			r.AddAttempt(Attempt{ID: "a", Node: "t", Began: 2901 * ms, Whole: 2902 * ms, Ended: 2903 * ms, Told: -1, Unrun: true})
 		}, nil},
-		{"refused with an effect", func(r *Record) { r.Requests[0].Status = 503 }, []string{Refusal}},
-		{"begun behind its time", func(r *Record) { r.Attempts[0].Began, r.Attempts[0].Whole, r.Attempts[0].Told = 3510*ms, 3510*ms, -1 }, []string{Late}},
-		{"begun as its client leaves", func(r *Record) { r.Attempts[0].Began, r.Attempts[0].Whole, r.Attempts[0].Told = 3490*ms, 3490*ms, -1 }, nil},
-		{"begun behind its time, held up ahead of a long body's end", func(r *Record) {
+		{"rejected after execution", func(r *Record) { r.Requests[0].Status = 503 }, []string{Refusal}},
+		{"attempt received after the deadline", func(r *Record) { r.Attempts[0].Began, r.Attempts[0].Whole, r.Attempts[0].Told = 3510*ms, 3510*ms, -1 }, []string{Late}},
+		{"attempt received as the client leaves", func(r *Record) { r.Attempts[0].Began, r.Attempts[0].Whole, r.Attempts[0].Told = 3490*ms, 3490*ms, -1 }, nil},
+		{"attempt received after the deadline, process stalled before the end of a long body", func(r *Record) {
 			r.Requests[0].Long = true
 			r.Attempts[0].Whole, r.Process[0].HoldUps = 3530*ms, []Span{{3350 * ms, 3500 * ms}}
 		}, nil},
-		{"begun behind its client's end", func(r *Record) { r.Requests[0].Ending, r.Requests[0].Ended = Left, 2800*ms }, []string{Lost}},
-		{"told too much", func(r *Record) { r.Attempts[0].Told = 700 * ms }, []string{ToldMore}},
+		{"attempt received after the client left", func(r *Record) { r.Requests[0].Ending, r.Requests[0].Ended = Left, 2800*ms }, []string{Lost}},
+		{"announced too much time", func(r *Record) { r.Attempts[0].Told = 700 * ms }, []string{ToldMore}},
 		{"sent to a draining node", func(r *Record) { r.AddDrain(Drain{Node: "s", Told: 2300 * ms}) }, []string{Draining}},
-		{"sent within the grace", func(r *Record) { r.AddDrain(Drain{Node: "s", Told: 2400 * ms}) }, nil},
+		{"sent within the drain grace", func(r *Record) { r.AddDrain(Drain{Node: "s", Told: 2400 * ms}) }, nil},
 		{"crash", func(r *Record) { r.Process[0].Crashed = true }, []string{Crash}},
-		{"counted by the front", func(r *Record) { r.Process[0].Counted = 1 }, []string{SelfCount}},
-		{"a bad client stays", func(r *Record) { r.AddBad(BadClient{Began: 100 * ms, Ended: 3300 * ms}) }, []string{BadStays}},
-		{"a bad client goes", func(r *Record) { r.AddBad(BadClient{Began: 100 * ms, Ended: 2600 * ms}) }, nil},
+		{"violation counted by the front", func(r *Record) { r.Process[0].Counted = 1 }, []string{SelfCount}},
+		{"incomplete request kept open", func(r *Record) { r.AddBad(BadClient{Began: 100 * ms, Ended: 3300 * ms}) }, []string{BadStays}},
+		{"incomplete request closed in time", func(r *Record) { r.AddBad(BadClient{Began: 100 * ms, Ended: 2600 * ms}) }, nil},
 	} {
 		r := good()
 		c.edit(r)
--- a/internal/soak/audit/record.go
+++ b/internal/soak/audit/record.go
@@ -1,6 +1,6 @@
-// Package audit is the oracle of the soak: it judges what clients, nodes and the platform saw of a run by the operators' rules. It
-// imports nothing of the program, so that a fault there is not a fault here too. Times are spans of monotonic time since the
-// run's beginning.
+// Package audit is the test oracle of the soak: it checks what clients, nodes and the platform observed against the rules documented for
+// operators. It imports no package of the program, so that a fault of the program is not repeated here. Times are monotonic and count from
+// the start of the run.
 package audit
 
 import (
@@ -8,88 +8,88 @@
 	"time"
 )
 
-// Class is what a class of requests allows after an attempt that may have run.
+// Class states whether a request may run again after an attempt that may have run.
 type Class int
 
 // The classes.
 const (
 	Repeatable Class = iota // may run any number of times
-	Keyed                   // nodes drop a repetition within the window
+	Keyed                   // may be repeated within the window, in which nodes drop repetitions
 	Once                    // must not run twice
 )
 
-// Ending is how a request ended for its client.
+// Ending states how a request ended for its client.
 type Ending int
 
 // The kinds of Ending.
 const (
 	Open     Ending = iota // no answer came while the client waited
-	Answered               // one whole answer
-	Cut                    // an answer began and did not come whole
-	Closed                 // the connection ended with no byte of an answer
+	Answered               // one complete answer
+	Cut                    // an answer started and did not complete
+	Closed                 // the connection ended without a byte of an answer
 	Left                   // the client closed its connection
 )
 
-// Request is one that a client sent whole.
+// Request is a request that a client sent completely.
 type Request struct {
 	ID      string
 	Class   Class
 	Process int           // index of the process that it was sent to
 	Sent    time.Duration // when its last byte was written
-	Wait    time.Duration // for which its client waits
+	Wait    time.Duration // time for which its client waits
 	Ending  Ending
 	Ended   time.Duration
 	Status  int  // of the answer
-	Long    bool // its body is longer than what a front holds whole
+	Long    bool // its body is too long for a front to buffer completely
 }
 
-// Attempt is what a node saw of a request.
+// Attempt is a request as a node observed it.
 type Attempt struct {
 	ID, Node string
-	Began    time.Duration // its first byte came
-	Whole    time.Duration // its last one, 0 where it did not come
-	Ended    time.Duration // the node answered, or the connection ended; 0 where neither happened
-	Told     time.Duration // how long the front said that it would wait, below 0 for nothing
-	Unrun    bool          // the node turned it away
+	Began    time.Duration // its first byte arrived
+	Whole    time.Duration // its last byte arrived, 0 if it did not
+	Ended    time.Duration // the node answered or the connection ended, 0 if neither happened
+	Told     time.Duration // time left that the front announced, below 0 for none
+	Unrun    bool          // the node rejected it without executing it
 }
 
-// Process is one run of a front.
+// Process is one process of a front.
 type Process struct {
 	Front    int
 	Name     string
 	Term     time.Duration // the first SIGTERM, 0 for none
-	Kill     time.Duration // the earliest moment of SIGKILL by the terms, 0 without SIGTERM
+	Kill     time.Duration // the earliest permitted moment of SIGKILL, 0 without SIGTERM
 	Killed   time.Duration // SIGKILL, 0 for none
 	Exited   time.Duration
 	Status   int
-	Crashed  bool          // it ended without a signal, or with an error
+	Crashed  bool          // it ended without a signal or with an error status
 	LateTake bool          // it was not ready in time
-	Counted  int64         // violations that it counted itself
-	HoldUps  []Span        // for which it was stopped
-	ReadyAt  time.Duration // since then it serves
+	Counted  int64         // violations that the process counted itself
+	HoldUps  []Span        // times in which it was stopped
+	ReadyAt  time.Duration // it became ready
 }
 
-// Span is a part of a run.
+// Span is a time span of a run.
 type Span struct{ From, To time.Duration }
 
-// Drain is a node that a front was told of to send nothing new to.
+// Drain is the draining of a node, as announced to one process.
 type Drain struct {
 	Process int
 	Node    string
 	Told    time.Duration
-	Until   time.Duration // it serves again
+	Until   time.Duration // the node is up again
 }
 
-// BadClient is one that stopped in the middle of a request and stayed.
+// BadClient is a client that stopped in the middle of a request and kept its connection open.
 type BadClient struct {
 	Process int
 	Began   time.Duration
-	Ended   time.Duration // the front answered or closed, 0 where it did not
-	Bytes   int           // of its request
-	First   bool          // on its connection
+	Ended   time.Duration // the front answered or closed the connection, 0 if it did neither
+	Bytes   int           // sent of the request
+	First   bool          // the first request on its connection
 }
 
-// Record is all that was seen of a run. Its methods are safe for concurrent use.
+// Record holds all observations of a run. Its methods are safe for concurrent use.
 type Record struct {
 	mu       sync.Mutex
 	Requests []Request
@@ -97,7 +97,7 @@
 	Process  []Process
 	Drains   []Drain
 	Bad      []BadClient
-	Window   time.Duration // within which nodes drop repetitions
+	Window   time.Duration // nodes drop repeated requests within this time
 }
 
 // AddRequest adds a request that has ended.
@@ -121,14 +121,14 @@
 	r.Drains = append(r.Drains, x)
 }
 
-// AddBad adds a client that stopped within a request.
+// AddBad adds a client that stopped in the middle of a request.
 func (r *Record) AddBad(x BadClient) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Bad = append(r.Bad, x)
 }
 
-// AddProcess adds a process, and returns its index.
+// AddProcess adds a process and returns its index.
 func (r *Record) AddProcess(x Process) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -10,14 +10,14 @@
 	"otterturn/internal/soak/peers"
 )
 
-// platformClasses are the classes of the platform's fronts.
+// platformClasses are the request classes of the platform's fronts.
 var platformClasses = []peers.Class{
 	{Name: "read", Effect: audit.Repeatable},
 	{Name: "save", Effect: audit.Keyed, Write: true, Key: true},
 	{Name: "move", Effect: audit.Once, Write: true},
 }
 
-// applianceClasses are those of an appliance.
+// applianceClasses are the request classes of an appliance.
 var applianceClasses = []peers.Class{
 	{Name: "read", Effect: audit.Repeatable},
 	{Name: "write", Effect: audit.Keyed, Write: true, Key: true},
@@ -26,7 +26,7 @@
 
 type object map[string]any
 
-// platformConfig is the file of a platform's front.
+// platformConfig returns the configuration file of a front of the platform.
 func (s Scenario) platformConfig(addr, control, discovery string, list peers.List, longest time.Duration) []byte {
 	aim := min(longest/2, 300*time.Millisecond).Microseconds()
 	class := func(name, semantics string, more object) object {
@@ -57,12 +57,12 @@
 		},
 	})
 	if err != nil {
-		panic(err) // of constants
+		panic(err) // plain values always encode
 	}
 	return text
 }
 
-// applianceConfig is the operator's file of an appliance.
+// applianceConfig returns the configuration file of an appliance.
 func (s Scenario) applianceConfig(http, sftp, folder, console string, nodes []*peers.Node, files *peers.FileServer) []byte {
 	var out strings.Builder
 	fmt.Fprintf(&out, "[limits]\nmemory_mb = 192\nsockets = 1024\nopen = 256\ntries = 4\nconnect = %q\nnode_idle = %q\nretry_after = \"500ms\"\n", s.Connect, s.ConnIdle)
--- a/internal/soak/front.go
+++ b/internal/soak/front.go
@@ -16,16 +16,16 @@
 	"otterturn/internal/soak/peers"
 )
 
-// front is one place in the fleet: processes follow each other in it.
+// front is one front of the fleet. Its processes follow one another; at most one runs at a time.
 type front struct {
 	run       *Run
 	number    int
 	name      string
 	appliance bool
-	blocked   bool // nobody reads its log, and the pipe is full
+	blocked   bool // its log goes to a full pipe that nobody reads
 	addr      string
-	sftp      string // of an appliance
-	control   string // of the platform's
+	sftp      string // SFTP address, appliance only
+	control   string // control address, platform only
 	config    string
 	folder    string
 	agent     *peers.Agent
@@ -33,11 +33,11 @@
 	unread    *os.File
 
 	mu       sync.Mutex
-	failures *rand.Rand // draws system calls and their errors
+	failures *rand.Rand // draws system calls and their errors, guarded by mu
 
-	acceptFailed time.Time // when accepting was last made to fail
+	acceptFailed time.Time // when a failure of accept was last injected
 	target       peers.Target
-	longest      time.Duration // of the settings in force
+	longest      time.Duration // longest deadline of the settings in force
 	cmd          *exec.Cmd
 	ended        chan struct{}
 	process      int
@@ -45,17 +45,17 @@
 	runs         int
 }
 
-// readyTime is how long a front may take to serve.
+// readyTime is how long a front may take to become ready.
 const readyTime = 10 * time.Second
 
-// Target is where its clients connect.
+// Target returns where the front's clients connect.
 func (f *front) Target() peers.Target {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.target
 }
 
-// fileTarget is the same for clients of file commands.
+// fileTarget returns where clients of the file protocol connect.
 func (f *front) fileTarget() peers.Target {
 	t := f.Target()
 	t.Addr = f.sftp
@@ -68,7 +68,7 @@
 	f.target.Open = open
 }
 
-// start starts a process, and has clients use it once it is ready.
+// start starts a process and lets clients connect once it is ready.
 func (f *front) start() error {
 	f.runs++
 	cmd := exec.Command(f.run.binary)
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// wait notes the end of a process.
+// wait records the end of a process.
 func (f *front) wait(cmd *exec.Cmd, process int, ended chan struct{}) {
 	cmd.Wait()
 	status := cmd.ProcessState.Sys().(syscall.WaitStatus)
@@ -132,7 +132,7 @@
 	}
 }
 
-// awaitReady waits until the process serves.
+// awaitReady waits until the process is ready, and reports whether it became so in time.
 func (f *front) awaitReady() bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := time.Now().Add(readyTime); time.Now().Before(end) && !f.hasEnded(); time.Sleep(20 * time.Millisecond) {
@@ -154,7 +154,7 @@
 	}
 }
 
-// holdUp stops the process for a while, as a busy machine does.
+// holdUp stops the process for a time, as a busy machine would.
 func (f *front) holdUp(d time.Duration) {
 	span := audit.Span{From: f.run.clock()}
 	f.signal(syscall.SIGSTOP)
@@ -164,14 +164,14 @@
 	f.run.record.Change(f.process, func(p *audit.Process) { p.HoldUps = append(p.HoldUps, span) })
 }
 
-// reload has other settings hold, and tells clients of the longest wait that both allow until then.
+// reload changes the front's longest deadline. Until the new settings are in force, clients use the shorter of both deadlines.
 func (f *front) reload(longest time.Duration) error {
 	f.mu.Lock()
 	f.target.Longest = min(f.target.Longest, longest)
 	f.mu.Unlock()
-	time.Sleep(f.longest / 4) // what was asked before has less left by then
+	time.Sleep(f.longest / 4) // earlier requests have less time left by then
 	text := f.run.scenario.platformConfig(f.addr, f.control, f.agent.Addr, f.run.discovery.Whole(), longest)
-	for f.draw(3) > 0 { // some that are cut off come ahead of it
+	for f.draw(3) > 0 { // truncated files come first
 		os.WriteFile(f.config, text[:f.draw(len(text))], 0o600)
 		f.signal(syscall.SIGHUP)
 		time.Sleep(reloadPause)
@@ -187,13 +187,13 @@
 	return nil
 }
 
-// reloadPause is between two files in quick succession.
+// reloadPause is the pause between two configuration files in quick succession.
 const reloadPause = 100 * time.Millisecond
 
-// reloadTime is when new settings hold at the latest.
+// reloadTime is how long new settings take at most to come into force.
 const reloadTime = 1200 * time.Millisecond
 
-// kill ends the process outright.
+// kill sends SIGKILL and waits for the end of the process.
 func (f *front) kill() {
 	if f.hasEnded() {
 		return
@@ -203,7 +203,7 @@
 	<-f.ended
 }
 
-// freeAddr finds a port of an address that this run alone uses.
+// freeAddr finds a free port on a loopback address that only this run uses.
 func freeAddr(number int) (string, error) {
 	pid := os.Getpid()
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+pid>>8&0x3f, pid&0xff, 1+number%250))
--- a/internal/soak/frontlog.go
+++ b/internal/soak/frontlog.go
@@ -15,9 +15,7 @@
 	"otterturn/internal/soak/audit"
 )
 
-// This file is what a front's processes say of themselves: their logs, and the violations that they count.
-
-// openLog opens what a process writes its log to: a file of the run, or a pipe that nobody reads.
+// openLog opens the destination of a process's log: a file of the run, or a pipe that nobody reads.
 func (f *front) openLog() (*os.File, error) {
 	if !f.blocked {
 		return os.Create(filepath.Join(f.run.folder, fmt.Sprintf("%s.%d.log", f.name, f.runs)))
@@ -33,7 +31,7 @@
 	return w, nil
 }
 
-// fillPipe fills a pipe by its read end's name, which opens it for writing as well.
+// fillPipe fills a pipe. It opens the read end through /proc, which allows opening it for writing.
 func fillPipe(pipe *os.File) {
 	fd, err := unix.Open(fmt.Sprintf("/proc/self/fd/%d", pipe.Fd()), unix.O_WRONLY|unix.O_NONBLOCK, 0)
 	if err != nil {
@@ -51,7 +49,7 @@
 
 var violationsLine = regexp.MustCompile(`(?m)^svc\.violations:(\d+)\|c$`)
 
-// noteViolations asks the process for what it counted itself; one that does not answer has counted nothing that can be known.
+// noteViolations records the number of violations that the process itself counted. A process that does not answer is skipped.
 func (f *front) noteViolations() {
 	if f.control == "" {
 		return
--- a/internal/soak/peers/client.go
+++ b/internal/soak/peers/client.go
@@ -17,15 +17,15 @@
 	"otterturn/internal/soak/audit"
 )
 
-// Target is where a client connects now.
+// Target states where clients of a front connect at present.
 type Target struct {
 	Addr    string
-	Process int  // in the record
-	Open    bool // clients may connect
-	Longest time.Duration
+	Process int           // index in the record
+	Open    bool          // clients may connect
+	Longest time.Duration // longest deadline of a request
 }
 
-// Class is a class of requests as clients name it.
+// Class is a request class.
 type Class struct {
 	Name   string
 	Effect audit.Class
@@ -33,7 +33,7 @@
 	Key    bool
 }
 
-// Client asks one front, on one connection at a time, until its context ends.
+// Client sends requests to one front, on one connection at a time.
 type Client struct {
 	Target  func() Target
 	Classes []Class
@@ -44,23 +44,23 @@
 	Think   time.Duration // mean pause between two requests
 }
 
-// requests numbers all requests of a process.
+// requests counts all requests of this process, which makes their ids unique.
 var requests atomic.Int64
 
-// Shares of what clients do, in percent.
+// Shares of requests with special behavior of the client, in percent.
 const (
-	slowBodies = 12
-	longBodies = 4
-	leaving    = 8
-	stopping   = 2
-	hurried    = 4
-	moving     = 5 // to another connection behind a request
+	slowBodies = 12 // the client pauses within the body
+	longBodies = 4  // the body is longer than a front buffers
+	leaving    = 8  // the client closes the connection before the answer
+	stopping   = 2  // the client sends an incomplete request
+	hurried    = 4  // the client waits for 20 ms at most
+	moving     = 5  // the client reconnects after the answer
 )
 
-// patience is how much longer than its wait a client looks for an answer, so that a late one is told from none.
+// patience is how long a client still reads after its deadline, to distinguish a late answer from none.
 const patience = 1200 * time.Millisecond
 
-// Run asks until ctx ends.
+// Run sends requests until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		t := c.Target()
@@ -78,7 +78,7 @@
 	}
 }
 
-// session is one connection.
+// session sends requests on one connection.
 func (c *Client) session(ctx context.Context, conn net.Conn, t Target) {
 	in := bufio.NewReader(conn)
 	for first := true; ctx.Err() == nil; first = false {
@@ -95,7 +95,7 @@
 
 func (c *Client) percent(share int) bool { return c.Random.IntN(100) < share }
 
-// stop sends half a request and stays.
+// stop sends an incomplete request and keeps the connection open.
 func (c *Client) stop(conn net.Conn, in *bufio.Reader, t Target, first bool) {
 	text, _ := c.request(c.Classes[0], time.Second, 0)
 	part := 1 + c.Random.IntN(len(text)-4)
@@ -110,7 +110,7 @@
 	c.Record.AddBad(bad)
 }
 
-// request is the text of a request's head, and its id.
+// request returns the head of a new request and its id.
 func (c *Client) request(class Class, wait time.Duration, body int) (head, id string) {
 	id = fmt.Sprintf("r%08x", requests.Add(1))
 	method := "GET"
@@ -155,7 +155,7 @@
 	}
 	x.Sent = c.Clock()
 	if _, err := io.WriteString(conn, text); err != nil {
-		return false // it was not sent whole
+		return false // not sent completely
 	}
 	if c.percent(leaving) {
 		time.Sleep(time.Duration(c.Random.Int64N(int64(wait) + 1)))
@@ -168,7 +168,7 @@
 	return keep
 }
 
-// await reads the answer, and notes how the request ended.
+// await reads the answer and records how the request ended. It reports whether the connection can be used again.
 func (c *Client) await(conn net.Conn, in *bufio.Reader, x *audit.Request) (keep bool) {
 	conn.SetReadDeadline(time.Now().Add(x.Wait + patience))
 	defer func() { x.Ended = c.Clock() }()
--- a/internal/soak/peers/discovery.go
+++ b/internal/soak/peers/discovery.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Host is a node as discovery lists it.
+// Host is a node as listed by discovery.
 type Host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -21,28 +21,28 @@
 	BornMs int64   `json:"born_ms"`
 }
 
-// List is discovery's list, or what changed of it.
+// List is the full list of hosts, or the hosts that have changed since a version.
 type List struct {
 	Seq   int64  `json:"seq"`
 	Whole bool   `json:"whole"`
 	Hosts []Host `json:"hosts"`
 }
 
-// Discovery knows the nodes, and tells agents.
+// Discovery holds the list of nodes and passes it to agents.
 type Discovery struct {
 	mu      sync.Mutex
 	seq     int64
 	hosts   []Host
-	since   map[string]int64 // the version with which a host changed last
+	since   map[string]int64 // version of the last change of each host
 	changed chan struct{}
 }
 
-// NewDiscovery lists hosts.
+// NewDiscovery returns a Discovery with the given hosts.
 func NewDiscovery(hosts []Host) *Discovery {
 	return &Discovery{seq: 1, hosts: hosts, since: map[string]int64{}, changed: make(chan struct{})}
 }
 
-// SetHealth changes a host's health, and tells of it.
+// SetHealth changes the health of a host and notifies agents.
 func (d *Discovery) SetHealth(host, health string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -57,14 +57,14 @@
 	d.changed = make(chan struct{})
 }
 
-// Whole is the present list.
+// Whole returns the full list.
 func (d *Discovery) Whole() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return List{Seq: d.seq, Whole: true, Hosts: append([]Host(nil), d.hosts...)}
 }
 
-// newer lists what changed since a version, and what is closed with the next change.
+// newer returns the hosts that have changed since a version, and a channel that the next change closes.
 func (d *Discovery) newer(from int64) (List, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,14 +77,14 @@
 	return out, d.changed
 }
 
-// Agent is a front's own way to discovery.
+// Agent serves discovery's list to one front.
 type Agent struct {
 	Addr      string
 	discovery *Discovery
 	server    *http.Server
 
 	mu    sync.Mutex
-	quiet time.Time // until then it says nothing
+	quiet time.Time // it answers no call until then
 }
 
 // NewAgent starts an agent.
@@ -101,17 +101,17 @@
 	return a, nil
 }
 
-// Close ends the agent.
+// Close stops the agent.
 func (a *Agent) Close() { a.server.Close() }
 
-// Silence has the agent say nothing for a while: calls wait.
+// Silence stops the agent from answering for a time, in which calls wait.
 func (a *Agent) Silence(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.quiet = time.Now().Add(d)
 }
 
-// Telling tells whether it says what it knows.
+// Telling reports whether the agent answers calls at present.
 func (a *Agent) Telling() bool { return a.silentFor() <= 0 }
 
 func (a *Agent) silentFor() time.Duration {
--- a/internal/soak/peers/files.go
+++ b/internal/soak/peers/files.go
@@ -16,7 +16,7 @@
 	"otterturn/internal/soak/audit"
 )
 
-// Packets of SFTP version 3 (draft-ietf-secsh-filexfer-02) that the soak's clients and file servers know.
+// Packet types and status codes of SFTP version 3 (draft-ietf-secsh-filexfer-02), as far as the soak uses them.
 const (
 	packetInit    = 1
 	packetVersion = 2
@@ -28,7 +28,7 @@
 	mostPacket    = 1 << 18
 )
 
-// readPacket reads a packet's kind and what is behind it.
+// readPacket reads a packet and returns its type and its body.
 func readPacket(in io.Reader) (kind byte, body []byte, err error) {
 	var head [5]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil {
@@ -36,7 +36,7 @@
 	}
 	length := binary.BigEndian.Uint32(head[:])
 	if length == 0 || length > mostPacket {
-		return 0, nil, fmt.Errorf("a packet of %d bytes", length)
+		return 0, nil, fmt.Errorf("SFTP packet length %d is out of range", length)
 	}
 	body = make([]byte, length-1)
 	_, err = io.ReadFull(in, body)
@@ -52,7 +52,7 @@
 	return append(binary.BigEndian.AppendUint32(body, uint32(len(s))), s...)
 }
 
-// FileServer is a node that makes folders: a command that must not be carried out twice.
+// FileServer is a storage node that speaks SFTP and creates folders, a command that must not be executed twice.
 type FileServer struct {
 	Addr     string
 	clock    Clock
@@ -62,7 +62,7 @@
 	delay    time.Duration
 }
 
-// NewFileServer starts one.
+// NewFileServer starts a file server.
 func NewFileServer(clock Clock, record *audit.Record) (*FileServer, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -84,10 +84,10 @@
 	return s, nil
 }
 
-// Close ends it.
+// Close stops accepting connections.
 func (s *FileServer) Close() { s.listener.Close() }
 
-// SetDelay has answers take so long from now on.
+// SetDelay sets the delay of answers from now on.
 func (s *FileServer) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,16 +129,16 @@
 	}
 }
 
-// FileClient makes folders through a front, one at a time.
+// FileClient creates folders through a front, one at a time.
 type FileClient struct {
 	Target func() Target
-	Prefix string // of a project
+	Prefix string // path prefix of a project
 	Clock  Clock
 	Record *audit.Record
 	Random *rand.Rand
 }
 
-// Run asks until ctx ends.
+// Run sends commands until ctx ends.
 func (c *FileClient) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		t := c.Target()
--- a/internal/soak/peers/node.go
+++ b/internal/soak/peers/node.go
@@ -1,5 +1,5 @@
-// Package peers holds what a soak puts around the fronts: storage nodes, discovery and clients, over loopback sockets. Each writes
-// what it sees to the audit's record. It imports nothing of the program.
+// Package peers emulates the surroundings of the fronts in a soak on loopback sockets: storage nodes, discovery and clients. Each adds
+// its observations to the audit record. The package imports no package of the program.
 package peers
 
 import (
@@ -17,20 +17,20 @@
 	"otterturn/internal/soak/audit"
 )
 
-// Clock tells how long a run has lasted.
+// Clock returns the time since the start of the run.
 type Clock func() time.Duration
 
-// Mood is what a node does with requests.
+// Mood states how a node treats requests.
 type Mood struct {
 	Name   string
 	Delay  time.Duration // before an answer
 	Hang   bool          // no answer
-	Reset  bool          // the connection is reset once the request has come
-	Refuse bool          // it is turned away
-	Fail   bool          // it is answered with an error
+	Reset  bool          // the connection is reset once the request has arrived
+	Refuse bool          // the request is rejected
+	Fail   bool          // the request is answered with an error
 }
 
-// The moods that a run draws from.
+// The behaviors of nodes.
 var (
 	Well     = Mood{Name: "well", Delay: 15 * time.Millisecond}
 	Slow     = Mood{Name: "slow", Delay: 350 * time.Millisecond}
@@ -46,7 +46,7 @@
 
 	clock    Clock
 	record   *audit.Record
-	idle     time.Duration // it closes a connection that stands idle for so long
+	idle     time.Duration // idle connections are closed after this time
 	listener net.Listener
 
 	mu   sync.Mutex
@@ -68,7 +68,7 @@
 	return n, nil
 }
 
-// SetMood has the node do other things from now on.
+// SetMood changes how the node treats requests from now on.
 func (n *Node) SetMood(m Mood) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -81,7 +81,7 @@
 	return n.mood
 }
 
-// Close ends the node and its connections.
+// Close stops the node and closes its connections.
 func (n *Node) Close() {
 	n.listener.Close()
 	n.mu.Lock()
@@ -146,7 +146,8 @@
 	}
 }
 
-// answer does what the node's mood says, and records the attempt. It is false once the connection has ended.
+// answer treats a request according to the node's present behavior and records the attempt. It reports whether the connection is still
+// usable.
 func (n *Node) answer(c net.Conn, in *bufio.Reader, a *audit.Attempt, length int64) bool {
 	mood := n.currentMood()
 	defer func() { n.record.AddAttempt(*a) }()
@@ -161,7 +162,7 @@
 		return false
 	}
 	ended := awaitEnd(c, in, mood)
-	a.Ended = n.clock() // ahead of the answer: the front may send again as soon as that has come
+	a.Ended = n.clock() // taken before the answer is sent: the front may send again as soon as it has the answer
 	if ended {
 		return false
 	}
@@ -177,7 +178,7 @@
 	return err == nil
 }
 
-// awaitEnd waits for as long as an answer takes, or until the front ends the connection.
+// awaitEnd waits until the answer is due, and reports whether the front ended the connection before.
 func awaitEnd(c net.Conn, in *bufio.Reader, mood Mood) (ended bool) {
 	const longest = time.Minute
 	wait := mood.Delay
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -18,9 +18,9 @@
 // Run is one run of a scenario.
 type Run struct {
 	scenario  Scenario
-	binary    string // the program
-	self      string // this program, as the wrapper of processes under faults
-	folder    string // of logs and files
+	binary    string // path of the program under test
+	self      string // path of this program, which wraps processes for fault injection
+	folder    string // holds logs and configuration files
 	began     time.Time
 	record    *audit.Record
 	discovery *peers.Discovery
@@ -30,7 +30,7 @@
 	draining  sync.Mutex
 }
 
-// Result is what a run brought.
+// Result summarizes a run.
 type Result struct {
 	Scenario   Scenario
 	Requests   int
@@ -40,13 +40,13 @@
 	Violations []audit.Violation
 }
 
-// String is one line of figures.
+// String returns a one-line summary.
 func (r Result) String() string {
 	return fmt.Sprintf("seed %d: %d processes, longest deadline %v, %d requests, %d answered, %d attempts, %d violations",
 		r.Scenario.Seed, r.Processes, r.Scenario.Longest, r.Requests, r.Answered, r.Attempts, len(r.Violations))
 }
 
-// Play runs a scenario with a build of the program. The folder keeps the processes' logs.
+// Play runs a scenario with the given binary of the program. The logs of its processes stay in the folder.
 func Play(s Scenario, binary, folder string) (Result, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -68,7 +68,7 @@
 
 func (r *Run) clock() time.Duration { return time.Since(r.began) }
 
-// build makes the peers and the fronts' files.
+// build starts the nodes, discovery and the file server, and writes the configuration files of the fronts.
 func (r *Run) build() error {
 	var hosts []peers.Host
 	for i := range nodeCount {
@@ -94,7 +94,8 @@
 	return nil
 }
 
-// newFront makes the files of a front. The first one is an appliance; one in four has a log that nobody reads.
+// newFront writes the configuration file of a front and starts its agent. The first front is an appliance, and the log of one front in
+// four goes to a pipe that nobody reads.
 func (r *Run) newFront(number int) (*front, error) {
 	f := &front{
 		run: r, number: number, name: fmt.Sprintf("n%d", number), appliance: number == 0, blocked: number%4 == 3,
@@ -128,7 +129,7 @@
 	return f, os.WriteFile(f.config, text, 0o600)
 }
 
-// startAll starts all fronts side by side.
+// startAll starts all fronts concurrently.
 func (r *Run) startAll() error {
 	errs := make([]error, len(r.fronts))
 	var all sync.WaitGroup
@@ -139,7 +140,7 @@
 	return errors.Join(errs...)
 }
 
-// play has clients ask and troubles come until ctx ends, and waits for the last answers.
+// play runs clients and faults until ctx ends, and then waits for the last answers.
 func (r *Run) play(ctx context.Context) error {
 	asking, endAsking := context.WithCancel(context.Background())
 	defer endAsking()
@@ -186,7 +187,7 @@
 	}
 }
 
-// close ends all that a run has started.
+// close stops everything that the run has started.
 func (r *Run) close() {
 	for _, f := range r.fronts {
 		if f.cmd != nil {
@@ -218,9 +219,9 @@
 	return out
 }
 
-// Report is a result with its violations, each rule's first ones.
+// Report returns the summary with the first violations of each rule.
 func (r Result) Report() string {
-	const shown = 4 // of each rule
+	const shown = 4 // per rule
 	var out strings.Builder
 	fmt.Fprintln(&out, r)
 	count := map[string]int{}
@@ -230,7 +231,7 @@
 		}
 	}
 	for rule, n := range count {
-		fmt.Fprintf(&out, "  %d of %s\n", n, rule)
+		fmt.Fprintf(&out, "  %d violations of rule %q\n", n, rule)
 	}
 	return out.String()
 }
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -1,5 +1,5 @@
-// Package soak runs real processes of the program under faults that overlap in time, drawn by a seed, and has an auditor judge what
-// clients, nodes and the platform saw. The program is known by its command line, its settings and its protocols alone.
+// Package soak runs real processes of the program under faults that overlap in time and are drawn from a seed. An auditor checks what
+// clients, nodes and the platform observed. The package uses only the command line, the settings and the protocols of the program.
 package soak
 
 import (
@@ -11,15 +11,15 @@
 	"otterturn/internal/lab/faults"
 )
 
-// Terms of a shutdown, as the operators' pages give them.
+// Times of a shutdown, as documented for operators.
 const (
 	killMaxDeadline = 3 * time.Second
 	killExtra       = 700 * time.Millisecond
-	connectsUntil   = 300 * time.Millisecond // behind SIGTERM new connections come
-	holdUp          = 150 * time.Millisecond // for which a front is stopped at the most
+	connectsUntil   = 300 * time.Millisecond // new connections still arrive for so long after SIGTERM
+	holdUp          = 150 * time.Millisecond // length of an injected stall: the longest that a front must tolerate
 )
 
-// killAfter is when SIGKILL comes behind SIGTERM, by the longest deadline of the settings in force.
+// killAfter returns the time from SIGTERM to SIGKILL, given the longest deadline of the settings in force.
 func killAfter(longest time.Duration) time.Duration { return min(longest, killMaxDeadline) + killExtra }
 
 // Sizes of a run.
@@ -27,31 +27,31 @@
 	runTime      = 10 * time.Second
 	usualFronts  = 10
 	crowdFronts  = 36
-	usualClients = 8 // of a front
+	usualClients = 8 // per front
 	crowdClients = 4
 	nodeCount    = 6
 	shardCount   = 3
 )
 
-// Scenario is what a seed draws.
+// Scenario holds the parameters of a run, drawn from its seed.
 type Scenario struct {
 	Seed     uint64
 	Crowd    bool
 	Fronts   int
-	Clients  int // of a front
+	Clients  int // per front
 	Longest  time.Duration
-	Window   time.Duration // within which nodes drop repetitions
+	Window   time.Duration // nodes drop repeated requests within this time
 	ConnIdle time.Duration
 	Connect  time.Duration
 	Probing  bool
 }
 
-// deadlines are the longest deadlines that settings may name.
+// deadlines are the values from which the longest deadline of the settings is drawn.
 var deadlines = []time.Duration{
 	300 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, 5 * time.Second,
 }
 
-// NewScenario draws one.
+// NewScenario draws a scenario. A crowd is a run with more fronts and fewer clients per front.
 func NewScenario(seed uint64, crowd bool) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := Scenario{
@@ -70,19 +70,19 @@
 
 func pick[T any](rng *rand.Rand, from []T) T { return from[rng.IntN(len(from))] }
 
-// between draws a time.
+// between draws a duration from both bounds and all values between them.
 func between(rng *rand.Rand, from, to time.Duration) time.Duration {
 	return from + time.Duration(rng.Int64N(int64(to-from)+1))
 }
 
-// failure is a system call with the errors that Linux documents for it on the descriptors that a front has.
+// failure is a system call with the errors that Linux documents for it on the kinds of descriptors that a front has.
 type failure struct {
 	call  uintptr
 	errs  []unix.Errno
 	match func(pid uint32, args [6]uint64) bool
 }
 
-// socketFailures are those of accept(2), socket(2) and connect(2) on TCP.
+// socketFailures are the failures of accept(2), socket(2) and connect(2) on TCP.
 var socketFailures = []failure{
 	{call: unix.SYS_ACCEPT4, errs: []unix.Errno{
 		unix.ECONNABORTED, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM, unix.EPROTO, unix.ENETDOWN,
@@ -94,7 +94,7 @@
 	}},
 }
 
-// streamFailures are those of read(2) and write(2) on a TCP connection that lives on.
+// streamFailures are the failures of read(2) and write(2) after which a TCP connection stays open.
 var streamFailures = []failure{
 	{call: unix.SYS_READ, errs: streamErrors, match: faults.AnySocket},
 	{call: unix.SYS_WRITE, errs: streamErrors, match: faults.AnySocket},
@@ -102,14 +102,14 @@
 
 var streamErrors = []unix.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.ETIMEDOUT}
 
-// fileFailures are those of writes and syncs of a folder.
+// fileFailures are the failures of writing, syncing and renaming files.
 var fileFailures = []failure{
 	{call: unix.SYS_WRITE, errs: []unix.Errno{unix.EIO, unix.ENOSPC, unix.EDQUOT}, match: faults.RegularFile},
 	{call: unix.SYS_FSYNC, errs: []unix.Errno{unix.EIO, unix.ENOSPC, unix.EDQUOT}},
 	{call: unix.SYS_RENAMEAT, errs: []unix.Errno{unix.EIO, unix.ENOSPC}},
 }
 
-// numbers are the calls that a filter has to hand over.
+// numbers returns the numbers of the system calls that the seccomp filter must hand to the injector.
 func numbers(list ...[]failure) (out []uintptr) {
 	for _, failures := range list {
 		for _, f := range failures {
--- a/internal/soak/troubles.go
+++ b/internal/soak/troubles.go
@@ -13,8 +13,8 @@
 	"otterturn/internal/soak/peers"
 )
 
-// live is the life of a front: it is told to end once, in the midst of what the seed has drawn, is killed when the terms allow it,
-// and starts again.
+// live takes a front through one restart while the seed's faults are active: the front gets SIGTERM, then SIGKILL at the earliest
+// permitted moment (or SIGKILL alone), and starts again.
 func (f *front) live(ctx context.Context) error {
 	rng := f.random
 	if !sleep(ctx, between(rng, 300*time.Millisecond, 2500*time.Millisecond)) {
@@ -26,7 +26,7 @@
 		}
 	}
 	if rng.IntN(8) == 0 {
-		f.kill() // outright
+		f.kill() // without SIGTERM
 	} else {
 		f.shutDown(ctx)
 	}
@@ -37,14 +37,15 @@
 	return f.start()
 }
 
-// shutDown sends SIGTERM, with what may come around it, and SIGKILL at the earliest moment of the terms.
+// shutDown sends SIGTERM, and SIGKILL at the earliest permitted moment. The random source may add faults, stalls and further signals
+// around SIGTERM.
 func (f *front) shutDown(ctx context.Context) {
 	rng := f.random
 	f.noteViolations()
 	if rng.IntN(2) == 0 {
 		f.fail(between(rng, 100*time.Millisecond, 700*time.Millisecond), false)
 	}
-	held := rng.IntN(4) == 0 // as the signal comes
+	held := rng.IntN(4) == 0 // while the signal arrives
 	began := time.Now()
 	f.run.record.Change(f.process, func(p *audit.Process) {
 		p.Term = f.run.clock()
@@ -80,7 +81,7 @@
 	f.kill()
 }
 
-// series sends further signals behind the first SIGTERM.
+// series sends further signals after the first SIGTERM.
 func (f *front) series(kind int, kill time.Time) {
 	for _, s := range [][]syscall.Signal{
 		{syscall.SIGTERM, syscall.SIGTERM}, {syscall.SIGHUP}, {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP},
@@ -93,7 +94,7 @@
 	}
 }
 
-// fail has some system calls of the front fail for a while.
+// fail makes a randomly chosen system call of the front fail for a time.
 func (f *front) fail(span time.Duration, files bool) {
 	f.mu.Lock()
 	injector := f.injector
@@ -120,11 +121,11 @@
 	injector.Inject(rule)
 }
 
-// onePerCause is how often a call fails with an error that comes once for each signal or each connection that was aborted: the
-// standard library repeats the call at once, and would do nothing else for as long as it fails.
+// onePerCause bounds how often a call fails with an error that Linux returns once per signal or per aborted connection. The standard
+// library repeats such a call at once, and would do nothing else while the call keeps failing.
 const onePerCause = 20
 
-// Where accepting fails for longer than this, or again soon, no front could answer in time.
+// Bounds of injected accept failures: with longer or more frequent ones no front could answer in time.
 const (
 	longestAcceptFailure = 300 * time.Millisecond
 	betweenAcceptFails   = time.Second
@@ -140,14 +141,14 @@
 	return true
 }
 
-// draw draws a number below n; many goroutines may ask.
+// draw returns a random number below n. It is safe for concurrent use.
 func (f *front) draw(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failures.IntN(n)
 }
 
-// troubles goes on beside the lives of fronts, until ctx ends.
+// troubles injects faults into nodes, fronts, discovery and the file server until ctx ends.
 func (r *Run) troubles(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.scenario.Seed, 2))
 	moods := []peers.Mood{peers.Slow, peers.Hanging, peers.Breaking, peers.Full, peers.Failing}
@@ -173,9 +174,10 @@
 	}
 }
 
-// drain has a node drain for a while. Fronts whose agent is silent are told later; the auditor is told of the others.
+// drain puts a node into draining for a time. It records the drain for each front whose agent is not silent; the other fronts learn of
+// it later and are not checked.
 func (r *Run) drain(node *peers.Node, span time.Duration) {
-	if !r.draining.TryLock() { // one at a time: each shard keeps a node
+	if !r.draining.TryLock() { // only one node drains at a time, so that each shard keeps a node
 		return
 	}
 	now := r.clock()
@@ -197,7 +199,7 @@
 	return f.process
 }
 
-// sleep waits, and is false where ctx ended first.
+// sleep waits for d, and reports whether it passed before ctx ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
