--- a/internal/lab/authority/authority.go
+++ b/internal/lab/authority/authority.go
@@ -42,21 +42,21 @@
 	key    *ecdsa.PrivateKey
 	root   *x509.Certificate
 
-	mu       sync.Mutex
-	serial   int64
-	nonces   map[string]bool
-	accounts map[string]*account // by URL
-	orders   map[string]*order
-	authzs   map[string]*authz
-	issued   map[string]*issued // by serial, in hexadecimal
-	windows  map[string][2]time.Time
-	stopped  chan struct{}
+	mu             sync.Mutex
+	serial         int64
+	nonces         map[string]bool
+	accounts       map[string]*account // by URL
+	orders         map[string]*order
+	authzs         map[string]*authz
+	issued         map[string]*issued // by serial, in hexadecimal
+	renewalWindows map[string][2]time.Time
+	stopped        chan struct{}
 }
 
 type account struct {
-	url, status string
-	key         jose.JSONWebKey
-	bound       string
+	url, status     string
+	key             jose.JSONWebKey
+	externalAccount string
 }
 
 type order struct {
@@ -95,7 +95,7 @@
 	a := &Authority{
 		Settings: s, serial: 100, nonces: map[string]bool{}, accounts: map[string]*account{},
 		orders: map[string]*order{}, authzs: map[string]*authz{}, issued: map[string]*issued{},
-		windows: map[string][2]time.Time{}, stopped: make(chan struct{}),
+		renewalWindows: map[string][2]time.Time{}, stopped: make(chan struct{}),
 	}
 	var err error
 	if a.key, err = ecdsa.GenerateKey(elliptic.P256(), rand.Reader); err != nil {
@@ -156,7 +156,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for serial := range a.issued {
-		a.windows[serial] = [2]time.Time{from, to}
+		a.renewalWindows[serial] = [2]time.Time{from, to}
 	}
 }
 
@@ -175,7 +175,7 @@
 
 // issue issues the certificate chain of an order. A fault may make the chain wrong: for another key, for other names or
 // already expired.
-func (a *Authority) issue(o *order, csr *x509.CertificateRequest, wrong string) ([]byte, error) {
+func (a *Authority) issue(o *order, csr *x509.CertificateRequest, fault string) ([]byte, error) {
 	a.serial++
 	now := time.Now()
 	template := &x509.Certificate{
@@ -184,13 +184,13 @@
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 	}
 	pub := csr.PublicKey
-	switch wrong {
+	switch fault {
 	case "wrong key":
-		other, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+		otherKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 		if err != nil {
 			return nil, err
 		}
-		pub = &other.PublicKey
+		pub = &otherKey.PublicKey
 	case "wrong names":
 		template.DNSNames = []string{"elsewhere.example"}
 	case "wrong time":
@@ -218,7 +218,7 @@
 	return map[string]any{"type": "urn:ietf:params:acme:error:" + p.kind, "detail": p.detail, "status": p.status}
 }
 
-func bad(status int, kind, format string, args ...any) *problem {
+func newProblem(status int, kind, format string, args ...any) *problem {
 	return &problem{status: status, kind: kind, detail: fmt.Sprintf(format, args...)}
 }
 
--- a/internal/lab/authority/faults.go
+++ b/internal/lab/authority/faults.go
@@ -38,8 +38,8 @@
 	f.start, f.list = time.Now(), list
 }
 
-// at returns the fault that occurs at a step now, nil for none, and counts it.
-func (f *Faults) at(step string) *Fault {
+// take returns the fault that occurs at a step now, nil for none, and counts it.
+func (f *Faults) take(step string) *Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	since := time.Since(f.start)
@@ -60,23 +60,23 @@
 	return nil
 }
 
-// strike applies a fault that replaces the answer, and reports whether there was one.
-func (a *Authority) strike(w http.ResponseWriter, r *http.Request, f *Fault) bool {
+// applyFault applies a fault that replaces the answer, and reports whether there was one.
+func (a *Authority) applyFault(w http.ResponseWriter, r *http.Request, f *Fault) bool {
 	switch {
 	case f == nil:
 		return false
 	case f.Do == "refuse":
-		a.fail(w, bad(http.StatusInternalServerError, "serverInternal", "the authority is down"))
+		a.fail(w, newProblem(http.StatusInternalServerError, "serverInternal", "the authority is down"))
 	case f.Do == "reject":
-		a.fail(w, bad(http.StatusForbidden, "rejectedIdentifier", "the authority will not certify this"))
+		a.fail(w, newProblem(http.StatusForbidden, "rejectedIdentifier", "the authority will not certify this"))
 	case f.Do == "limit":
-		p := bad(http.StatusTooManyRequests, "rateLimited", "rate limit exceeded")
+		p := newProblem(http.StatusTooManyRequests, "rateLimited", "rate limit exceeded")
 		p.retryAfter = f.Retry
 		a.fail(w, p)
 	case f.Do == "nonces":
-		a.fail(w, bad(http.StatusBadRequest, "badNonce", "nonce rejected"))
+		a.fail(w, newProblem(http.StatusBadRequest, "badNonce", "nonce rejected"))
 	case f.Do == "forget":
-		a.fail(w, bad(http.StatusBadRequest, "accountDoesNotExist", "no such account"))
+		a.fail(w, newProblem(http.StatusBadRequest, "accountDoesNotExist", "no such account"))
 	case f.Do == "stall":
 		select {
 		case <-r.Context().Done():
--- a/internal/lab/authority/protocol.go
+++ b/internal/lab/authority/protocol.go
@@ -52,7 +52,7 @@
 	} {
 		step, _, _ := strings.Cut(path, "/")
 		mux.HandleFunc("POST /"+path, a.step(step, func(w http.ResponseWriter, r *http.Request) error {
-			m, err := a.open(r)
+			m, err := a.verify(r)
 			if err != nil {
 				return err
 			}
@@ -65,11 +65,11 @@
 // step wraps the handler of a protocol step: it applies faults of the script and adds a fresh nonce to the answer.
 func (a *Authority) step(name string, do func(http.ResponseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		fault := a.Faults.at(name)
+		fault := a.Faults.take(name)
 		a.mu.Lock()
 		a.nonce(w)
 		a.mu.Unlock()
-		if a.strike(w, r, fault) {
+		if a.applyFault(w, r, fault) {
 			return
 		}
 		if fault != nil {
@@ -83,8 +83,8 @@
 
 type faultKey struct{}
 
-// wrong returns the fault that changes the answer of the step, "" for none.
-func wrong(r *http.Request) string {
+// answerFault returns the fault that changes the answer of the step, "" for none.
+func answerFault(r *http.Request) string {
 	s, _ := r.Context().Value(faultKey{}).(string)
 	return s
 }
@@ -92,7 +92,7 @@
 func (a *Authority) fail(w http.ResponseWriter, err error) {
 	p, ok := err.(*problem)
 	if !ok {
-		p = bad(http.StatusInternalServerError, "serverInternal", "%v", err)
+		p = newProblem(http.StatusInternalServerError, "serverInternal", "%v", err)
 	}
 	if p.retryAfter > 0 {
 		w.Header().Set("Retry-After", fmt.Sprint(int(math.Ceil(p.retryAfter.Seconds()))))
@@ -110,11 +110,11 @@
 
 var algorithms = []jose.SignatureAlgorithm{jose.ES256, jose.RS256}
 
-// open verifies a signed message: media type, nonce, URL, and the signature by the account's key or by the key that the
+// verify verifies a signed message: media type, nonce, URL, and the signature by the account's key or by the key that the
 // message carries.
-func (a *Authority) open(r *http.Request) (message, error) {
+func (a *Authority) verify(r *http.Request) (message, error) {
 	if r.Header.Get("Content-Type") != "application/jose+json" {
-		return message{}, bad(http.StatusUnsupportedMediaType, "malformed",
+		return message{}, newProblem(http.StatusUnsupportedMediaType, "malformed",
 			"content type %q is not application/jose+json", r.Header.Get("Content-Type"))
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<16))
@@ -123,40 +123,40 @@
 	}
 	signed, err := jose.ParseSignedJSON(string(body), algorithms)
 	if err != nil || len(signed.Signatures) != 1 {
-		return message{}, bad(http.StatusBadRequest, "malformed", "not a message with one signature: %v", err)
+		return message{}, newProblem(http.StatusBadRequest, "malformed", "not a message with one signature: %v", err)
 	}
 	head := signed.Signatures[0].Protected
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.nonces[head.Nonce] {
-		return message{}, bad(http.StatusBadRequest, "badNonce", "nonce unknown or already used")
+		return message{}, newProblem(http.StatusBadRequest, "badNonce", "nonce unknown or already used")
 	}
 	delete(a.nonces, head.Nonce)
 	if url, _ := head.ExtraHeaders["url"].(string); url != a.url(r.URL.Path) {
-		return message{}, bad(http.StatusUnauthorized, "unauthorized", "message is signed for another URL: %q", url)
+		return message{}, newProblem(http.StatusUnauthorized, "unauthorized", "message is signed for another URL: %q", url)
 	}
 	var m message
 	key := head.JSONWebKey
 	switch {
 	case (key != nil) == (head.KeyID != ""):
-		return message{}, bad(http.StatusBadRequest, "malformed", "protected header must have either jwk or kid")
+		return message{}, newProblem(http.StatusBadRequest, "malformed", "protected header must have either jwk or kid")
 	case key != nil:
 		m.key = key
 	default:
 		m.account = a.accounts[head.KeyID]
 		if m.account == nil {
-			return message{}, bad(http.StatusBadRequest, "accountDoesNotExist", "account %q does not exist", head.KeyID)
+			return message{}, newProblem(http.StatusBadRequest, "accountDoesNotExist", "account %q does not exist", head.KeyID)
 		}
 		if m.account.status != "valid" {
-			return message{}, bad(http.StatusUnauthorized, "unauthorized", "account status is %s", m.account.status)
+			return message{}, newProblem(http.StatusUnauthorized, "unauthorized", "account status is %s", m.account.status)
 		}
 		key = &m.account.key
 	}
 	if m.payload, err = signed.Verify(key); err != nil {
-		return message{}, bad(http.StatusUnauthorized, "unauthorized", "signature does not verify")
+		return message{}, newProblem(http.StatusUnauthorized, "unauthorized", "signature does not verify")
 	}
 	if own := r.URL.Path == "/account" || r.URL.Path == "/revoke"; m.account == nil && !own {
-		return message{}, bad(http.StatusBadRequest, "malformed", "message must be signed by an account")
+		return message{}, newProblem(http.StatusBadRequest, "malformed", "message must be signed by an account")
 	}
 	return m, nil
 }
@@ -169,23 +169,23 @@
 		ExternalAccountBinding json.RawMessage
 	}
 	if m.key == nil || json.Unmarshal(m.payload, &in) != nil {
-		return bad(http.StatusBadRequest, "malformed", "not an account request")
+		return newProblem(http.StatusBadRequest, "malformed", "not an account request")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, has := range a.accounts {
-		if sameKey(has.key, *m.key) {
-			w.Header().Set("Location", has.url)
-			return reply(w, http.StatusOK, map[string]any{"status": has.status})
+	for _, existing := range a.accounts {
+		if sameKey(existing.key, *m.key) {
+			w.Header().Set("Location", existing.url)
+			return reply(w, http.StatusOK, map[string]any{"status": existing.status})
 		}
 	}
 	if in.OnlyReturnExisting {
-		return bad(http.StatusBadRequest, "accountDoesNotExist", "no account exists for this key")
+		return newProblem(http.StatusBadRequest, "accountDoesNotExist", "no account exists for this key")
 	}
 	acct := &account{url: a.newID("account"), status: "valid", key: *m.key}
 	if len(a.Bindings) > 0 {
 		var err error
-		if acct.bound, err = a.binding(in.ExternalAccountBinding, *m.key); err != nil {
+		if acct.externalAccount, err = a.binding(in.ExternalAccountBinding, *m.key); err != nil {
 			return err
 		}
 	}
@@ -198,30 +198,30 @@
 // (section 7.3.4). It returns the id of the external account.
 func (a *Authority) binding(text json.RawMessage, key jose.JSONWebKey) (string, error) {
 	if len(text) == 0 {
-		return "", bad(http.StatusForbidden, "externalAccountRequired", "external account binding is missing")
+		return "", newProblem(http.StatusForbidden, "externalAccountRequired", "external account binding is missing")
 	}
 	signed, err := jose.ParseSignedJSON(string(text), []jose.SignatureAlgorithm{jose.HS256})
 	if err != nil {
-		return "", bad(http.StatusBadRequest, "malformed", "external account binding: %v", err)
+		return "", newProblem(http.StatusBadRequest, "malformed", "external account binding: %v", err)
 	}
 	id := signed.Signatures[0].Protected.KeyID
 	payload, err := signed.Verify(a.Bindings[id])
 	var bound jose.JSONWebKey
 	if err != nil || json.Unmarshal(payload, &bound) != nil || !sameKey(bound, key) {
-		return "", bad(http.StatusUnauthorized, "unauthorized", "external account binding to %q does not verify", id)
+		return "", newProblem(http.StatusUnauthorized, "unauthorized", "external account binding to %q does not verify", id)
 	}
 	return id, nil
 }
 
 func sameKey(a, b jose.JSONWebKey) bool {
 	x, err := a.Thumbprint(crypto.SHA256)
-	y, bad := b.Thumbprint(crypto.SHA256)
-	return err == nil && bad == nil && bytes.Equal(x, y)
+	y, otherErr := b.Thumbprint(crypto.SHA256)
+	return err == nil && otherErr == nil && bytes.Equal(x, y)
 }
 
 func (a *Authority) showAccount(w http.ResponseWriter, r *http.Request, m message) error {
 	if m.account.url != a.url(r.URL.Path) {
-		return bad(http.StatusUnauthorized, "unauthorized", "account of another key")
+		return newProblem(http.StatusUnauthorized, "unauthorized", "account of another key")
 	}
 	return reply(w, http.StatusOK, map[string]any{"status": m.account.status})
 }
@@ -230,7 +230,7 @@
 func (a *Authority) changeKey(w http.ResponseWriter, _ *http.Request, m message) error {
 	inner, err := jose.ParseSignedJSON(string(m.payload), algorithms)
 	if err != nil || inner.Signatures[0].Protected.JSONWebKey == nil {
-		return bad(http.StatusBadRequest, "malformed", "inner message with a key is missing: %v", err)
+		return newProblem(http.StatusBadRequest, "malformed", "inner message with a key is missing: %v", err)
 	}
 	next := inner.Signatures[0].Protected.JSONWebKey
 	payload, err := inner.Verify(next)
@@ -239,16 +239,16 @@
 		OldKey  jose.JSONWebKey
 	}
 	if err != nil || json.Unmarshal(payload, &in) != nil {
-		return bad(http.StatusBadRequest, "malformed", "inner message does not verify")
+		return newProblem(http.StatusBadRequest, "malformed", "inner message does not verify")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if in.Account != m.account.url || !sameKey(in.OldKey, m.account.key) {
-		return bad(http.StatusUnauthorized, "unauthorized", "inner message names another account or key")
+		return newProblem(http.StatusUnauthorized, "unauthorized", "inner message names another account or key")
 	}
-	for _, has := range a.accounts {
-		if sameKey(has.key, *next) {
-			return bad(http.StatusConflict, "malformed", "new key already has an account")
+	for _, existing := range a.accounts {
+		if sameKey(existing.key, *next) {
+			return newProblem(http.StatusConflict, "malformed", "new key already has an account")
 		}
 	}
 	m.account.key = *next
@@ -261,14 +261,14 @@
 		Identifiers []struct{ Type, Value string }
 	}
 	if err := json.Unmarshal(m.payload, &in); err != nil || len(in.Identifiers) == 0 {
-		return bad(http.StatusBadRequest, "malformed", "order without identifiers")
+		return newProblem(http.StatusBadRequest, "malformed", "order without identifiers")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	o := &order{url: a.newID("order"), status: "pending", owner: m.account.url}
 	for _, id := range in.Identifiers {
 		if id.Type != "dns" || id.Value != strings.ToLower(id.Value) || strings.Contains(id.Value, "*") {
-			return bad(http.StatusBadRequest, "unsupportedIdentifier", "%s %q", id.Type, id.Value)
+			return newProblem(http.StatusBadRequest, "unsupportedIdentifier", "%s %q", id.Type, id.Value)
 		}
 		z := &authz{url: a.newID("authz"), status: "pending", owner: o.owner, name: id.Value, token: rand.Text()}
 		for _, kind := range []string{"http-01", "tls-alpn-01"} {
@@ -277,8 +277,8 @@
 		a.authzs[z.url] = z
 		o.names, o.authzs = append(o.names, id.Value), append(o.authzs, z)
 	}
-	if wrong(r) == "invalid" {
-		o.status, o.problem = "invalid", bad(http.StatusForbidden, "unauthorized", "order is invalid").body()
+	if answerFault(r) == "invalid" {
+		o.status, o.problem = "invalid", newProblem(http.StatusForbidden, "unauthorized", "order is invalid").body()
 	}
 	a.orders[o.url] = o
 	w.Header().Set("Location", o.url)
@@ -312,11 +312,11 @@
 	return out
 }
 
-// own returns the order of a request if it belongs to the account. a.mu must be held.
-func (a *Authority) own(r *http.Request, m message) (*order, error) {
+// ownOrder returns the order of a request if it belongs to the account. a.mu must be held.
+func (a *Authority) ownOrder(r *http.Request, m message) (*order, error) {
 	o := a.orders[a.url("/order/"+r.PathValue("id"))]
 	if o == nil || o.owner != m.account.url {
-		return nil, bad(http.StatusNotFound, "malformed", "order does not exist")
+		return nil, newProblem(http.StatusNotFound, "malformed", "order does not exist")
 	}
 	return o, nil
 }
@@ -324,7 +324,7 @@
 func (a *Authority) showOrder(w http.ResponseWriter, r *http.Request, m message) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.own(r, m)
+	o, err := a.ownOrder(r, m)
 	if err != nil {
 		return err
 	}
@@ -353,7 +353,7 @@
 	defer a.mu.Unlock()
 	z := a.authzs[a.url(r.URL.Path)]
 	if z == nil || z.owner != m.account.url {
-		return bad(http.StatusNotFound, "malformed", "authorization does not exist")
+		return newProblem(http.StatusNotFound, "malformed", "authorization does not exist")
 	}
 	return reply(w, http.StatusOK, z.view())
 }
@@ -369,27 +369,27 @@
 			}
 			if c.status == "pending" && z.status == "pending" && string(m.payload) != "" {
 				c.status = "processing"
-				thumb, err := m.account.key.Thumbprint(crypto.SHA256)
+				thumbprint, err := m.account.key.Thumbprint(crypto.SHA256)
 				if err != nil {
 					return err
 				}
-				go a.validate(z, c, z.token+"."+base64.RawURLEncoding.EncodeToString(thumb))
+				go a.validate(z, c, z.token+"."+base64.RawURLEncoding.EncodeToString(thumbprint))
 			}
 			return reply(w, http.StatusOK, z.challengeView(c))
 		}
 	}
-	return bad(http.StatusNotFound, "malformed", "challenge does not exist")
+	return newProblem(http.StatusNotFound, "malformed", "challenge does not exist")
 }
 
 // validate validates a challenge and sets its status and the status of its authorization.
-func (a *Authority) validate(z *authz, c *challenge, want string) {
-	ctx, end := context.WithTimeout(context.Background(), a.Patience)
-	defer end()
+func (a *Authority) validate(z *authz, c *challenge, keyAuthorization string) {
+	ctx, cancel := context.WithTimeout(context.Background(), a.Patience)
+	defer cancel()
 	var err *problem
 	if c.kind == "http-01" {
-		err = a.fetchHTTP(ctx, z, want)
+		err = a.validateHTTP(ctx, z, keyAuthorization)
 	} else {
-		err = a.fetchTLS(ctx, z, want)
+		err = a.validateTLS(ctx, z, keyAuthorization)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -399,43 +399,43 @@
 	}
 }
 
-// fetchHTTP validates an HTTP-01 challenge (section 8.3).
-func (a *Authority) fetchHTTP(ctx context.Context, z *authz, want string) *problem {
+// validateHTTP validates an HTTP-01 challenge (section 8.3).
+func (a *Authority) validateHTTP(ctx context.Context, z *authz, keyAuthorization string) *problem {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.HTTP+"/.well-known/acme-challenge/"+z.token, nil)
 	if err != nil {
-		return bad(http.StatusBadRequest, "connection", "%v", err)
+		return newProblem(http.StatusBadRequest, "connection", "%v", err)
 	}
 	r.Host = z.name
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(r)
 	if err != nil {
-		return bad(http.StatusBadRequest, "connection", "%v", err)
+		return newProblem(http.StatusBadRequest, "connection", "%v", err)
 	}
 	defer resp.Body.Close()
 	got, err := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
-	if err != nil || resp.StatusCode != http.StatusOK || string(bytes.TrimSpace(got)) != want {
-		return bad(http.StatusForbidden, "unauthorized", "HTTP-01 answer with status %d: %q, %v", resp.StatusCode, got, err)
+	if err != nil || resp.StatusCode != http.StatusOK || string(bytes.TrimSpace(got)) != keyAuthorization {
+		return newProblem(http.StatusForbidden, "unauthorized", "HTTP-01 answer with status %d: %q, %v", resp.StatusCode, got, err)
 	}
 	return nil
 }
 
-// fetchTLS validates a TLS-ALPN-01 challenge (RFC 8737, section 3).
-func (a *Authority) fetchTLS(ctx context.Context, z *authz, want string) *problem {
+// validateTLS validates a TLS-ALPN-01 challenge (RFC 8737, section 3).
+func (a *Authority) validateTLS(ctx context.Context, z *authz, keyAuthorization string) *problem {
 	dialer := &tls.Dialer{Config: &tls.Config{ServerName: z.name, NextProtos: []string{"acme-tls/1"}, InsecureSkipVerify: true}}
 	conn, err := dialer.DialContext(ctx, "tcp", a.TLS)
 	if err != nil {
-		return bad(http.StatusBadRequest, "connection", "%v", err)
+		return newProblem(http.StatusBadRequest, "connection", "%v", err)
 	}
 	defer conn.Close()
 	state := conn.(*tls.Conn).ConnectionState()
 	leaf := state.PeerCertificates[0]
-	sum := sha256.Sum256([]byte(want))
+	sum := sha256.Sum256([]byte(keyAuthorization))
 	extension := append([]byte{4, 32}, sum[:]...) // tag and length of a DER octet string
 	found := slices.ContainsFunc(leaf.Extensions, func(e pkixExtension) bool {
 		return e.Id.String() == "1.3.6.1.5.5.7.1.31" && e.Critical && bytes.Equal(e.Value, extension)
 	})
 	if state.NegotiatedProtocol != "acme-tls/1" || !slices.Equal(leaf.DNSNames, []string{z.name}) || !found {
-		return bad(http.StatusForbidden, "unauthorized",
+		return newProblem(http.StatusForbidden, "unauthorized",
 			"TLS-ALPN-01 answer with protocol %q and a certificate for %v", state.NegotiatedProtocol, leaf.DNSNames)
 	}
 	return nil
@@ -445,22 +445,22 @@
 func (a *Authority) finalize(w http.ResponseWriter, r *http.Request, m message) error {
 	var in struct{ CSR string }
 	if err := json.Unmarshal(m.payload, &in); err != nil {
-		return bad(http.StatusBadRequest, "malformed", "%v", err)
+		return newProblem(http.StatusBadRequest, "malformed", "%v", err)
 	}
 	der, err := base64.RawURLEncoding.DecodeString(in.CSR)
 	if err != nil {
-		return bad(http.StatusBadRequest, "badCSR", "%v", err)
+		return newProblem(http.StatusBadRequest, "badCSR", "%v", err)
 	}
 	csr, err := x509.ParseCertificateRequest(der)
 	if err == nil {
 		err = csr.CheckSignature()
 	}
 	if err != nil {
-		return bad(http.StatusBadRequest, "badCSR", "%v", err)
+		return newProblem(http.StatusBadRequest, "badCSR", "%v", err)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.own(r, m)
+	o, err := a.ownOrder(r, m)
 	if err != nil {
 		return err
 	}
@@ -471,17 +471,17 @@
 	}
 	slices.Sort(names)
 	if want := slices.Sorted(slices.Values(o.names)); !slices.Equal(names, want) {
-		return bad(http.StatusBadRequest, "badCSR", "signing request is for %v, order is for %v", names, want)
+		return newProblem(http.StatusBadRequest, "badCSR", "signing request is for %v, order is for %v", names, want)
 	}
 	if o.status != "ready" {
-		return bad(http.StatusForbidden, "orderNotReady", "order status is %s", o.status)
+		return newProblem(http.StatusForbidden, "orderNotReady", "order status is %s", o.status)
 	}
-	if same, err := x509.MarshalPKIXPublicKey(csr.PublicKey); err == nil {
-		if own, err := x509.MarshalPKIXPublicKey(m.account.key.Key); err == nil && bytes.Equal(same, own) {
-			return bad(http.StatusBadRequest, "badCSR", "signing request is for the account's own key")
+	if requestKey, err := x509.MarshalPKIXPublicKey(csr.PublicKey); err == nil {
+		if accountKey, err := x509.MarshalPKIXPublicKey(m.account.key.Key); err == nil && bytes.Equal(requestKey, accountKey) {
+			return newProblem(http.StatusBadRequest, "badCSR", "signing request is for the account's own key")
 		}
 	}
-	if o.chain, err = a.issue(o, csr, wrong(r)); err != nil {
+	if o.chain, err = a.issue(o, csr, answerFault(r)); err != nil {
 		return err
 	}
 	o.status = "valid"
@@ -492,9 +492,9 @@
 func (a *Authority) showCert(w http.ResponseWriter, r *http.Request, m message) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.own(r, m)
+	o, err := a.ownOrder(r, m)
 	if err != nil || o.chain == nil {
-		return bad(http.StatusNotFound, "malformed", "certificate not issued yet")
+		return newProblem(http.StatusNotFound, "malformed", "certificate not issued yet")
 	}
 	w.Header().Set("Content-Type", "application/pem-certificate-chain")
 	_, err = w.Write(o.chain)
@@ -505,28 +505,28 @@
 func (a *Authority) revoke(w http.ResponseWriter, _ *http.Request, m message) error {
 	var in struct{ Certificate string }
 	if err := json.Unmarshal(m.payload, &in); err != nil {
-		return bad(http.StatusBadRequest, "malformed", "%v", err)
+		return newProblem(http.StatusBadRequest, "malformed", "%v", err)
 	}
 	der, err := base64.RawURLEncoding.DecodeString(in.Certificate)
 	if err != nil {
-		return bad(http.StatusBadRequest, "malformed", "%v", err)
+		return newProblem(http.StatusBadRequest, "malformed", "%v", err)
 	}
 	cert, err := x509.ParseCertificate(der)
 	if err != nil {
-		return bad(http.StatusBadRequest, "malformed", "%v", err)
+		return newProblem(http.StatusBadRequest, "malformed", "%v", err)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	has := a.issued[fmt.Sprintf("%x", cert.SerialNumber)]
+	entry := a.issued[fmt.Sprintf("%x", cert.SerialNumber)]
 	switch {
-	case has == nil || !bytes.Equal(has.cert.Raw, der):
-		return bad(http.StatusNotFound, "malformed", "certificate was not issued by this authority")
-	case has.revoked:
-		return bad(http.StatusBadRequest, "alreadyRevoked", "certificate is already revoked")
-	case m.account != nil && m.account.url != has.owner, m.key != nil && !sameKey(*m.key, jose.JSONWebKey{Key: cert.PublicKey}):
-		return bad(http.StatusForbidden, "unauthorized", "signed by neither the owning account nor the certificate's key")
-	}
-	has.revoked = true
+	case entry == nil || !bytes.Equal(entry.cert.Raw, der):
+		return newProblem(http.StatusNotFound, "malformed", "certificate was not issued by this authority")
+	case entry.revoked:
+		return newProblem(http.StatusBadRequest, "alreadyRevoked", "certificate is already revoked")
+	case m.account != nil && m.account.url != entry.owner, m.key != nil && !sameKey(*m.key, jose.JSONWebKey{Key: cert.PublicKey}):
+		return newProblem(http.StatusForbidden, "unauthorized", "signed by neither the owning account nor the certificate's key")
+	}
+	entry.revoked = true
 	w.WriteHeader(http.StatusOK)
 	return nil
 }
@@ -543,13 +543,13 @@
 		}
 		life := i.cert.NotAfter.Sub(i.cert.NotBefore)
 		window := [2]time.Time{i.cert.NotAfter.Add(-life / 3), i.cert.NotAfter.Add(-life / 4)}
-		if asked, ok := a.windows[serial]; ok {
-			window = asked
+		if suggested, ok := a.renewalWindows[serial]; ok {
+			window = suggested
 		}
 		w.Header().Set("Retry-After", "1")
 		return reply(w, http.StatusOK, map[string]any{"suggestedWindow": map[string]any{
 			"start": window[0].UTC().Format(time.RFC3339Nano), "end": window[1].UTC().Format(time.RFC3339Nano),
 		}})
 	}
-	return bad(http.StatusNotFound, "malformed", "certificate does not exist")
+	return newProblem(http.StatusNotFound, "malformed", "certificate does not exist")
 }
--- a/internal/lab/faults/injector.go
+++ b/internal/lab/faults/injector.go
@@ -22,8 +22,8 @@
 // Rule makes calls of one system call fail or wait. A rule without Times and Until applies until Clear.
 type Rule struct {
 	Call  uintptr                               // number of the system call
-	Err   unix.Errno                            // error that the call returns; 0 if the call continues after Hold
-	Hold  time.Duration                         // delay of the call
+	Err   unix.Errno                            // error that the call returns; 0 if the call continues after Delay
+	Delay time.Duration                         // delay of the call
 	Times int                                   // number of calls that the rule applies to, 0 for no bound
 	Until time.Time                             // end of the rule, zero for none
 	Match func(pid uint32, args [6]uint64) bool // restricts the rule to some calls, nil for all
@@ -76,8 +76,8 @@
 var errNoListener = errors.New("wrapper process ended before it sent the filter's listener")
 
 func receiveListener(channel int) (int, error) {
-	text, control := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
-	n, size, _, _, err := unix.Recvmsg(channel, text, control, unix.MSG_CMSG_CLOEXEC)
+	data, control := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
+	n, size, _, _, err := unix.Recvmsg(channel, data, control, unix.MSG_CMSG_CLOEXEC)
 	if err != nil {
 		return 0, err
 	}
@@ -116,20 +116,20 @@
 	return i.injected[call]
 }
 
-// decide returns the rule that applies to a call, if there is one, and counts the call.
-func (i *Injector) decide(n *notification) (Rule, bool) {
+// takeRule returns the rule that applies to a call, if there is one, and counts the call.
+func (i *Injector) takeRule(n *notification) (Rule, bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := time.Now()
 	i.rules = slices.DeleteFunc(i.rules, func(r *Rule) bool { return !r.Until.IsZero() && now.After(r.Until) })
-	for at, r := range i.rules {
+	for index, r := range i.rules {
 		if uintptr(n.number) != r.Call || r.Match != nil && !r.Match(n.pid, n.args) {
 			continue
 		}
 		chosen := *r
 		if r.Times > 0 {
 			if r.Times--; r.Times == 0 {
-				i.rules = slices.Delete(i.rules, at, at+1)
+				i.rules = slices.Delete(i.rules, index, index+1)
 			}
 		}
 		i.injected[r.Call]++
@@ -157,34 +157,34 @@
 	flags uint32
 }
 
-// goOn makes the kernel execute a call as if there were no filter.
-const goOn = unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE
+// continueCall makes the kernel execute a call as if there were no filter.
+const continueCall = unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE
 
 // serve answers notifications until the child has ended.
 func (i *Injector) serve() {
 	defer close(i.ended)
 	defer unix.Close(i.listener)
 	for {
-		at := []unix.PollFd{{Fd: int32(i.listener), Events: unix.POLLIN}}
-		if _, err := unix.Poll(at, -1); err != nil && err != unix.EINTR {
+		pollFDs := []unix.PollFd{{Fd: int32(i.listener), Events: unix.POLLIN}}
+		if _, err := unix.Poll(pollFDs, -1); err != nil && err != unix.EINTR {
 			return
 		}
-		if at[0].Revents&unix.POLLIN == 0 {
-			if at[0].Revents != 0 {
+		if pollFDs[0].Revents&unix.POLLIN == 0 {
+			if pollFDs[0].Revents != 0 {
 				return
 			}
 			continue
 		}
 		var n notification
-		if i.control(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)) != 0 {
+		if i.ioctl(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)) != 0 {
 			continue // the call was interrupted
 		}
-		rule, found := i.decide(&n)
+		rule, found := i.takeRule(&n)
 		switch {
 		case !found:
-			i.answer(response{id: n.id, flags: goOn})
-		case rule.Hold > 0:
-			time.AfterFunc(rule.Hold, func() { i.answer(rule.response(n.id)) })
+			i.answer(response{id: n.id, flags: continueCall})
+		case rule.Delay > 0:
+			time.AfterFunc(rule.Delay, func() { i.answer(rule.response(n.id)) })
 		default:
 			i.answer(rule.response(n.id))
 		}
@@ -193,15 +193,15 @@
 
 func (r Rule) response(id uint64) response {
 	if r.Err == 0 {
-		return response{id: id, flags: goOn}
+		return response{id: id, flags: continueCall}
 	}
 	return response{id: id, err: -int32(r.Err)}
 }
 
 // answer sends the response to a notification. The error is ignored, as it occurs only after the child has ended.
-func (i *Injector) answer(r response) { i.control(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)) }
+func (i *Injector) answer(r response) { i.ioctl(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)) }
 
-func (i *Injector) control(request uintptr, argument unsafe.Pointer) unix.Errno {
+func (i *Injector) ioctl(request uintptr, argument unsafe.Pointer) unix.Errno {
 	_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(i.listener), request, uintptr(argument))
 	return errno
 }
--- a/internal/lab/histories/histories_test.go
+++ b/internal/lab/histories/histories_test.go
@@ -9,7 +9,7 @@
 func TestNoAvoidableExpiry(t *testing.T) {
 	const histories = 1500 // 'make histories' runs 10,000
 	got, err := Report(io.Discard, histories)
-	if err != nil || got.Avoidable > 0 || got.Beyond > 0 {
+	if err != nil || got.Avoidable > 0 || got.OverLimit > 0 {
 		t.Errorf("%v, error %v", got, err)
 	}
 	if got.Expiries == 0 || got.Renewals < histories {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -30,7 +30,7 @@
 	Served Verdict = iota
 	Refused
 	Failed
-	verdicts
+	verdictCount
 )
 
 // Settings describe the load.
@@ -43,85 +43,85 @@
 
 // Progress holds the figures of a run so far.
 type Progress struct {
-	At    time.Duration
-	Asked int64
-	Ended [verdicts]int64
-	Half  time.Duration // median latency of served requests
-	Most  time.Duration // 99th percentile of their latency
+	At     time.Duration
+	Asked  int64
+	Ended  [verdictCount]int64
+	Median time.Duration // median latency of served requests
+	P99    time.Duration // 99th percentile of their latency
 }
 
 func (p Progress) String() string {
 	return fmt.Sprintf("%.0f s: %d requests, %d served, %d rejected, %d failed; latency %.0f ms (median), %.0f ms (99th percentile)",
-		p.At.Seconds(), p.Asked, p.Ended[Served], p.Ended[Refused], p.Ended[Failed], p.Half.Seconds()*1000, p.Most.Seconds()*1000)
+		p.At.Seconds(), p.Asked, p.Ended[Served], p.Ended[Refused], p.Ended[Failed], p.Median.Seconds()*1000, p.P99.Seconds()*1000)
 }
 
 // Ask sends the request with number n and returns its outcome.
 type Ask func(ctx context.Context, n int, rng *rand.Rand) Verdict
 
 // Run generates load. It reports its progress to tell every second and at the end, and returns the last progress.
-func Run(ctx context.Context, set Settings, ask Ask, tell func(Progress)) Progress {
-	rng := rand.New(rand.NewPCG(set.Seed, 3))
+func Run(ctx context.Context, settings Settings, ask Ask, report func(Progress)) Progress {
+	rng := rand.New(rand.NewPCG(settings.Seed, 3))
 	var mu sync.Mutex
 	latency := hdrhistogram.New(1, 60_000_000, 3)
-	var p Progress
+	var progress Progress
 	began := time.Now()
 	now := func() Progress {
 		mu.Lock()
 		defer mu.Unlock()
-		p.At = time.Since(began)
-		p.Half = time.Duration(latency.ValueAtQuantile(50)) * time.Microsecond
-		p.Most = time.Duration(latency.ValueAtQuantile(99)) * time.Microsecond
-		return p
+		progress.At = time.Since(began)
+		progress.Median = time.Duration(latency.ValueAtQuantile(50)) * time.Microsecond
+		progress.P99 = time.Duration(latency.ValueAtQuantile(99)) * time.Microsecond
+		return progress
 	}
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	var open atomic.Int64
-	second := time.NewTicker(time.Second)
-	defer second.Stop()
-	due := time.NewTimer(0)
-	defer due.Stop()
-	end := func(v Verdict, meant time.Duration) {
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	finish := func(v Verdict, scheduled time.Duration) {
 		mu.Lock()
 		defer mu.Unlock()
-		p.Ended[v]++
+		progress.Ended[v]++
 		if v == Served {
-			latency.RecordValue(min(60_000_000, (time.Since(began) - meant).Microseconds()))
+			latency.RecordValue(min(60_000_000, (time.Since(began) - scheduled).Microseconds()))
 		}
 	}
-	for n, meant := 0, time.Duration(0); ; n++ {
-		meant += time.Duration(rng.ExpFloat64() / set.Rate * float64(time.Second))
-		if meant >= set.For {
+	for n, scheduled := 0, time.Duration(0); ; n++ {
+		scheduled += time.Duration(rng.ExpFloat64() / settings.Rate * float64(time.Second))
+		if scheduled >= settings.For {
 			break
 		}
-		due.Reset(meant - time.Since(began))
-		for waits := true; waits; {
+		timer.Reset(scheduled - time.Since(began))
+		for waiting := true; waiting; {
 			select {
-			case <-due.C:
-				waits = false
-			case <-second.C:
-				tell(now())
+			case <-timer.C:
+				waiting = false
+			case <-ticker.C:
+				report(now())
 			case <-ctx.Done():
-				all.Wait()
+				running.Wait()
 				return now()
 			}
 		}
 		mu.Lock()
-		p.Asked++
+		progress.Asked++
 		mu.Unlock()
-		if open.Load() >= int64(set.Open) {
-			end(Failed, meant)
+		if open.Load() >= int64(settings.Open) {
+			finish(Failed, scheduled)
 			continue
 		}
-		own := rand.New(rand.NewPCG(set.Seed, uint64(n)+4))
+		requestRandom := rand.New(rand.NewPCG(settings.Seed, uint64(n)+4))
 		open.Add(1)
-		all.Go(func() {
+		running.Go(func() {
 			defer open.Add(-1)
-			end(ask(ctx, n, own), meant)
+			finish(ask(ctx, n, requestRandom), scheduled)
 		})
 	}
-	all.Wait()
-	last := now()
-	tell(last)
-	return last
+	running.Wait()
+	final := now()
+	report(final)
+	return final
 }
 
 // HTTP returns an Ask that sends requests of the platform's protocol for the volumes of the given number of projects.
@@ -163,10 +163,10 @@
 // Files returns an Ask that writes or reads a file in one of the folders per request, over the given number of SFTP
 // sessions. The end function closes the sessions.
 func Files(addr string, folders []string, sessions int) (ask Ask, end func(), err error) {
-	free := make(chan *sftp.Client, sessions)
+	idle := make(chan *sftp.Client, sessions)
 	end = func() {
-		for range len(free) {
-			(<-free).Close()
+		for range len(idle) {
+			(<-idle).Close()
 		}
 	}
 	connect := func() (*sftp.Client, error) {
@@ -182,28 +182,28 @@
 			end()
 			return nil, nil, fmt.Errorf("SFTP session with %s: %w", addr, err)
 		}
-		free <- c
+		idle <- c
 	}
 	return func(ctx context.Context, n int, rng *rand.Rand) Verdict {
 		var c *sftp.Client
 		select {
-		case c = <-free:
+		case c = <-idle:
 		case <-ctx.Done():
 			return Failed
 		}
 		name := folders[rng.IntN(len(folders))] + "/file-" + strconv.Itoa(rng.IntN(8))
 		err := transfer(c, name, rng.IntN(3) == 0, make([]byte, 1+rng.IntN(48<<10)))
-		if err != nil && !refusedFile(err) { // the session may be broken
+		if err != nil && !isRejected(err) { // the session may be broken
 			c.Close()
-			if next, again := connect(); again == nil {
-				c = next
+			if replacement, connectErr := connect(); connectErr == nil {
+				c = replacement
 			}
 		}
-		free <- c
+		idle <- c
 		switch {
 		case err == nil:
 			return Served
-		case refusedFile(err):
+		case isRejected(err):
 			return Refused
 		}
 		return Failed
@@ -218,8 +218,8 @@
 			return err
 		}
 		_, err = f.Write(data)
-		if end := f.Close(); err == nil {
-			err = end
+		if closeErr := f.Close(); err == nil {
+			err = closeErr
 		}
 		return err
 	}
--- a/internal/lab/sockets/emulate.go
+++ b/internal/lab/sockets/emulate.go
@@ -31,10 +31,10 @@
 
 // Emulate serves nodes until ctx ends, each with its own model of the given figures and with files in memory. cost returns
 // the work of a request of the platform's protocol.
-func Emulate(ctx context.Context, nodes []Emulated, f model.Figures, set protocol.Settings, cost func(protocol.Request) model.Job) error {
+func Emulate(ctx context.Context, nodes []Emulated, figures model.Figures, set protocol.Settings, cost func(protocol.Request) model.Job) error {
 	var models []*model.Node
 	for range nodes {
-		models = append(models, model.New(f))
+		models = append(models, model.New(figures))
 	}
 	w := world.New(set.Scheduler, models, 1, 0, 1)
 	var servers []*node
@@ -44,7 +44,7 @@
 			l.Close()
 		}
 		for _, s := range servers {
-			s.die()
+			s.stop()
 		}
 	}()
 	w.Live()
@@ -107,17 +107,17 @@
 	files sftp.Handlers
 }
 
-var errFull = errors.New("node queue is full")
+var errQueueFull = errors.New("node queue is full")
 
-// wait waits until the model has done some work.
-func (s *session) wait(j model.Job) error {
+// runJob waits until the model has done some work.
+func (s *session) runJob(j model.Job) error {
 	reply := make(chan world.Reply, 1)
 	s.world.Do(func() { s.world.Arrive(s.node, j, func(r world.Reply) { reply <- r }) })
 	switch <-reply {
 	case world.Answer:
 		return nil
 	case world.TurnedAway:
-		return errFull
+		return errQueueFull
 	}
 	s.conn.Close()
 	return io.ErrUnexpectedEOF
@@ -126,7 +126,7 @@
 func units(bytes int) float64 { return float64(1 + bytes/unitBytes) }
 
 func (s *session) Fileread(r *sftp.Request) (io.ReaderAt, error) {
-	if err := s.wait(model.Job{Work: commandWork}); err != nil {
+	if err := s.runJob(model.Job{Work: commandWork}); err != nil {
 		return nil, err
 	}
 	file, err := s.files.FileGet.Fileread(r)
@@ -134,7 +134,7 @@
 }
 
 func (s *session) Filewrite(r *sftp.Request) (io.WriterAt, error) {
-	if err := s.wait(model.Job{Work: commandWork, Write: true}); err != nil {
+	if err := s.runJob(model.Job{Work: commandWork, Write: true}); err != nil {
 		return nil, err
 	}
 	file, err := s.files.FilePut.Filewrite(r)
@@ -142,14 +142,14 @@
 }
 
 func (s *session) Filecmd(r *sftp.Request) error {
-	if err := s.wait(model.Job{Work: commandWork, Write: true}); err != nil {
+	if err := s.runJob(model.Job{Work: commandWork, Write: true}); err != nil {
 		return err
 	}
 	return s.files.FileCmd.Filecmd(r)
 }
 
 func (s *session) Filelist(r *sftp.Request) (sftp.ListerAt, error) {
-	if err := s.wait(model.Job{Work: commandWork}); err != nil {
+	if err := s.runJob(model.Job{Work: commandWork}); err != nil {
 		return nil, err
 	}
 	return s.files.FileList.Filelist(r)
@@ -162,7 +162,7 @@
 }
 
 func (r *reader) ReadAt(p []byte, at int64) (int, error) {
-	if err := r.wait(model.Job{Work: readWork * units(len(p)), Piece: fmt.Sprint(r.path, at)}); err != nil {
+	if err := r.runJob(model.Job{Work: readWork * units(len(p)), Piece: fmt.Sprint(r.path, at)}); err != nil {
 		return 0, err
 	}
 	return r.ReaderAt.ReadAt(p, at)
@@ -174,7 +174,7 @@
 }
 
 func (w *writer) WriteAt(p []byte, at int64) (int, error) {
-	if err := w.wait(model.Job{Work: writeWork * units(len(p)), Write: true}); err != nil {
+	if err := w.runJob(model.Job{Work: writeWork * units(len(p)), Write: true}); err != nil {
 		return 0, err
 	}
 	return w.WriterAt.WriteAt(p, at)
--- a/internal/lab/sockets/node.go
+++ b/internal/lab/sockets/node.go
@@ -28,8 +28,8 @@
 	pending sync.WaitGroup
 }
 
-// quiet discards the log of the emulated servers: failing clients are part of the experiment.
-var quiet = log.New(io.Discard, "", 0)
+// discardLog discards the log of the emulated servers: failing clients are part of the experiment.
+var discardLog = log.New(io.Discard, "", 0)
 
 // listen starts to serve an address, which stays the same when the node restarts.
 func (n *node) listen(addr string) error {
@@ -40,14 +40,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.addr = l.Addr().String()
-	n.server = &http.Server{Handler: n, ErrorLog: quiet, ConnState: n.connection}
+	n.server = &http.Server{Handler: n, ErrorLog: discardLog, ConnState: n.trackConnection}
 	server := n.server
 	n.pending.Go(func() { server.Serve(l) })
 	return nil
 }
 
-// die closes the listener and all connections at once, as the end of a process does.
-func (n *node) die() {
+// stop closes the listener and all connections at once, as the end of a process does.
+func (n *node) stop() {
 	n.mu.Lock()
 	server := n.server
 	n.server = nil
@@ -58,8 +58,8 @@
 	}
 }
 
-// connection lets the model count connections, and closes those that exceed its capacity.
-func (n *node) connection(c net.Conn, state http.ConnState) {
+// trackConnection lets the model count connections, and closes those that exceed its capacity.
+func (n *node) trackConnection(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		n.world.Do(func() {
@@ -94,27 +94,27 @@
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
-	m, bad := protocol.ParseRequest(r, n.set)
-	if err = errors.Join(err, bad); err != nil {
+	request, parseErr := protocol.ParseRequest(r, n.set)
+	if err = errors.Join(err, parseErr); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	reply := make(chan world.Reply, 1)
 	n.world.Do(func() {
-		job, known := n.world.Reach(m.ID, n.node)
+		job, known := n.world.Reach(request.ID, n.node)
 		if !known && n.cost != nil {
-			job, known = n.cost(m), true
+			job, known = n.cost(request), true
 		}
 		if known {
 			n.world.Arrive(n.node, job, func(r world.Reply) {
-				n.world.Left(m.ID, n.node, results[r])
+				n.world.Left(request.ID, n.node, results[r])
 				reply <- r
 			})
 		}
 	})
 	select {
 	case <-r.Context().Done():
-		n.world.Do(func() { n.world.Left(m.ID, n.node, scheduler.TimedOut) })
+		n.world.Do(func() { n.world.Left(request.ID, n.node, scheduler.TimedOut) })
 	case got := <-reply:
 		switch got {
 		case world.Answer:
--- a/internal/lab/sockets/site.go
+++ b/internal/lab/sockets/site.go
@@ -22,23 +22,23 @@
 
 // Site is a world that runs in real time behind sockets.
 type Site struct {
-	world *world.World
-	set   protocol.Settings
-	nodes map[string]*node
-	ends  []func()
-	all   sync.WaitGroup
+	world      *world.World
+	set        protocol.Settings
+	nodes      map[string]*node
+	stopFronts []func()
+	stopping   sync.WaitGroup
 }
 
-// host returns a loopback address that only this process uses. On a shared address, another program could take the port
+// loopbackHost returns a loopback address that only this process uses. On a shared address, another program could take the port
 // of a dead node before the node restarts.
-func host() string {
+func loopbackHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>16&0x3f, pid>>8&0xff, pid&0xff)
 }
 
-// settings returns the settings of the platform's protocol for a world. kinds holds the name of each class, writes whether
+// protocolSettings returns the settings of the platform's protocol for a world. kinds holds the name of each class, writes whether
 // its requests write.
-func settings(w *world.World, kinds []string, writes []bool) protocol.Settings {
+func protocolSettings(w *world.World, kinds []string, writes []bool) protocol.Settings {
 	return protocol.Settings{
 		Scheduler: w.Set, Classes: kinds, Writes: writes, Plans: []string{"reserved", "limited"}, Shards: len(w.Nodes),
 		LongestWait: time.Minute, Retry: time.Duration(w.Set.MaxRetryAfter) * time.Microsecond,
@@ -48,14 +48,14 @@
 // Start serves the nodes of a world on sockets and starts fronts for them. From here on the world runs in real time.
 func Start(w *world.World, kinds []string, writes []bool, fronts int) (*Site, error) {
 	w.Live()
-	s := &Site{world: w, set: settings(w, kinds, writes), nodes: map[string]*node{}}
+	s := &Site{world: w, set: protocolSettings(w, kinds, writes), nodes: map[string]*node{}}
 	for _, n := range w.Nodes {
-		if err := s.add(n, host()+":0"); err != nil {
+		if err := s.addNode(n, loopbackHost()+":0"); err != nil {
 			s.Close()
 			return nil, err
 		}
 	}
-	w.Changed = s.changed
+	w.Changed = s.nodeChanged
 	w.Audit.Sockets = true
 	for i := range fronts {
 		f, err := s.front(i)
@@ -68,24 +68,24 @@
 	return s, nil
 }
 
-func (s *Site) add(n *world.Node, addr string) error {
+func (s *Site) addNode(n *world.Node, addr string) error {
 	s.nodes[n.Name] = &node{world: s.world, node: n, set: s.set}
 	return s.nodes[n.Name].listen(addr)
 }
 
-// changed starts or stops the server of a node that was added, died or restarted. It panics if the address of a node can't
+// nodeChanged starts or stops the server of a node that was added, died or restarted. It panics if the address of a node can't
 // be opened again, as the world can't go on then.
-func (s *Site) changed(n *world.Node) {
-	has := s.nodes[n.Name]
+func (s *Site) nodeChanged(n *world.Node) {
+	server := s.nodes[n.Name]
 	var err error
 	switch {
-	case has == nil:
-		err = s.add(n, host()+":0")
+	case server == nil:
+		err = s.addNode(n, loopbackHost()+":0")
 	case n.Dead:
-		s.all.Go(has.die) // in its own goroutine: die waits for handlers, which need the world
+		s.stopping.Go(server.stop) // in its own goroutine: stop waits for handlers, which need the world
 	default:
-		s.all.Wait()
-		err = has.listen(has.addr)
+		s.stopping.Wait()
+		err = server.listen(server.addr)
 	}
 	if err != nil {
 		panic(fmt.Sprintf("emulated node can't listen on its address: %v", err))
@@ -94,13 +94,13 @@
 
 // Close stops fronts and nodes. The world must have ended.
 func (s *Site) Close() {
-	for _, end := range s.ends {
+	for _, end := range s.stopFronts {
 		end()
 	}
 	for _, n := range s.nodes {
-		s.all.Go(n.die)
+		s.stopping.Go(n.stop)
 	}
-	s.all.Wait()
+	s.stopping.Wait()
 }
 
 // front is a real front of the program, with its clients.
@@ -123,7 +123,7 @@
 	if f.core, err = routing.New(set.Scheduler, int64(i), l, transport.NewHealthChecker(f.nodes, set, logs.Quiet()).Check); err != nil {
 		return nil, err
 	}
-	listener, err := net.Listen("tcp", host()+":0")
+	listener, err := net.Listen("tcp", loopbackHost()+":0")
 	if err != nil {
 		return nil, err
 	}
@@ -134,7 +134,7 @@
 	wait.Go(func() { f.core.Run(ctx) })
 	wait.Go(func() { f.nodes.Run(ctx) })
 	wait.Go(func() { server.Serve(listener) })
-	s.ends = append(s.ends, func() {
+	s.stopFronts = append(s.stopFronts, func() {
 		f.client.CloseIdleConnections()
 		server.Stop(nil)
 		end()
--- a/internal/soak/audit/record.go
+++ b/internal/soak/audit/record.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Class states whether a request may run again after an attempt that may have run.
-type Class int
+// Idempotency states whether a request may run again after an attempt that may have run.
+type Idempotency int
 
 // The classes.
 const (
-	Repeatable Class = iota // may run any number of times
-	Keyed                   // may be repeated within the window, in which nodes drop repetitions
-	Once                    // must not run twice
+	Repeatable Idempotency = iota // may run any number of times
+	Keyed                         // may be repeated within the window, in which nodes drop repetitions
+	Once                          // must not run twice
 )
 
 // Ending states how a request ended for its client.
@@ -32,41 +32,41 @@
 
 // Request is a request that a client sent completely.
 type Request struct {
-	ID      string
-	Class   Class
-	Process int           // index of the process that it was sent to
-	Sent    time.Duration // when its last byte was written
-	Wait    time.Duration // time for which its client waits
-	Ending  Ending
-	Ended   time.Duration
-	Status  int  // of the answer
-	Long    bool // its body is too long for a front to buffer completely
+	ID          string
+	Idempotency Idempotency
+	Process     int           // index of the process that it was sent to
+	Sent        time.Duration // when its last byte was written
+	Wait        time.Duration // time for which its client waits
+	Ending      Ending
+	Ended       time.Duration
+	Status      int  // of the answer
+	Long        bool // its body is too long for a front to buffer completely
 }
 
 // Attempt is a request as a node observed it.
 type Attempt struct {
-	ID, Node string
-	Began    time.Duration // its first byte arrived
-	Whole    time.Duration // its last byte arrived, 0 if it did not
-	Ended    time.Duration // the node answered or the connection ended, 0 if neither happened
-	Told     time.Duration // time left that the front announced, below 0 for none
-	Unrun    bool          // the node rejected it without executing it
+	ID, Node  string
+	FirstByte time.Duration // its first byte arrived
+	LastByte  time.Duration // its last byte arrived, 0 if it did not
+	Ended     time.Duration // the node answered or the connection ended, 0 if neither happened
+	TimeLeft  time.Duration // time left that the front announced, below 0 for none
+	Rejected  bool          // the node rejected it without executing it
 }
 
 // Process is one process of a front.
 type Process struct {
-	Front    int
-	Name     string
-	Term     time.Duration // the first SIGTERM, 0 for none
-	Kill     time.Duration // the earliest permitted moment of SIGKILL, 0 without SIGTERM
-	Killed   time.Duration // SIGKILL, 0 for none
-	Exited   time.Duration
-	Status   int
-	Crashed  bool          // it ended without a signal or with an error status
-	LateTake bool          // it was not ready in time
-	Counted  int64         // violations that the process counted itself
-	HoldUps  []Span        // times in which it was stopped
-	ReadyAt  time.Duration // it became ready
+	Front             int
+	Name              string
+	TermAt            time.Duration // the first SIGTERM, 0 for none
+	KillDue           time.Duration // the earliest permitted moment of SIGKILL, 0 without SIGTERM
+	KilledAt          time.Duration // SIGKILL, 0 for none
+	ExitedAt          time.Duration
+	Status            int
+	Crashed           bool          // it ended without a signal or with an error status
+	NotReady          bool          // it was not ready in time
+	CountedViolations int64         // violations that the process counted itself
+	Stalls            []Span        // times in which it was stopped
+	ReadyAt           time.Duration // it became ready
 }
 
 // Span is a time span of a run.
@@ -74,10 +74,10 @@
 
 // Drain is the draining of a node, as announced to one process.
 type Drain struct {
-	Process int
-	Node    string
-	Told    time.Duration
-	Until   time.Duration // the node is up again
+	Process     int
+	Node        string
+	AnnouncedAt time.Duration
+	Until       time.Duration // the node is up again
 }
 
 // BadClient is a client that stopped in the middle of a request and kept its connection open.
@@ -91,13 +91,13 @@
 
 // Record holds all observations of a run. Its methods are safe for concurrent use.
 type Record struct {
-	mu       sync.Mutex
-	Requests []Request
-	Attempts []Attempt
-	Process  []Process
-	Drains   []Drain
-	Bad      []BadClient
-	Window   time.Duration // nodes drop repeated requests within this time
+	mu         sync.Mutex
+	Requests   []Request
+	Attempts   []Attempt
+	Processes  []Process
+	Drains     []Drain
+	BadClients []BadClient
+	Window     time.Duration // nodes drop repeated requests within this time
 }
 
 // AddRequest adds a request that has ended.
@@ -121,24 +121,24 @@
 	r.Drains = append(r.Drains, x)
 }
 
-// AddBad adds a client that stopped in the middle of a request.
-func (r *Record) AddBad(x BadClient) {
+// AddBadClient adds a client that stopped in the middle of a request.
+func (r *Record) AddBadClient(x BadClient) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Bad = append(r.Bad, x)
+	r.BadClients = append(r.BadClients, x)
 }
 
 // AddProcess adds a process and returns its index.
 func (r *Record) AddProcess(x Process) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Process = append(r.Process, x)
-	return len(r.Process) - 1
+	r.Processes = append(r.Processes, x)
+	return len(r.Processes) - 1
 }
 
-// Change edits a process.
-func (r *Record) Change(index int, edit func(*Process)) {
+// UpdateProcess edits a process.
+func (r *Record) UpdateProcess(index int, edit func(*Process)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	edit(&r.Process[index])
+	edit(&r.Processes[index])
 }
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -12,16 +12,16 @@
 
 // platformClasses are the request classes of the platform's fronts.
 var platformClasses = []peers.Class{
-	{Name: "read", Effect: audit.Repeatable},
-	{Name: "save", Effect: audit.Keyed, Write: true, Key: true},
-	{Name: "move", Effect: audit.Once, Write: true},
+	{Name: "read", Idempotency: audit.Repeatable},
+	{Name: "save", Idempotency: audit.Keyed, Write: true, Key: true},
+	{Name: "move", Idempotency: audit.Once, Write: true},
 }
 
 // applianceClasses are the request classes of an appliance.
 var applianceClasses = []peers.Class{
-	{Name: "read", Effect: audit.Repeatable},
-	{Name: "write", Effect: audit.Keyed, Write: true, Key: true},
-	{Name: "bulk-read", Effect: audit.Repeatable},
+	{Name: "read", Idempotency: audit.Repeatable},
+	{Name: "write", Idempotency: audit.Keyed, Write: true, Key: true},
+	{Name: "bulk-read", Idempotency: audit.Repeatable},
 }
 
 type object map[string]any
@@ -29,9 +29,9 @@
 // platformConfig returns the configuration file of a front of the platform.
 func (s Scenario) platformConfig(addr, control, discovery string, list peers.List, longest time.Duration) []byte {
 	aim := min(longest/2, 300*time.Millisecond).Microseconds()
-	class := func(name, semantics string, more object) object {
+	class := func(name, semantics string, extra object) object {
 		out := object{"name": name, "aimUs": aim, "giveUpUs": longest.Microseconds(), "semantics": semantics, "credit": 1, "group": "", "windowUs": nil}
-		for k, v := range more {
+		for k, v := range extra {
 			out[k] = v
 		}
 		return out
--- a/internal/soak/troubles.go
+++ b/internal/soak/faults.go
@@ -13,9 +13,9 @@
 	"otterturn/internal/soak/peers"
 )
 
-// live takes a front through one restart while the seed's faults are active: the front gets SIGTERM, then SIGKILL at the earliest
-// permitted moment (or SIGKILL alone), and starts again.
-func (f *front) live(ctx context.Context) error {
+// restartOnce restarts a front once while the seed's faults are active: it sends SIGTERM, then SIGKILL at the earliest permitted
+// moment (or SIGKILL alone), and starts a new process.
+func (f *front) restartOnce(ctx context.Context) error {
 	rng := f.random
 	if !sleep(ctx, between(rng, 300*time.Millisecond, 2500*time.Millisecond)) {
 		return nil
@@ -41,48 +41,48 @@
 // around SIGTERM.
 func (f *front) shutDown(ctx context.Context) {
 	rng := f.random
-	f.noteViolations()
+	f.recordViolations()
 	if rng.IntN(2) == 0 {
-		f.fail(between(rng, 100*time.Millisecond, 700*time.Millisecond), false)
+		f.injectFault(between(rng, 100*time.Millisecond, 700*time.Millisecond), false)
 	}
-	held := rng.IntN(4) == 0 // while the signal arrives
+	stalled := rng.IntN(4) == 0 // while the signal arrives
 	began := time.Now()
-	f.run.record.Change(f.process, func(p *audit.Process) {
-		p.Term = f.run.clock()
-		p.Kill = p.Term + killAfter(f.longest)
+	f.run.record.UpdateProcess(f.process, func(p *audit.Process) {
+		p.TermAt = f.run.clock()
+		p.KillDue = p.TermAt + killAfter(f.longest)
 	})
 	kill := began.Add(killAfter(f.longest))
-	if held {
-		go f.holdUp(holdUp)
+	if stalled {
+		go f.stall(stallTime)
 		time.Sleep(5 * time.Millisecond)
 	}
 	f.signal(syscall.SIGTERM)
-	go f.series(rng.IntN(8), kill)
-	if late := between(rng, 0, killAfter(f.longest)); rng.IntN(2) == 0 && (!held || late > 2*holdUp) {
-		time.AfterFunc(late, func() {
-			if time.Until(kill) > holdUp {
-				f.holdUp(holdUp)
+	go f.sendSignals(rng.IntN(8), kill)
+	if delay := between(rng, 0, killAfter(f.longest)); rng.IntN(2) == 0 && (!stalled || delay > 2*stallTime) {
+		time.AfterFunc(delay, func() {
+			if time.Until(kill) > stallTime {
+				f.stall(stallTime)
 			}
 		})
 	}
 	if rng.IntN(3) == 0 {
 		sleep(ctx, between(rng, 0, killAfter(f.longest)/2))
-		f.fail(between(rng, 100*time.Millisecond, 500*time.Millisecond), false)
+		f.injectFault(between(rng, 100*time.Millisecond, 500*time.Millisecond), false)
 	}
-	if sleep(ctx, time.Until(began.Add(connectsUntil))) {
+	if sleep(ctx, time.Until(began.Add(connectWindow))) {
 		f.setOpen(false)
 	}
 	for time.Until(kill) > time.Millisecond && !f.hasEnded() {
 		time.Sleep(min(5*time.Millisecond, time.Until(kill)))
 		if left := time.Until(kill); left < 60*time.Millisecond && left > 50*time.Millisecond {
-			f.noteViolations()
+			f.recordViolations()
 		}
 	}
 	f.kill()
 }
 
-// series sends further signals after the first SIGTERM.
-func (f *front) series(kind int, kill time.Time) {
+// sendSignals sends further signals after the first SIGTERM.
+func (f *front) sendSignals(kind int, kill time.Time) {
 	for _, s := range [][]syscall.Signal{
 		{syscall.SIGTERM, syscall.SIGTERM}, {syscall.SIGHUP}, {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP},
 	}[min(kind, 2)] {
@@ -94,8 +94,8 @@
 	}
 }
 
-// fail makes a randomly chosen system call of the front fail for a time.
-func (f *front) fail(span time.Duration, files bool) {
+// injectFault makes a randomly chosen system call of the front fail for a time.
+func (f *front) injectFault(span time.Duration, files bool) {
 	f.mu.Lock()
 	injector := f.injector
 	f.mu.Unlock()
@@ -103,64 +103,64 @@
 	switch {
 	case files:
 		from = fileFailures
-	case f.number%3 == 1 && f.draw(2) == 0:
+	case f.number%3 == 1 && f.randomBelow(2) == 0:
 		from = streamFailures
 	}
-	chosen := from[f.draw(len(from))]
+	chosen := from[f.randomBelow(len(from))]
 	if chosen.call == unix.SYS_ACCEPT4 {
-		if span = min(span, longestAcceptFailure); !f.mayFailAccept() {
+		if span = min(span, maxAcceptFailureTime); !f.reserveAcceptFailure() {
 			return
 		}
 	}
 	rule := faults.Rule{
-		Call: chosen.call, Err: chosen.errs[f.draw(len(chosen.errs))], Match: chosen.match, Until: time.Now().Add(span),
+		Call: chosen.call, Err: chosen.errs[f.randomBelow(len(chosen.errs))], Match: chosen.match, Until: time.Now().Add(span),
 	}
 	if rule.Err == unix.EINTR || rule.Err == unix.ECONNABORTED || chosen.call == unix.SYS_READ || chosen.call == unix.SYS_WRITE {
-		rule.Times = onePerCause
+		rule.Times = maxTransientFailures
 	}
 	injector.Inject(rule)
 }
 
-// onePerCause bounds how often a call fails with an error that Linux returns once per signal or per aborted connection. The standard
-// library repeats such a call at once, and would do nothing else while the call keeps failing.
-const onePerCause = 20
+// maxTransientFailures bounds how often a call fails with an error that Linux returns once per signal or per aborted connection. The
+// standard library repeats such a call at once, and would do nothing else while the call keeps failing.
+const maxTransientFailures = 20
 
 // Bounds of injected accept failures: with longer or more frequent ones no front could answer in time.
 const (
-	longestAcceptFailure = 300 * time.Millisecond
-	betweenAcceptFails   = time.Second
+	maxAcceptFailureTime     = 300 * time.Millisecond
+	minAcceptFailureInterval = time.Second
 )
 
-func (f *front) mayFailAccept() bool {
+func (f *front) reserveAcceptFailure() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if time.Since(f.acceptFailed) < betweenAcceptFails {
+	if time.Since(f.acceptFailedAt) < minAcceptFailureInterval {
 		return false
 	}
-	f.acceptFailed = time.Now()
+	f.acceptFailedAt = time.Now()
 	return true
 }
 
-// draw returns a random number below n. It is safe for concurrent use.
-func (f *front) draw(n int) int {
+// randomBelow returns a random number below n. It is safe for concurrent use.
+func (f *front) randomBelow(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.failures.IntN(n)
+	return f.faultRandom.IntN(n)
 }
 
-// troubles injects faults into nodes, fronts, discovery and the file server until ctx ends.
-func (r *Run) troubles(ctx context.Context) {
+// injectFaults injects faults into nodes, fronts, discovery and the file server until ctx ends.
+func (r *Run) injectFaults(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.scenario.Seed, 2))
-	moods := []peers.Mood{peers.Slow, peers.Hanging, peers.Breaking, peers.Full, peers.Failing}
+	behaviors := []peers.Behavior{peers.Slow, peers.Hanging, peers.Resetting, peers.Rejecting, peers.Failing}
 	for sleep(ctx, between(rng, 50*time.Millisecond, 350*time.Millisecond)) {
 		node, front := pick(rng, r.nodes), pick(rng, r.fronts)
 		span := between(rng, 200*time.Millisecond, 2500*time.Millisecond)
 		switch rng.IntN(7) {
 		case 0, 1, 2:
-			node.SetMood(pick(rng, moods))
-			time.AfterFunc(span, func() { node.SetMood(peers.Well) })
+			node.SetBehavior(pick(rng, behaviors))
+			time.AfterFunc(span, func() { node.SetBehavior(peers.Healthy) })
 		case 3:
-			front.fail(min(span, 600*time.Millisecond), front.appliance && rng.IntN(2) == 0)
+			front.injectFault(min(span, 600*time.Millisecond), front.appliance && rng.IntN(2) == 0)
 		case 4:
 			r.drain(node, span)
 		case 5:
@@ -168,8 +168,8 @@
 				front.agent.Silence(min(span, time.Second))
 			}
 		case 6:
-			r.files.SetDelay(pick(rng, []time.Duration{peers.Well.Delay, time.Minute}))
-			time.AfterFunc(span, func() { r.files.SetDelay(peers.Well.Delay) })
+			r.files.SetDelay(pick(rng, []time.Duration{peers.Healthy.Delay, time.Minute}))
+			time.AfterFunc(span, func() { r.files.SetDelay(peers.Healthy.Delay) })
 		}
 	}
 }
@@ -183,8 +183,8 @@
 	now := r.clock()
 	r.discovery.SetHealth(node.Name, "draining")
 	for _, f := range r.fronts {
-		if f.agent != nil && f.agent.Telling() {
-			r.record.AddDrain(audit.Drain{Process: f.currentProcess(), Node: node.Name, Told: now, Until: now + span})
+		if f.agent != nil && f.agent.IsResponding() {
+			r.record.AddDrain(audit.Drain{Process: f.currentProcess(), Node: node.Name, AnnouncedAt: now, Until: now + span})
 		}
 	}
 	time.AfterFunc(span, func() {
--- a/internal/soak/front.go
+++ b/internal/soak/front.go
@@ -18,35 +18,35 @@
 
 // front is one front of the fleet. Its processes follow one another; at most one runs at a time.
 type front struct {
-	run       *Run
-	number    int
-	name      string
-	appliance bool
-	blocked   bool // its log goes to a full pipe that nobody reads
-	addr      string
-	sftp      string // SFTP address, appliance only
-	control   string // control address, platform only
-	config    string
-	folder    string
-	agent     *peers.Agent
-	random    *rand.Rand
-	unread    *os.File
-
-	mu       sync.Mutex
-	failures *rand.Rand // draws system calls and their errors, guarded by mu
-
-	acceptFailed time.Time // when a failure of accept was last injected
-	target       peers.Target
-	longest      time.Duration // longest deadline of the settings in force
-	cmd          *exec.Cmd
-	ended        chan struct{}
-	process      int
-	injector     *faults.Injector
-	runs         int
+	run        *Run
+	number     int
+	name       string
+	appliance  bool
+	logBlocked bool // its log goes to a full pipe that nobody reads
+	addr       string
+	sftp       string // SFTP address, appliance only
+	control    string // control address, platform only
+	config     string
+	folder     string
+	agent      *peers.Agent
+	random     *rand.Rand
+	logPipe    *os.File
+
+	mu          sync.Mutex
+	faultRandom *rand.Rand // draws system calls and their errors, guarded by mu
+
+	acceptFailedAt time.Time // when a failure of accept was last injected
+	target         peers.Target
+	longest        time.Duration // longest deadline of the settings in force
+	cmd            *exec.Cmd
+	ended          chan struct{}
+	process        int
+	injector       *faults.Injector
+	starts         int
 }
 
-// readyTime is how long a front may take to become ready.
-const readyTime = 10 * time.Second
+// readyTimeout is how long a front may take to become ready.
+const readyTimeout = 10 * time.Second
 
 // Target returns where the front's clients connect.
 func (f *front) Target() peers.Target {
@@ -55,8 +55,8 @@
 	return f.target
 }
 
-// fileTarget returns where clients of the file protocol connect.
-func (f *front) fileTarget() peers.Target {
+// sftpTarget returns where clients of the file protocol connect.
+func (f *front) sftpTarget() peers.Target {
 	t := f.Target()
 	t.Addr = f.sftp
 	return t
@@ -70,7 +70,7 @@
 
 // start starts a process and lets clients connect once it is ready.
 func (f *front) start() error {
-	f.runs++
+	f.starts++
 	cmd := exec.Command(f.run.binary)
 	if f.appliance {
 		cmd.Args = append(cmd.Args, "serve", "--config", f.config)
@@ -82,15 +82,15 @@
 	}
 	defer log.Close()
 	cmd.Stdout, cmd.Stderr = nil, log
-	calls := numbers(socketFailures)
+	calls := callNumbers(socketFailures)
 	switch {
 	case f.appliance:
-		calls = numbers(socketFailures, fileFailures)
+		calls = callNumbers(socketFailures, fileFailures)
 	case f.number%3 == 1:
-		calls = numbers(socketFailures, streamFailures)
+		calls = callNumbers(socketFailures, streamFailures)
 	}
-	process := f.run.record.AddProcess(audit.Process{Front: f.number, Name: fmt.Sprintf("%s.%d", f.name, f.runs)})
-	injector, err := faults.Start(cmd, f.run.self, calls...)
+	process := f.run.record.AddProcess(audit.Process{Front: f.number, Name: fmt.Sprintf("%s.%d", f.name, f.starts)})
+	injector, err := faults.Start(cmd, f.run.wrapper, calls...)
 	if err != nil {
 		return fmt.Errorf("%s: %w", f.name, err)
 	}
@@ -101,13 +101,13 @@
 	f.target = peers.Target{Addr: f.addr, Process: process, Longest: f.longest}
 	f.mu.Unlock()
 	if !f.awaitReady() {
-		f.run.record.Change(process, func(p *audit.Process) { p.LateTake = true })
+		f.run.record.UpdateProcess(process, func(p *audit.Process) { p.NotReady = true })
 		return nil
 	}
-	if f.blocked {
-		fillPipe(f.unread)
+	if f.logBlocked {
+		fillPipe(f.logPipe)
 	}
-	f.run.record.Change(process, func(p *audit.Process) { p.ReadyAt = f.run.clock() })
+	f.run.record.UpdateProcess(process, func(p *audit.Process) { p.ReadyAt = f.run.clock() })
 	f.setOpen(true)
 	return nil
 }
@@ -116,9 +116,9 @@
 func (f *front) wait(cmd *exec.Cmd, process int, ended chan struct{}) {
 	cmd.Wait()
 	status := cmd.ProcessState.Sys().(syscall.WaitStatus)
-	f.run.record.Change(process, func(p *audit.Process) {
-		p.Exited, p.Status = f.run.clock(), status.ExitStatus()
-		p.Crashed = p.Killed == 0 && (p.Term == 0 || status.ExitStatus() != 0)
+	f.run.record.UpdateProcess(process, func(p *audit.Process) {
+		p.ExitedAt, p.Status = f.run.clock(), status.ExitStatus()
+		p.Crashed = p.KilledAt == 0 && (p.TermAt == 0 || status.ExitStatus() != 0)
 	})
 	close(ended)
 }
@@ -135,7 +135,7 @@
 // awaitReady waits until the process is ready, and reports whether it became so in time.
 func (f *front) awaitReady() bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(readyTime); time.Now().Before(end) && !f.hasEnded(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end) && !f.hasEnded(); time.Sleep(20 * time.Millisecond) {
 		resp, err := client.Get("http://" + f.addr + "/ready")
 		if err != nil {
 			continue
@@ -154,14 +154,14 @@
 	}
 }
 
-// holdUp stops the process for a time, as a busy machine would.
-func (f *front) holdUp(d time.Duration) {
+// stall stops the process for a time, as a busy machine would.
+func (f *front) stall(d time.Duration) {
 	span := audit.Span{From: f.run.clock()}
 	f.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	f.signal(syscall.SIGCONT)
 	span.To = f.run.clock()
-	f.run.record.Change(f.process, func(p *audit.Process) { p.HoldUps = append(p.HoldUps, span) })
+	f.run.record.UpdateProcess(f.process, func(p *audit.Process) { p.Stalls = append(p.Stalls, span) })
 }
 
 // reload changes the front's longest deadline. Until the new settings are in force, clients use the shorter of both deadlines.
@@ -170,9 +170,9 @@
 	f.target.Longest = min(f.target.Longest, longest)
 	f.mu.Unlock()
 	time.Sleep(f.longest / 4) // earlier requests have less time left by then
-	text := f.run.scenario.platformConfig(f.addr, f.control, f.agent.Addr, f.run.discovery.Whole(), longest)
-	for f.draw(3) > 0 { // truncated files come first
-		os.WriteFile(f.config, text[:f.draw(len(text))], 0o600)
+	text := f.run.scenario.platformConfig(f.addr, f.control, f.agent.Addr, f.run.discovery.FullList(), longest)
+	for f.randomBelow(3) > 0 { // truncated files come first
+		os.WriteFile(f.config, text[:f.randomBelow(len(text))], 0o600)
 		f.signal(syscall.SIGHUP)
 		time.Sleep(reloadPause)
 	}
@@ -180,7 +180,7 @@
 		return err
 	}
 	f.signal(syscall.SIGHUP)
-	time.Sleep(reloadTime)
+	time.Sleep(maxReloadTime)
 	f.mu.Lock()
 	f.longest, f.target.Longest = longest, longest
 	f.mu.Unlock()
@@ -190,15 +190,15 @@
 // reloadPause is the pause between two configuration files in quick succession.
 const reloadPause = 100 * time.Millisecond
 
-// reloadTime is how long new settings take at most to come into force.
-const reloadTime = 1200 * time.Millisecond
+// maxReloadTime is how long new settings take at most to come into force.
+const maxReloadTime = 1200 * time.Millisecond
 
 // kill sends SIGKILL and waits for the end of the process.
 func (f *front) kill() {
 	if f.hasEnded() {
 		return
 	}
-	f.run.record.Change(f.process, func(p *audit.Process) { p.Killed = f.run.clock() })
+	f.run.record.UpdateProcess(f.process, func(p *audit.Process) { p.KilledAt = f.run.clock() })
 	f.signal(syscall.SIGKILL)
 	<-f.ended
 }
--- a/internal/soak/frontlog.go
+++ b/internal/soak/frontlog.go
@@ -17,17 +17,17 @@
 
 // openLog opens the destination of a process's log: a file of the run, or a pipe that nobody reads.
 func (f *front) openLog() (*os.File, error) {
-	if !f.blocked {
-		return os.Create(filepath.Join(f.run.folder, fmt.Sprintf("%s.%d.log", f.name, f.runs)))
+	if !f.logBlocked {
+		return os.Create(filepath.Join(f.run.folder, fmt.Sprintf("%s.%d.log", f.name, f.starts)))
 	}
 	r, w, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	if f.unread != nil {
-		f.unread.Close()
+	if f.logPipe != nil {
+		f.logPipe.Close()
 	}
-	f.unread = r
+	f.logPipe = r
 	return w, nil
 }
 
@@ -38,9 +38,9 @@
 		return
 	}
 	defer unix.Close(fd)
-	for _, piece := range [][]byte{make([]byte, 4096), make([]byte, 1)} {
+	for _, chunk := range [][]byte{make([]byte, 4096), make([]byte, 1)} {
 		for {
-			if _, err := unix.Write(fd, piece); err != nil {
+			if _, err := unix.Write(fd, chunk); err != nil {
 				break
 			}
 		}
@@ -49,8 +49,8 @@
 
 var violationsLine = regexp.MustCompile(`(?m)^svc\.violations:(\d+)\|c$`)
 
-// noteViolations records the number of violations that the process itself counted. A process that does not answer is skipped.
-func (f *front) noteViolations() {
+// recordViolations records the number of violations that the process itself counted. A process that does not answer is skipped.
+func (f *front) recordViolations() {
 	if f.control == "" {
 		return
 	}
@@ -63,6 +63,6 @@
 	text, _ := io.ReadAll(resp.Body)
 	if found := violationsLine.FindSubmatch(text); found != nil {
 		n, _ := strconv.ParseInt(string(found[1]), 10, 64)
-		f.run.record.Change(f.process, func(p *audit.Process) { p.Counted = max(p.Counted, n) })
+		f.run.record.UpdateProcess(f.process, func(p *audit.Process) { p.CountedViolations = max(p.CountedViolations, n) })
 	}
 }
--- a/internal/soak/peers/client.go
+++ b/internal/soak/peers/client.go
@@ -27,10 +27,10 @@
 
 // Class is a request class.
 type Class struct {
-	Name   string
-	Effect audit.Class
-	Write  bool
-	Key    bool
+	Name        string
+	Idempotency audit.Idempotency
+	Write       bool
+	Key         bool
 }
 
 // Client sends requests to one front, on one connection at a time.
@@ -44,21 +44,21 @@
 	Think   time.Duration // mean pause between two requests
 }
 
-// requests counts all requests of this process, which makes their ids unique.
-var requests atomic.Int64
+// requestCount counts all requests of this process, which makes their ids unique.
+var requestCount atomic.Int64
 
 // Shares of requests with special behavior of the client, in percent.
 const (
-	slowBodies = 12 // the client pauses within the body
-	longBodies = 4  // the body is longer than a front buffers
-	leaving    = 8  // the client closes the connection before the answer
-	stopping   = 2  // the client sends an incomplete request
-	hurried    = 4  // the client waits for 20 ms at most
-	moving     = 5  // the client reconnects after the answer
+	slowBodyPercent   = 12 // the client pauses within the body
+	longBodyPercent   = 4  // the body is longer than a front buffers
+	leavePercent      = 8  // the client closes the connection before the answer
+	incompletePercent = 2  // the client sends an incomplete request
+	shortWaitPercent  = 4  // the client waits for 20 ms at most
+	reconnectPercent  = 5  // the client reconnects after the answer
 )
 
-// patience is how long a client still reads after its deadline, to distinguish a late answer from none.
-const patience = 1200 * time.Millisecond
+// lateReadTime is how long a client still reads after its deadline, to distinguish a late answer from none.
+const lateReadTime = 1200 * time.Millisecond
 
 // Run sends requests until ctx ends.
 func (c *Client) Run(ctx context.Context) {
@@ -82,37 +82,37 @@
 func (c *Client) session(ctx context.Context, conn net.Conn, t Target) {
 	in := bufio.NewReader(conn)
 	for first := true; ctx.Err() == nil; first = false {
-		if c.percent(stopping) {
-			c.stop(conn, in, t, first)
+		if c.chance(incompletePercent) {
+			c.sendIncomplete(conn, in, t, first)
 			return
 		}
-		if !c.ask(conn, in, t) || c.percent(moving) {
+		if !c.send(conn, in, t) || c.chance(reconnectPercent) {
 			return
 		}
 		time.Sleep(time.Duration(c.Random.Int64N(int64(2*c.Think) + 1)))
 	}
 }
 
-func (c *Client) percent(share int) bool { return c.Random.IntN(100) < share }
+func (c *Client) chance(share int) bool { return c.Random.IntN(100) < share }
 
-// stop sends an incomplete request and keeps the connection open.
-func (c *Client) stop(conn net.Conn, in *bufio.Reader, t Target, first bool) {
-	text, _ := c.request(c.Classes[0], time.Second, 0)
-	part := 1 + c.Random.IntN(len(text)-4)
-	bad := audit.BadClient{Process: t.Process, Began: c.Clock(), Bytes: part, First: first}
-	if _, err := io.WriteString(conn, text[:part]); err != nil {
+// sendIncomplete sends an incomplete request and keeps the connection open.
+func (c *Client) sendIncomplete(conn net.Conn, in *bufio.Reader, t Target, first bool) {
+	text, _ := c.newRequest(c.Classes[0], time.Second, 0)
+	length := 1 + c.Random.IntN(len(text)-4)
+	bad := audit.BadClient{Process: t.Process, Began: c.Clock(), Bytes: length, First: first}
+	if _, err := io.WriteString(conn, text[:length]); err != nil {
 		return
 	}
 	conn.SetReadDeadline(time.Now().Add(4 * time.Second))
 	if _, err := in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 		bad.Ended = c.Clock()
 	}
-	c.Record.AddBad(bad)
+	c.Record.AddBadClient(bad)
 }
 
-// request returns the head of a new request and its id.
-func (c *Client) request(class Class, wait time.Duration, body int) (head, id string) {
-	id = fmt.Sprintf("r%08x", requests.Add(1))
+// newRequest returns the head of a new request and its id.
+func (c *Client) newRequest(class Class, wait time.Duration, body int) (head, id string) {
+	id = fmt.Sprintf("r%08x", requestCount.Add(1))
 	method := "GET"
 	if class.Write {
 		method = "PUT"
@@ -128,24 +128,24 @@
 	return head + "\r\n", id
 }
 
-// ask sends one request and waits for its answer. It is false once the connection is of no more use.
-func (c *Client) ask(conn net.Conn, in *bufio.Reader, t Target) bool {
+// send sends one request and waits for its answer. It reports whether the connection can be used again.
+func (c *Client) send(conn net.Conn, in *bufio.Reader, t Target) bool {
 	class := c.Classes[c.Random.IntN(len(c.Classes))]
 	wait := t.Longest*3/10 + time.Duration(c.Random.Int64N(int64(t.Longest*7/10)))
-	if c.percent(hurried) {
+	if c.chance(shortWaitPercent) {
 		wait = time.Duration(1+c.Random.IntN(20)) * time.Millisecond
 	}
 	body := 0
 	if class.Write {
 		body = 10
-		if c.percent(longBodies) {
+		if c.chance(longBodyPercent) {
 			body = 150 << 10
 		}
 	}
-	head, id := c.request(class, wait, body)
-	x := audit.Request{ID: id, Class: class.Effect, Process: t.Process, Wait: wait, Long: body > 64<<10}
+	head, id := c.newRequest(class, wait, body)
+	request := audit.Request{ID: id, Idempotency: class.Idempotency, Process: t.Process, Wait: wait, Long: body > 64<<10}
 	text := head + strings.Repeat("b", body)
-	if body > 0 && c.percent(slowBodies) {
+	if body > 0 && c.chance(slowBodyPercent) {
 		part := len(head) + c.Random.IntN(body)
 		if _, err := io.WriteString(conn, text[:part]); err != nil {
 			return false
@@ -153,28 +153,28 @@
 		time.Sleep(time.Duration(c.Random.Int64N(int64(1500 * time.Millisecond))))
 		text = text[part:]
 	}
-	x.Sent = c.Clock()
+	request.Sent = c.Clock()
 	if _, err := io.WriteString(conn, text); err != nil {
 		return false // not sent completely
 	}
-	if c.percent(leaving) {
+	if c.chance(leavePercent) {
 		time.Sleep(time.Duration(c.Random.Int64N(int64(wait) + 1)))
-		x.Ending, x.Ended = audit.Left, c.Clock()
-		c.Record.AddRequest(x)
+		request.Ending, request.Ended = audit.Left, c.Clock()
+		c.Record.AddRequest(request)
 		return false
 	}
-	keep := c.await(conn, in, &x)
-	c.Record.AddRequest(x)
+	keep := c.readAnswer(conn, in, &request)
+	c.Record.AddRequest(request)
 	return keep
 }
 
-// await reads the answer and records how the request ended. It reports whether the connection can be used again.
-func (c *Client) await(conn net.Conn, in *bufio.Reader, x *audit.Request) (keep bool) {
-	conn.SetReadDeadline(time.Now().Add(x.Wait + patience))
-	defer func() { x.Ended = c.Clock() }()
+// readAnswer reads the answer and records how the request ended. It reports whether the connection can be used again.
+func (c *Client) readAnswer(conn net.Conn, in *bufio.Reader, request *audit.Request) (keep bool) {
+	conn.SetReadDeadline(time.Now().Add(request.Wait + lateReadTime))
+	defer func() { request.Ended = c.Clock() }()
 	if _, err := in.Peek(1); err != nil {
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
-			x.Ending = audit.Closed
+			request.Ending = audit.Closed
 		}
 		return false
 	}
@@ -183,9 +183,9 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 	}
 	if err != nil {
-		x.Ending = audit.Cut
+		request.Ending = audit.Cut
 		return false
 	}
-	x.Ending, x.Status = audit.Answered, resp.StatusCode
+	request.Ending, request.Status = audit.Answered, resp.StatusCode
 	return !resp.Close
 }
--- a/internal/soak/peers/discovery.go
+++ b/internal/soak/peers/discovery.go
@@ -30,16 +30,16 @@
 
 // Discovery holds the list of nodes and passes it to agents.
 type Discovery struct {
-	mu      sync.Mutex
-	seq     int64
-	hosts   []Host
-	since   map[string]int64 // version of the last change of each host
-	changed chan struct{}
+	mu         sync.Mutex
+	seq        int64
+	hosts      []Host
+	lastChange map[string]int64 // version of the last change of each host
+	changed    chan struct{}
 }
 
 // NewDiscovery returns a Discovery with the given hosts.
 func NewDiscovery(hosts []Host) *Discovery {
-	return &Discovery{seq: 1, hosts: hosts, since: map[string]int64{}, changed: make(chan struct{})}
+	return &Discovery{seq: 1, hosts: hosts, lastChange: map[string]int64{}, changed: make(chan struct{})}
 }
 
 // SetHealth changes the health of a host and notifies agents.
@@ -52,25 +52,25 @@
 			d.hosts[i].Health = health
 		}
 	}
-	d.since[host] = d.seq
+	d.lastChange[host] = d.seq
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// Whole returns the full list.
-func (d *Discovery) Whole() List {
+// FullList returns the full list.
+func (d *Discovery) FullList() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return List{Seq: d.seq, Whole: true, Hosts: append([]Host(nil), d.hosts...)}
 }
 
-// newer returns the hosts that have changed since a version, and a channel that the next change closes.
-func (d *Discovery) newer(from int64) (List, <-chan struct{}) {
+// changesSince returns the hosts that have changed since a version, and a channel that the next change closes.
+func (d *Discovery) changesSince(from int64) (List, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := List{Seq: d.seq, Hosts: []Host{}}
 	for _, h := range d.hosts {
-		if d.since[h.Host] > from {
+		if d.lastChange[h.Host] > from {
 			out.Hosts = append(out.Hosts, h)
 		}
 	}
@@ -83,8 +83,8 @@
 	discovery *Discovery
 	server    *http.Server
 
-	mu    sync.Mutex
-	quiet time.Time // it answers no call until then
+	mu          sync.Mutex
+	silentUntil time.Time // it answers no call until then
 }
 
 // NewAgent starts an agent.
@@ -108,16 +108,16 @@
 func (a *Agent) Silence(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.quiet = time.Now().Add(d)
+	a.silentUntil = time.Now().Add(d)
 }
 
-// Telling reports whether the agent answers calls at present.
-func (a *Agent) Telling() bool { return a.silentFor() <= 0 }
+// IsResponding reports whether the agent answers calls at present.
+func (a *Agent) IsResponding() bool { return a.silentFor() <= 0 }
 
 func (a *Agent) silentFor() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return time.Until(a.quiet)
+	return time.Until(a.silentUntil)
 }
 
 func (a *Agent) endpoints(w http.ResponseWriter, r *http.Request) {
@@ -130,21 +130,21 @@
 	}
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
-		json.NewEncoder(w).Encode(a.discovery.Whole())
+		json.NewEncoder(w).Encode(a.discovery.FullList())
 		return
 	}
 	hold, _ := strconv.ParseInt(r.URL.Query().Get("hold_ms"), 10, 64)
-	over := time.NewTimer(time.Duration(hold) * time.Millisecond)
-	defer over.Stop()
+	timeout := time.NewTimer(time.Duration(hold) * time.Millisecond)
+	defer timeout.Stop()
 	for {
-		list, changed := a.discovery.newer(from)
+		list, changed := a.discovery.changesSince(from)
 		if len(list.Hosts) > 0 {
 			json.NewEncoder(w).Encode(list)
 			return
 		}
 		select {
 		case <-changed:
-		case <-over.C:
+		case <-timeout.C:
 			json.NewEncoder(w).Encode(list)
 			return
 		case <-r.Context().Done():
--- a/internal/soak/peers/files.go
+++ b/internal/soak/peers/files.go
@@ -18,14 +18,14 @@
 
 // Packet types and status codes of SFTP version 3 (draft-ietf-secsh-filexfer-02), as far as the soak uses them.
 const (
-	packetInit    = 1
-	packetVersion = 2
-	packetMkdir   = 14
-	packetStatus  = 101
-	statusOK      = 0
-	statusUnknown = 8
-	sftpVersion   = 3
-	mostPacket    = 1 << 18
+	packetInit        = 1
+	packetVersion     = 2
+	packetMkdir       = 14
+	packetStatus      = 101
+	statusOK          = 0
+	statusUnsupported = 8
+	sftpVersion       = 3
+	maxPacket         = 1 << 18
 )
 
 // readPacket reads a packet and returns its type and its body.
@@ -35,7 +35,7 @@
 		return 0, nil, err
 	}
 	length := binary.BigEndian.Uint32(head[:])
-	if length == 0 || length > mostPacket {
+	if length == 0 || length > maxPacket {
 		return 0, nil, fmt.Errorf("SFTP packet length %d is out of range", length)
 	}
 	body = make([]byte, length-1)
@@ -43,12 +43,12 @@
 	return head[4], body, err
 }
 
-func packet(kind byte, body []byte) []byte {
+func newPacket(kind byte, body []byte) []byte {
 	out := binary.BigEndian.AppendUint32(nil, uint32(len(body)+1))
 	return append(append(out, kind), body...)
 }
 
-func text(body []byte, s string) []byte {
+func appendString(body []byte, s string) []byte {
 	return append(binary.BigEndian.AppendUint32(body, uint32(len(s))), s...)
 }
 
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &FileServer{Addr: l.Addr().String(), clock: clock, record: record, listener: l, delay: Well.Delay}
+	s := &FileServer{Addr: l.Addr().String(), clock: clock, record: record, listener: l, delay: Healthy.Delay}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -102,14 +102,14 @@
 			return
 		}
 		if kind == packetInit {
-			c.Write(packet(packetVersion, binary.BigEndian.AppendUint32(nil, sftpVersion)))
+			c.Write(newPacket(packetVersion, binary.BigEndian.AppendUint32(nil, sftpVersion)))
 			continue
 		}
-		status := uint32(statusUnknown)
+		status := uint32(statusUnsupported)
 		if kind == packetMkdir && len(body) > 8 {
 			status = statusOK
 			length := binary.BigEndian.Uint32(body[4:8])
-			a := audit.Attempt{ID: string(body[8 : 8+length]), Node: s.Addr, Began: s.clock(), Whole: s.clock(), Told: -1}
+			a := audit.Attempt{ID: string(body[8 : 8+length]), Node: s.Addr, FirstByte: s.clock(), LastByte: s.clock(), TimeLeft: -1}
 			s.mu.Lock()
 			delay := s.delay
 			s.mu.Unlock()
@@ -123,7 +123,7 @@
 			}
 		}
 		answer := binary.BigEndian.AppendUint32(append([]byte(nil), body[:4]...), status)
-		if _, err := c.Write(packet(packetStatus, text(text(answer, ""), ""))); err != nil {
+		if _, err := c.Write(newPacket(packetStatus, appendString(appendString(answer, ""), ""))); err != nil {
 			return
 		}
 	}
@@ -155,29 +155,29 @@
 func (c *FileClient) session(ctx context.Context, conn net.Conn, t Target) {
 	in := bufio.NewReader(conn)
 	conn.SetReadDeadline(time.Now().Add(t.Longest))
-	conn.Write(packet(packetInit, binary.BigEndian.AppendUint32(nil, sftpVersion)))
+	conn.Write(newPacket(packetInit, binary.BigEndian.AppendUint32(nil, sftpVersion)))
 	if kind, _, err := readPacket(in); err != nil || kind != packetVersion {
 		return
 	}
 	for number := uint32(1); ctx.Err() == nil; number++ {
-		path := fmt.Sprintf("%s/f%08x", c.Prefix, requests.Add(1))
-		x := audit.Request{ID: path, Class: audit.Once, Process: t.Process, Wait: t.Longest, Sent: c.Clock()}
-		command := binary.BigEndian.AppendUint32(text(binary.BigEndian.AppendUint32(nil, number), path), 0)
-		if _, err := conn.Write(packet(packetMkdir, command)); err != nil {
+		path := fmt.Sprintf("%s/f%08x", c.Prefix, requestCount.Add(1))
+		request := audit.Request{ID: path, Idempotency: audit.Once, Process: t.Process, Wait: t.Longest, Sent: c.Clock()}
+		command := binary.BigEndian.AppendUint32(appendString(binary.BigEndian.AppendUint32(nil, number), path), 0)
+		if _, err := conn.Write(newPacket(packetMkdir, command)); err != nil {
 			return
 		}
-		conn.SetReadDeadline(time.Now().Add(t.Longest + patience))
+		conn.SetReadDeadline(time.Now().Add(t.Longest + lateReadTime))
 		kind, _, err := readPacket(in)
-		x.Ended = c.Clock()
+		request.Ended = c.Clock()
 		switch {
 		case err == nil && kind == packetStatus:
-			x.Ending = audit.Answered
+			request.Ending = audit.Answered
 		case errors.Is(err, os.ErrDeadlineExceeded):
 		default:
-			x.Ending = audit.Closed
+			request.Ending = audit.Closed
 		}
-		c.Record.AddRequest(x)
-		if x.Ending != audit.Answered {
+		c.Record.AddRequest(request)
+		if request.Ending != audit.Answered {
 			return
 		}
 		time.Sleep(time.Duration(c.Random.Int64N(int64(40 * time.Millisecond))))
--- a/internal/soak/peers/node.go
+++ b/internal/soak/peers/node.go
@@ -20,38 +20,38 @@
 // Clock returns the time since the start of the run.
 type Clock func() time.Duration
 
-// Mood states how a node treats requests.
-type Mood struct {
+// Behavior states how a node treats requests.
+type Behavior struct {
 	Name   string
 	Delay  time.Duration // before an answer
 	Hang   bool          // no answer
 	Reset  bool          // the connection is reset once the request has arrived
-	Refuse bool          // the request is rejected
+	Reject bool          // the request is rejected
 	Fail   bool          // the request is answered with an error
 }
 
 // The behaviors of nodes.
 var (
-	Well     = Mood{Name: "well", Delay: 15 * time.Millisecond}
-	Slow     = Mood{Name: "slow", Delay: 350 * time.Millisecond}
-	Hanging  = Mood{Name: "hanging", Hang: true}
-	Breaking = Mood{Name: "breaking", Reset: true}
-	Full     = Mood{Name: "full", Refuse: true}
-	Failing  = Mood{Name: "failing", Fail: true, Delay: 5 * time.Millisecond}
+	Healthy   = Behavior{Name: "well", Delay: 15 * time.Millisecond}
+	Slow      = Behavior{Name: "slow", Delay: 350 * time.Millisecond}
+	Hanging   = Behavior{Name: "hanging", Hang: true}
+	Resetting = Behavior{Name: "breaking", Reset: true}
+	Rejecting = Behavior{Name: "full", Reject: true}
+	Failing   = Behavior{Name: "failing", Fail: true, Delay: 5 * time.Millisecond}
 )
 
 // Node is a storage node.
 type Node struct {
 	Name, Addr string
 
-	clock    Clock
-	record   *audit.Record
-	idle     time.Duration // idle connections are closed after this time
-	listener net.Listener
+	clock       Clock
+	record      *audit.Record
+	idleTimeout time.Duration // idle connections are closed after this time
+	listener    net.Listener
 
-	mu   sync.Mutex
-	mood Mood
-	open map[net.Conn]struct{}
+	mu       sync.Mutex
+	behavior Behavior
+	conns    map[net.Conn]struct{}
 }
 
 // NewNode starts a node.
@@ -61,24 +61,24 @@
 		return nil, err
 	}
 	n := &Node{
-		Name: name, Addr: l.Addr().String(), clock: clock, record: record, idle: idle, listener: l, mood: Well,
-		open: map[net.Conn]struct{}{},
+		Name: name, Addr: l.Addr().String(), clock: clock, record: record, idleTimeout: idle, listener: l, behavior: Healthy,
+		conns: map[net.Conn]struct{}{},
 	}
 	go n.accept()
 	return n, nil
 }
 
-// SetMood changes how the node treats requests from now on.
-func (n *Node) SetMood(m Mood) {
+// SetBehavior changes how the node treats requests from now on.
+func (n *Node) SetBehavior(m Behavior) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.mood = m
+	n.behavior = m
 }
 
-func (n *Node) currentMood() Mood {
+func (n *Node) currentBehavior() Behavior {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.mood
+	return n.behavior
 }
 
 // Close stops the node and closes its connections.
@@ -86,7 +86,7 @@
 	n.listener.Close()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for c := range n.open {
+	for c := range n.conns {
 		c.Close()
 	}
 }
@@ -102,14 +102,14 @@
 			continue
 		}
 		n.mu.Lock()
-		n.open[c] = struct{}{}
+		n.conns[c] = struct{}{}
 		n.mu.Unlock()
 		go func() {
 			n.serve(c)
 			c.Close()
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			delete(n.open, c)
+			delete(n.conns, c)
 		}()
 	}
 }
@@ -117,11 +117,11 @@
 func (n *Node) serve(c net.Conn) {
 	in := bufio.NewReader(c)
 	for {
-		c.SetReadDeadline(time.Now().Add(n.idle))
+		c.SetReadDeadline(time.Now().Add(n.idleTimeout))
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		a := audit.Attempt{Node: n.Name, Began: n.clock(), Told: -1}
+		a := audit.Attempt{Node: n.Name, FirstByte: n.clock(), TimeLeft: -1}
 		c.SetReadDeadline(time.Time{})
 		r, err := http.ReadRequest(in)
 		if err != nil {
@@ -129,13 +129,13 @@
 		}
 		a.ID = r.Header.Get("X-Correlation-Id")
 		if left, err := time.ParseDuration(r.Header.Get("X-Time-Left") + "s"); err == nil {
-			a.Told = left
+			a.TimeLeft = left
 		}
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			n.record.AddAttempt(a)
 			return
 		}
-		a.Whole = n.clock()
+		a.LastByte = n.clock()
 		if a.ID == "" {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			continue
@@ -149,24 +149,24 @@
 // answer treats a request according to the node's present behavior and records the attempt. It reports whether the connection is still
 // usable.
 func (n *Node) answer(c net.Conn, in *bufio.Reader, a *audit.Attempt, length int64) bool {
-	mood := n.currentMood()
+	behavior := n.currentBehavior()
 	defer func() { n.record.AddAttempt(*a) }()
 	a.Ended = n.clock()
 	switch {
-	case mood.Refuse:
-		a.Unrun = true
+	case behavior.Reject:
+		a.Rejected = true
 		_, err := io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
-	case mood.Reset:
+	case behavior.Reset:
 		c.(*net.TCPConn).SetLinger(0)
 		return false
 	}
-	ended := awaitEnd(c, in, mood)
+	ended := awaitEnd(c, in, behavior)
 	a.Ended = n.clock() // taken before the answer is sent: the front may send again as soon as it has the answer
 	if ended {
 		return false
 	}
-	if mood.Fail {
+	if behavior.Fail {
 		_, err := io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	}
@@ -179,11 +179,11 @@
 }
 
 // awaitEnd waits until the answer is due, and reports whether the front ended the connection before.
-func awaitEnd(c net.Conn, in *bufio.Reader, mood Mood) (ended bool) {
-	const longest = time.Minute
-	wait := mood.Delay
-	if mood.Hang {
-		wait = longest
+func awaitEnd(c net.Conn, in *bufio.Reader, behavior Behavior) (ended bool) {
+	const maxWait = time.Minute
+	wait := behavior.Delay
+	if behavior.Hang {
+		wait = maxWait
 	}
 	c.SetReadDeadline(time.Now().Add(wait))
 	_, err := in.Peek(1)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -19,9 +19,9 @@
 type Run struct {
 	scenario  Scenario
 	binary    string // path of the program under test
-	self      string // path of this program, which wraps processes for fault injection
+	wrapper   string // path of this program, which wraps processes for fault injection
 	folder    string // holds logs and configuration files
-	began     time.Time
+	startedAt time.Time
 	record    *audit.Record
 	discovery *peers.Discovery
 	nodes     []*peers.Node
@@ -52,24 +52,24 @@
 	if err != nil {
 		return Result{}, err
 	}
-	r := &Run{scenario: s, binary: binary, self: self, folder: folder, began: time.Now(), record: &audit.Record{Window: s.Window}}
+	r := &Run{scenario: s, binary: binary, wrapper: self, folder: folder, startedAt: time.Now(), record: &audit.Record{Window: s.Window}}
 	defer r.close()
-	if err := r.build(); err != nil {
+	if err := r.setUp(); err != nil {
 		return Result{}, err
 	}
 	if err := r.startAll(); err != nil {
 		return Result{}, err
 	}
-	ctx, end := context.WithTimeout(context.Background(), runTime)
-	defer end()
+	ctx, cancel := context.WithTimeout(context.Background(), runTime)
+	defer cancel()
 	err = r.play(ctx)
 	return r.result(), err
 }
 
-func (r *Run) clock() time.Duration { return time.Since(r.began) }
+func (r *Run) clock() time.Duration { return time.Since(r.startedAt) }
 
-// build starts the nodes, discovery and the file server, and writes the configuration files of the fronts.
-func (r *Run) build() error {
+// setUp starts the nodes, discovery and the file server, and writes the configuration files of the fronts.
+func (r *Run) setUp() error {
 	var hosts []peers.Host
 	for i := range nodeCount {
 		n, err := peers.NewNode(fmt.Sprintf("s-%08x", i), r.clock, r.record, r.scenario.ConnIdle)
@@ -98,9 +98,9 @@
 // four goes to a pipe that nobody reads.
 func (r *Run) newFront(number int) (*front, error) {
 	f := &front{
-		run: r, number: number, name: fmt.Sprintf("n%d", number), appliance: number == 0, blocked: number%4 == 3,
-		random:   rand.New(rand.NewPCG(r.scenario.Seed, uint64(100+number))),
-		failures: rand.New(rand.NewPCG(r.scenario.Seed, uint64(1000+number))), longest: r.scenario.Longest,
+		run: r, number: number, name: fmt.Sprintf("n%d", number), appliance: number == 0, logBlocked: number%4 == 3,
+		random:      rand.New(rand.NewPCG(r.scenario.Seed, uint64(100+number))),
+		faultRandom: rand.New(rand.NewPCG(r.scenario.Seed, uint64(1000+number))), longest: r.scenario.Longest,
 	}
 	f.folder = filepath.Join(r.folder, f.name)
 	if err := os.MkdirAll(f.folder, 0o700); err != nil {
@@ -125,7 +125,7 @@
 	if f.agent, err = peers.NewAgent(r.discovery); err != nil {
 		return nil, err
 	}
-	text := r.scenario.platformConfig(f.addr, f.control, f.agent.Addr, r.discovery.Whole(), f.longest)
+	text := r.scenario.platformConfig(f.addr, f.control, f.agent.Addr, r.discovery.FullList(), f.longest)
 	return f, os.WriteFile(f.config, text, 0o600)
 }
 
@@ -142,29 +142,29 @@
 
 // play runs clients and faults until ctx ends, and then waits for the last answers.
 func (r *Run) play(ctx context.Context) error {
-	asking, endAsking := context.WithCancel(context.Background())
-	defer endAsking()
-	var clients, lives sync.WaitGroup
+	clientCtx, stopClients := context.WithCancel(context.Background())
+	defer stopClients()
+	var clients, restarts sync.WaitGroup
 	for _, f := range r.fronts {
 		for i := range r.scenario.Clients {
-			clients.Go(func() { r.newClient(f, i).Run(asking) })
+			clients.Go(func() { r.newClient(f, i).Run(clientCtx) })
 		}
 		if f.appliance {
 			for i := range r.scenario.Clients {
-				clients.Go(func() { r.newFileClient(f, i).Run(asking) })
+				clients.Go(func() { r.newFileClient(f, i).Run(clientCtx) })
 			}
 		}
 	}
 	errs := make([]error, len(r.fronts))
 	for i, f := range r.fronts {
-		lives.Go(func() { errs[i] = f.live(ctx) })
+		restarts.Go(func() { errs[i] = f.restartOnce(ctx) })
 	}
-	r.troubles(ctx)
-	lives.Wait()
-	endAsking()
+	r.injectFaults(ctx)
+	restarts.Wait()
+	stopClients()
 	clients.Wait()
 	for _, f := range r.fronts {
-		f.noteViolations()
+		f.recordViolations()
 	}
 	return errors.Join(errs...)
 }
@@ -182,7 +182,7 @@
 
 func (r *Run) newFileClient(f *front, number int) *peers.FileClient {
 	return &peers.FileClient{
-		Target: f.fileTarget, Prefix: "/riverside", Clock: r.clock, Record: r.record,
+		Target: f.sftpTarget, Prefix: "/riverside", Clock: r.clock, Record: r.record,
 		Random: rand.New(rand.NewPCG(r.scenario.Seed, uint64(20_000+number))),
 	}
 }
@@ -196,8 +196,8 @@
 		if f.agent != nil {
 			f.agent.Close()
 		}
-		if f.unread != nil {
-			f.unread.Close()
+		if f.logPipe != nil {
+			f.logPipe.Close()
 		}
 	}
 	for _, n := range r.nodes {
@@ -209,13 +209,13 @@
 }
 
 func (r *Run) result() Result {
-	out := Result{Scenario: r.scenario, Requests: len(r.record.Requests), Attempts: len(r.record.Attempts), Processes: len(r.record.Process)}
-	for _, x := range r.record.Requests {
-		if x.Ending == audit.Answered {
+	out := Result{Scenario: r.scenario, Requests: len(r.record.Requests), Attempts: len(r.record.Attempts), Processes: len(r.record.Processes)}
+	for _, request := range r.record.Requests {
+		if request.Ending == audit.Answered {
 			out.Answered++
 		}
 	}
-	out.Violations = audit.Judge(r.record)
+	out.Violations = audit.Check(r.record)
 	return out
 }
 
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -13,14 +13,16 @@
 
 // Times of a shutdown, as documented for operators.
 const (
-	killMaxDeadline = 3 * time.Second
-	killExtra       = 700 * time.Millisecond
-	connectsUntil   = 300 * time.Millisecond // new connections still arrive for so long after SIGTERM
-	holdUp          = 150 * time.Millisecond // length of an injected stall: the longest that a front must tolerate
+	maxKillDeadline = 3 * time.Second
+	killMargin      = 700 * time.Millisecond
+	connectWindow   = 300 * time.Millisecond // new connections still arrive for so long after SIGTERM
+	stallTime       = 150 * time.Millisecond // length of an injected stall: the longest that a front must tolerate
 )
 
 // killAfter returns the time from SIGTERM to SIGKILL, given the longest deadline of the settings in force.
-func killAfter(longest time.Duration) time.Duration { return min(longest, killMaxDeadline) + killExtra }
+func killAfter(longest time.Duration) time.Duration {
+	return min(longest, maxKillDeadline) + killMargin
+}
 
 // Sizes of a run.
 const (
@@ -75,15 +77,15 @@
 	return from + time.Duration(rng.Int64N(int64(to-from)+1))
 }
 
-// failure is a system call with the errors that Linux documents for it on the kinds of descriptors that a front has.
-type failure struct {
+// callFailure is a system call with the errors that Linux documents for it on the kinds of descriptors that a front has.
+type callFailure struct {
 	call  uintptr
 	errs  []unix.Errno
 	match func(pid uint32, args [6]uint64) bool
 }
 
 // socketFailures are the failures of accept(2), socket(2) and connect(2) on TCP.
-var socketFailures = []failure{
+var socketFailures = []callFailure{
 	{call: unix.SYS_ACCEPT4, errs: []unix.Errno{
 		unix.ECONNABORTED, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM, unix.EPROTO, unix.ENETDOWN,
 		unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT,
@@ -95,7 +97,7 @@
 }
 
 // streamFailures are the failures of read(2) and write(2) after which a TCP connection stays open.
-var streamFailures = []failure{
+var streamFailures = []callFailure{
 	{call: unix.SYS_READ, errs: streamErrors, match: faults.AnySocket},
 	{call: unix.SYS_WRITE, errs: streamErrors, match: faults.AnySocket},
 }
@@ -103,14 +105,14 @@
 var streamErrors = []unix.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.ETIMEDOUT}
 
 // fileFailures are the failures of writing, syncing and renaming files.
-var fileFailures = []failure{
+var fileFailures = []callFailure{
 	{call: unix.SYS_WRITE, errs: []unix.Errno{unix.EIO, unix.ENOSPC, unix.EDQUOT}, match: faults.RegularFile},
 	{call: unix.SYS_FSYNC, errs: []unix.Errno{unix.EIO, unix.ENOSPC, unix.EDQUOT}},
 	{call: unix.SYS_RENAMEAT, errs: []unix.Errno{unix.EIO, unix.ENOSPC}},
 }
 
-// numbers returns the numbers of the system calls that the seccomp filter must hand to the injector.
-func numbers(list ...[]failure) (out []uintptr) {
+// callNumbers returns the numbers of the system calls that the seccomp filter must hand to the injector.
+func callNumbers(list ...[]callFailure) (out []uintptr) {
 	for _, failures := range list {
 		for _, f := range failures {
 			out = append(out, f.call)
