--- a/internal/lab/authority/protocol.go
+++ b/internal/lab/authority/protocol.go
@@ -114,8 +114,7 @@
 // message carries.
 func (a *Authority) verify(r *http.Request) (message, error) {
 	if r.Header.Get("Content-Type") != "application/jose+json" {
-		return message{}, newProblem(http.StatusUnsupportedMediaType, "malformed",
-			"content type %q is not application/jose+json", r.Header.Get("Content-Type"))
+		return message{}, newProblem(http.StatusUnsupportedMediaType, "malformed", "unexpected content type %q", r.Header.Get("Content-Type"))
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<16))
 	if err != nil {
--- a/internal/lab/histories/histories.go
+++ b/internal/lab/histories/histories.go
@@ -94,7 +94,8 @@
 	return count
 }
 
-// drawFaultPeriods draws the periods in which an authority fails, from minutes up to half a lifetime in the mean.
+// drawFaultPeriods draws the periods in which an authority fails. Most are short; their mean length is drawn from 1 min to
+// half a lifetime, so that some last for most of a lifetime.
 func drawFaultPeriods(rng *rand.Rand, from, to time.Time, lifetime time.Duration) []faultPeriod {
 	var out []faultPeriod
 	for at := from; at.Before(to); {
