--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -124,7 +124,7 @@
 	return final
 }
 
-// HTTP returns an Ask that sends requests of the platform's protocol for the volumes of the given number of projects.
+// HTTP returns a function that sends requests of the platform's protocol for the volumes of the given number of projects.
 func HTTP(addr string, set protocol.Settings, projects int) Ask {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 	return func(ctx context.Context, n int, rng *rand.Rand) Verdict {
@@ -160,8 +160,8 @@
 	return Failed, 0
 }
 
-// Files returns an Ask that writes or reads a file in one of the folders per request, over the given number of SFTP
-// sessions. The end function closes the sessions.
+// Files returns a function that writes or reads a file in one of the folders per request, over the given number of SFTP
+// sessions. end closes the sessions.
 func Files(addr string, folders []string, sessions int) (ask Ask, end func(), err error) {
 	idle := make(chan *sftp.Client, sessions)
 	end = func() {
--- a/internal/soak/peers/node.go
+++ b/internal/soak/peers/node.go
@@ -55,13 +55,13 @@
 }
 
 // NewNode starts a node.
-func NewNode(name string, clock Clock, record *audit.Record, idle time.Duration) (*Node, error) {
+func NewNode(name string, clock Clock, record *audit.Record, idleTimeout time.Duration) (*Node, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	n := &Node{
-		Name: name, Addr: l.Addr().String(), clock: clock, record: record, idleTimeout: idle, listener: l, behavior: Healthy,
+		Name: name, Addr: l.Addr().String(), clock: clock, record: record, idleTimeout: idleTimeout, listener: l, behavior: Healthy,
 		conns: map[net.Conn]struct{}{},
 	}
 	go n.accept()
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -48,11 +48,11 @@
 
 // Play runs a scenario with the given binary of the program. The logs of its processes stay in the folder.
 func Play(s Scenario, binary, folder string) (Result, error) {
-	self, err := os.Executable()
+	wrapper, err := os.Executable()
 	if err != nil {
 		return Result{}, err
 	}
-	r := &Run{scenario: s, binary: binary, wrapper: self, folder: folder, startedAt: time.Now(), record: &audit.Record{Window: s.Window}}
+	r := &Run{scenario: s, binary: binary, wrapper: wrapper, folder: folder, startedAt: time.Now(), record: &audit.Record{Window: s.Window}}
 	defer r.close()
 	if err := r.setUp(); err != nil {
 		return Result{}, err
