--- a/internal/lab/histories/histories.go
+++ b/internal/lab/histories/histories.go
@@ -150,8 +150,8 @@
 	return false
 }
 
-// replacedManager renews as documented for the manager that package plan replaced: 30 days or a third of the lifetime before
-// the expiry, and up to an hour earlier. After a failure it tries again in 30 to 60 minutes. It uses one authority and
+// replacedManager renews as documented for the manager that package plan replaced: 30 days before the expiry, or a third of
+// the lifetime if that is less, and up to an hour earlier. After a failure it tries again in 30 to 60 minutes. It uses one authority and
 // respects no limits.
 type replacedManager struct {
 	cert        plan.Cert
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -25,7 +25,7 @@
 // Verdict is the outcome of a request.
 type Verdict int
 
-// The kinds of Verdict.
+// Values of Verdict.
 const (
 	Served Verdict = iota
 	Refused
--- a/internal/soak/audit/check.go
+++ b/internal/soak/audit/check.go
@@ -19,7 +19,7 @@
 	maxCrossingTime          = 300 * time.Millisecond // a client whose request crosses the close of its connection sees the close within this
 )
 
-// The rules that a run may break.
+// Rules that a run may violate.
 const (
 	Lost                   = "lost"
 	Duplicate              = "duplicate"
@@ -75,26 +75,26 @@
 	return c.found
 }
 
-func (j *checker) add(rule, id string, at time.Duration, format string, args ...any) {
-	j.found = append(j.found, Violation{rule, id, fmt.Sprintf(format, args...), at})
+func (c *checker) add(rule, id string, at time.Duration, format string, args ...any) {
+	c.found = append(c.found, Violation{rule, id, fmt.Sprintf(format, args...), at})
 }
 
 // stallTime returns how long a process was stopped between two moments.
-func (j *checker) stallTime(process int, from, to time.Duration) (sum time.Duration) {
-	for _, s := range j.Processes[process].Stalls {
+func (c *checker) stallTime(process int, from, to time.Duration) (sum time.Duration) {
+	for _, s := range c.Processes[process].Stalls {
 		sum += max(0, min(s.To, to)-max(s.From, from))
 	}
 	return sum
 }
 
 // checkAnswer checks that a request got an answer in time.
-func (j *checker) checkAnswer(r Request) {
-	p := j.Processes[r.Process]
+func (c *checker) checkAnswer(r Request) {
+	p := c.Processes[r.Process]
 	due := r.Sent + r.Wait + maxAnswerDelay + socketSlack
 	switch r.Ending {
 	case Answered:
-		if stalled := j.stallTime(r.Process, r.Sent, r.Ended); r.Ended > due+stalled {
-			j.add(Lost, r.ID, r.Ended, "answered with status %d %v after its deadline, sent to %s at %v",
+		if stalled := c.stallTime(r.Process, r.Sent, r.Ended); r.Ended > due+stalled {
+			c.add(Lost, r.ID, r.Ended, "answered with status %d %v after its deadline, sent to %s at %v",
 				r.Status, r.Ended-r.Sent-r.Wait, p.Name, r.Sent)
 		}
 		return
@@ -103,23 +103,23 @@
 	}
 	if p.KilledAt > 0 && r.Ended >= p.KilledAt-socketSlack {
 		if p.TermAt > 0 && r.Sent > p.TermAt+answerRequiredAfter {
-			j.add(Lost, r.ID, r.Ended, "no answer at SIGKILL, sent to %s %v after SIGTERM, %d attempts",
-				p.Name, r.Sent-p.TermAt, len(j.attempts[r.ID]))
+			c.add(Lost, r.ID, r.Ended, "no answer at SIGKILL, sent to %s %v after SIGTERM, %d attempts",
+				p.Name, r.Sent-p.TermAt, len(c.attempts[r.ID]))
 		}
 		return
 	}
-	crossing := r.Ending == Closed && len(j.attempts[r.ID]) == 0 && r.Ended-r.Sent < maxCrossingTime+j.stallTime(r.Process, r.Sent, r.Ended)
+	crossing := r.Ending == Closed && len(c.attempts[r.ID]) == 0 && r.Ended-r.Sent < maxCrossingTime+c.stallTime(r.Process, r.Sent, r.Ended)
 	if crossing || p.Crashed { // a crash is reported separately
 		return
 	}
-	j.add(Lost, r.ID, r.Ended, "no answer %v after it was sent to %s (ending %d, %d attempts)",
-		r.Ended-r.Sent, p.Name, r.Ending, len(j.attempts[r.ID]))
+	c.add(Lost, r.ID, r.Ended, "no answer %v after it was sent to %s (ending %d, %d attempts)",
+		r.Ended-r.Sent, p.Name, r.Ending, len(c.attempts[r.ID]))
 }
 
 // checkExecutions checks how often a request ran.
-func (j *checker) checkExecutions(r Request) {
+func (c *checker) checkExecutions(r Request) {
 	var executed []Attempt
-	for _, a := range j.attempts[r.ID] {
+	for _, a := range c.attempts[r.ID] {
 		if a.LastByte > 0 && !a.Rejected {
 			executed = append(executed, a)
 		}
@@ -131,68 +131,68 @@
 		first := executed[0]
 		switch {
 		case r.Idempotency == Once:
-			j.add(Duplicate, r.ID, a.LastByte, "executed %d times", len(executed))
-		case r.Idempotency == Keyed && a.LastByte-first.FirstByte > j.Window+socketSlack+j.stallTime(r.Process, first.FirstByte, a.LastByte):
-			j.add(Duplicate, r.ID, a.LastByte, "repeated %v after the first attempt, the deduplication window is %v",
-				a.LastByte-first.FirstByte, j.Window)
+			c.add(Duplicate, r.ID, a.LastByte, "executed %d times", len(executed))
+		case r.Idempotency == Keyed && a.LastByte-first.FirstByte > c.Window+socketSlack+c.stallTime(r.Process, first.FirstByte, a.LastByte):
+			c.add(Duplicate, r.ID, a.LastByte, "repeated %v after the first attempt, the deduplication window is %v",
+				a.LastByte-first.FirstByte, c.Window)
 		}
 		if previous := executed[i-1]; previous.Ended == 0 || previous.Ended > a.LastByte {
-			j.add(Duplicate, r.ID, a.LastByte, "attempt at %s while an attempt at %s was open", a.Node, previous.Node)
+			c.add(Duplicate, r.ID, a.LastByte, "attempt at %s while an attempt at %s was open", a.Node, previous.Node)
 		}
 	}
 	refused := r.Ending == Answered && (r.Status == 429 || r.Status == 503)
 	if refused && r.Idempotency == Once && len(executed) > 0 {
-		j.add(RejectedAfterExecution, r.ID, r.Ended, "answered with status %d, executed at %s", r.Status, executed[0].Node)
+		c.add(RejectedAfterExecution, r.ID, r.Ended, "answered with status %d, executed at %s", r.Status, executed[0].Node)
 	}
 }
 
 // checkAttempt checks one attempt of a request.
-func (j *checker) checkAttempt(r Request, a Attempt) {
-	stalled := j.stallTime(r.Process, r.Sent, max(a.FirstByte, a.LastByte))
+func (c *checker) checkAttempt(r Request, a Attempt) {
+	stalled := c.stallTime(r.Process, r.Sent, max(a.FirstByte, a.LastByte))
 	if a.LastByte > 0 {
 		if late := a.LastByte - r.Sent - r.Wait; late > leaveSlack+stalled { // a client leaves at its deadline
-			j.add(LateAttempt, r.ID, a.LastByte,
+			c.add(LateAttempt, r.ID, a.LastByte,
 				"%v after its client's deadline of %v, by %s at %s, sent at %v, started at %v, announced %v, long %v, ending %d",
-				late, r.Wait, j.Processes[r.Process].Name, a.Node, r.Sent, a.FirstByte, a.TimeLeft, r.Long, r.Ending)
+				late, r.Wait, c.Processes[r.Process].Name, a.Node, r.Sent, a.FirstByte, a.TimeLeft, r.Long, r.Ending)
 		}
 		if r.Ending == Left && a.LastByte-r.Ended > leaveSlack+stalled {
-			j.add(Lost, r.ID, a.LastByte, "attempt at %s received %v after its client left", a.Node, a.LastByte-r.Ended)
+			c.add(Lost, r.ID, a.LastByte, "attempt at %s received %v after its client left", a.Node, a.LastByte-r.Ended)
 		}
 	}
 	// The head of a long request is sent before the decision about its deadline: a known fault, see KNOWN-RED.txt.
 	if left := r.Sent + r.Wait - a.FirstByte; a.TimeLeft >= 0 && !r.Long && a.TimeLeft > max(0, left)+timeLeftSlack+stalled {
-		j.add(ExcessTimeLeft, r.ID, a.FirstByte, "node %s: announced time %v, %v left", a.Node, a.TimeLeft, left)
+		c.add(ExcessTimeLeft, r.ID, a.FirstByte, "node %s: announced time %v, %v left", a.Node, a.TimeLeft, left)
 	}
-	for _, d := range j.Drains {
+	for _, d := range c.Drains {
 		if d.Process == r.Process && d.Node == a.Node && a.FirstByte > d.AnnouncedAt+drainGrace+socketSlack &&
 			(d.Until == 0 || a.FirstByte < d.Until) {
-			j.add(SentToDraining, r.ID, a.FirstByte, "sent to %s %v after the front learned of its drain", a.Node, a.FirstByte-d.AnnouncedAt)
+			c.add(SentToDraining, r.ID, a.FirstByte, "sent to %s %v after the front learned of its drain", a.Node, a.FirstByte-d.AnnouncedAt)
 		}
 	}
 }
 
-func (j *checker) checkProcesses() {
-	for _, p := range j.Processes {
+func (c *checker) checkProcesses() {
+	for _, p := range c.Processes {
 		if p.Crashed {
-			j.add(Crash, p.Name, p.ExitedAt, "ended with status %d", p.Status)
+			c.add(Crash, p.Name, p.ExitedAt, "ended with status %d", p.Status)
 		}
 		if p.NotReady {
-			j.add(Crash, p.Name, p.ExitedAt, "not ready in time")
+			c.add(Crash, p.Name, p.ExitedAt, "not ready in time")
 		}
 		if p.CountedViolations > 0 {
-			j.add(CountedByFront, p.Name, p.ExitedAt, "%d", p.CountedViolations)
+			c.add(CountedByFront, p.Name, p.ExitedAt, "%d", p.CountedViolations)
 		}
 	}
 }
 
-func (j *checker) checkBadClient(b BadClient) {
-	p := j.Processes[b.Process]
+func (c *checker) checkBadClient(b BadClient) {
+	p := c.Processes[b.Process]
 	if p.KilledAt > 0 && (b.Ended == 0 || b.Ended >= p.KilledAt-socketSlack) {
 		return
 	}
-	limit := incompleteRequestTimeout + socketSlack + j.stallTime(b.Process, b.Began, b.Began+incompleteRequestTimeout)
+	limit := incompleteRequestTimeout + socketSlack + c.stallTime(b.Process, b.Began, b.Began+incompleteRequestTimeout)
 	if b.Ended == 0 || b.Ended-b.Began > limit {
-		j.add(IncompleteRequest, p.Name, b.Began, "client stopped after %d bytes and its connection stayed open, first request %v, ended %v",
+		c.add(IncompleteRequest, p.Name, b.Began, "client stopped after %d bytes and its connection stayed open, first request %v, ended %v",
 			b.Bytes, b.First, b.Ended)
 	}
 }
--- a/internal/soak/audit/record.go
+++ b/internal/soak/audit/record.go
@@ -11,7 +11,7 @@
 // Idempotency states whether a request may run again after an attempt that may have run.
 type Idempotency int
 
-// The classes.
+// Values of Idempotency.
 const (
 	Repeatable Idempotency = iota // may run any number of times
 	Keyed                         // may be repeated within the window, in which nodes drop repetitions
@@ -21,7 +21,7 @@
 // Ending states how a request ended for its client.
 type Ending int
 
-// The kinds of Ending.
+// Values of Ending.
 const (
 	Open     Ending = iota // no answer came while the client waited
 	Answered               // one complete answer
@@ -62,7 +62,7 @@
 	KilledAt          time.Duration // SIGKILL, 0 for none
 	ExitedAt          time.Duration
 	Status            int
-	Crashed           bool          // it ended without a signal or with an error status
+	Crashed           bool          // it ended without SIGTERM and SIGKILL, or with an error status after SIGTERM
 	NotReady          bool          // it was not ready in time
 	CountedViolations int64         // violations that the process counted itself
 	Stalls            []Span        // times in which it was stopped
