--- a/internal/lab/sockets/emulate.go
+++ b/internal/lab/sockets/emulate.go
@@ -14,26 +14,27 @@
 	"otterturn/internal/net/protocol"
 )
 
-// Emulated is a node to be started by hand. An empty address is not served; its files begin with these folders.
+// Emulated describes a node that Emulate serves. A protocol with an empty address is not served. The node's file system
+// starts with the given folders.
 type Emulated struct {
 	Name, HTTP, SFTP string
 	Folders          []string
 }
 
-// Work that file commands cost, in microseconds of a core of speed 1.
+// Work of file commands, in microseconds of a core of speed 1.
 const (
 	commandWork = 2_000
-	readWork    = 5_000 // for each unit of bytes
+	readWork    = 5_000 // per started unitBytes
 	writeWork   = 9_000
 	unitBytes   = 16 << 10
 )
 
-// Emulate serves nodes until ctx ends: each with its own model of the figures given, and files in memory. Requests of
-// the platform's protocol cost what cost says.
-func Emulate(ctx context.Context, nodes []Emulated, f model.Figures, set protocol.Settings, cost func(protocol.Request) model.Job) error {
+// Emulate serves nodes until ctx ends, each with its own model of the given figures and with files in memory. cost returns
+// the work of a request of the platform's protocol.
+func Emulate(ctx context.Context, nodes []Emulated, figures model.Figures, set protocol.Settings, cost func(protocol.Request) model.Job) error {
 	var models []*model.Node
 	for range nodes {
-		models = append(models, model.New(f))
+		models = append(models, model.New(figures))
 	}
 	w := world.New(set.Scheduler, models, 1, 0, 1)
 	var servers []*node
@@ -43,7 +44,7 @@
 			l.Close()
 		}
 		for _, s := range servers {
-			s.die()
+			s.stop()
 		}
 	}()
 	w.Live()
@@ -80,10 +81,10 @@
 	return nil
 }
 
-// forever is longer than any program runs, in microseconds.
+// forever is a run time without an end, in microseconds.
 const forever = 1 << 60
 
-// serveFiles accepts file sessions. The files of a node are the same for all of them.
+// serveFiles accepts SFTP sessions. All sessions of a node share its files.
 func serveFiles(l net.Listener, w *world.World, n *world.Node, files sftp.Handlers) {
 	for {
 		c, err := l.Accept()
@@ -98,7 +99,7 @@
 	}
 }
 
-// session is one file session. The model decides when each command is done; where it breaks, so does the session.
+// session is one SFTP session. The model decides when each command is done. If the model breaks a command, the session ends.
 type session struct {
 	conn  net.Conn
 	world *world.World
@@ -106,17 +107,17 @@
 	files sftp.Handlers
 }
 
-var errFull = errors.New("the node is full")
+var errQueueFull = errors.New("node queue is full")
 
-// wait has the model do some work.
-func (s *session) wait(j model.Job) error {
+// runJob waits until the model has done some work.
+func (s *session) runJob(j model.Job) error {
 	reply := make(chan world.Reply, 1)
 	s.world.Do(func() { s.world.Arrive(s.node, j, func(r world.Reply) { reply <- r }) })
 	switch <-reply {
 	case world.Answer:
 		return nil
 	case world.TurnedAway:
-		return errFull
+		return errQueueFull
 	}
 	s.conn.Close()
 	return io.ErrUnexpectedEOF
@@ -125,7 +126,7 @@
 func units(bytes int) float64 { return float64(1 + bytes/unitBytes) }
 
 func (s *session) Fileread(r *sftp.Request) (io.ReaderAt, error) {
-	if err := s.wait(model.Job{Work: commandWork}); err != nil {
+	if err := s.runJob(model.Job{Work: commandWork}); err != nil {
 		return nil, err
 	}
 	file, err := s.files.FileGet.Fileread(r)
@@ -133,7 +134,7 @@
 }
 
 func (s *session) Filewrite(r *sftp.Request) (io.WriterAt, error) {
-	if err := s.wait(model.Job{Work: commandWork, Write: true}); err != nil {
+	if err := s.runJob(model.Job{Work: commandWork, Write: true}); err != nil {
 		return nil, err
 	}
 	file, err := s.files.FilePut.Filewrite(r)
@@ -141,14 +142,14 @@
 }
 
 func (s *session) Filecmd(r *sftp.Request) error {
-	if err := s.wait(model.Job{Work: commandWork, Write: true}); err != nil {
+	if err := s.runJob(model.Job{Work: commandWork, Write: true}); err != nil {
 		return err
 	}
 	return s.files.FileCmd.Filecmd(r)
 }
 
 func (s *session) Filelist(r *sftp.Request) (sftp.ListerAt, error) {
-	if err := s.wait(model.Job{Work: commandWork}); err != nil {
+	if err := s.runJob(model.Job{Work: commandWork}); err != nil {
 		return nil, err
 	}
 	return s.files.FileList.Filelist(r)
@@ -161,7 +162,7 @@
 }
 
 func (r *reader) ReadAt(p []byte, at int64) (int, error) {
-	if err := r.wait(model.Job{Work: readWork * units(len(p)), Piece: fmt.Sprint(r.path, at)}); err != nil {
+	if err := r.runJob(model.Job{Work: readWork * units(len(p)), Piece: fmt.Sprint(r.path, at)}); err != nil {
 		return 0, err
 	}
 	return r.ReaderAt.ReadAt(p, at)
@@ -173,7 +174,7 @@
 }
 
 func (w *writer) WriteAt(p []byte, at int64) (int, error) {
-	if err := w.wait(model.Job{Work: writeWork * units(len(p)), Write: true}); err != nil {
+	if err := w.runJob(model.Job{Work: writeWork * units(len(p)), Write: true}); err != nil {
 		return 0, err
 	}
 	return w.WriterAt.WriteAt(p, at)
--- a/internal/lab/sockets/node.go
+++ b/internal/lab/sockets/node.go
@@ -1,5 +1,4 @@
-// Package sockets puts the laboratory's nodes and the program's true fronts on loopback sockets: the same model, driven
-// by the clock.
+// Package sockets runs the laboratory's node models and real fronts of the program on loopback sockets in real time.
 package sockets
 
 import (
@@ -17,22 +16,22 @@
 	"otterturn/scheduler"
 )
 
-// node is an emulated node that speaks the platform's protocol.
+// node is an emulated node that serves the platform's protocol.
 type node struct {
 	world   *world.World
 	node    *world.Node
 	set     protocol.Settings
-	cost    func(protocol.Request) model.Job // of a request that the world knows nothing of, nil for none
+	cost    func(protocol.Request) model.Job // work of a request that the world did not submit, nil if there are none
 	addr    string
 	mu      sync.Mutex
-	server  *http.Server // nil while its process is dead
+	server  *http.Server // nil while the node is dead
 	pending sync.WaitGroup
 }
 
-// quiet is the log of servers whose clients' mistakes are no news.
-var quiet = log.New(io.Discard, "", 0)
+// discardLog discards the log of the emulated servers: failing clients are part of the experiment.
+var discardLog = log.New(io.Discard, "", 0)
 
-// listen opens the node's address, which stays the same over its restarts.
+// listen starts to serve an address, which stays the same when the node restarts.
 func (n *node) listen(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -41,14 +40,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.addr = l.Addr().String()
-	n.server = &http.Server{Handler: n, ErrorLog: quiet, ConnState: n.connection}
+	n.server = &http.Server{Handler: n, ErrorLog: discardLog, ConnState: n.trackConnection}
 	server := n.server
 	n.pending.Go(func() { server.Serve(l) })
 	return nil
 }
 
-// die closes everything at once, as the end of a process does.
-func (n *node) die() {
+// stop closes the listener and all connections at once, as the end of a process does.
+func (n *node) stop() {
 	n.mu.Lock()
 	server := n.server
 	n.server = nil
@@ -59,8 +58,8 @@
 	}
 }
 
-// connection has the model count connections, and closes those that it has no room for.
-func (n *node) connection(c net.Conn, state http.ConnState) {
+// trackConnection lets the model count connections, and closes those that exceed its capacity.
+func (n *node) trackConnection(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		n.world.Do(func() {
@@ -73,13 +72,13 @@
 	}
 }
 
-// results are what becomes of an attempt by a node's reply.
+// results maps the reply of a node to the result of the attempt.
 var results = map[world.Reply]scheduler.Result{
 	world.Answer: scheduler.OK, world.TurnedAway: scheduler.QueueFull, world.Unreachable: scheduler.Unreachable,
 	world.Broken: scheduler.Reset, world.Garbled: scheduler.Reset,
 }
 
-// ServeHTTP is a node's answer: to a probe, or to an attempt.
+// ServeHTTP answers health checks and attempts.
 func (n *node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/health" {
 		answered := make(chan bool, 1)
@@ -95,27 +94,27 @@
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
-	m, bad := protocol.ParseRequest(r, n.set)
-	if err = errors.Join(err, bad); err != nil {
+	request, parseErr := protocol.ParseRequest(r, n.set)
+	if err = errors.Join(err, parseErr); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	reply := make(chan world.Reply, 1)
 	n.world.Do(func() {
-		job, known := n.world.Reach(m.ID, n.node)
+		job, known := n.world.Reach(request.ID, n.node)
 		if !known && n.cost != nil {
-			job, known = n.cost(m), true
+			job, known = n.cost(request), true
 		}
 		if known {
 			n.world.Arrive(n.node, job, func(r world.Reply) {
-				n.world.Left(m.ID, n.node, results[r])
+				n.world.Left(request.ID, n.node, results[r])
 				reply <- r
 			})
 		}
 	})
 	select {
 	case <-r.Context().Done():
-		n.world.Do(func() { n.world.Left(m.ID, n.node, scheduler.TimedOut) })
+		n.world.Do(func() { n.world.Left(request.ID, n.node, scheduler.TimedOut) })
 	case got := <-reply:
 		switch got {
 		case world.Answer:
@@ -123,7 +122,7 @@
 		case world.TurnedAway:
 			w.Header().Set("X-Unprocessed", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case world.Garbled: // the connection ends before the answer does
+		case world.Garbled: // the connection ends before the answer is complete
 			w.Header().Set("Content-Length", "100")
 			w.Write([]byte("garbled"))
 			panic(http.ErrAbortHandler)
--- a/internal/lab/sockets/site.go
+++ b/internal/lab/sockets/site.go
@@ -20,41 +20,42 @@
 	"otterturn/scheduler"
 )
 
-// Site is a live world behind sockets.
+// Site is a world that runs in real time behind sockets.
 type Site struct {
-	world *world.World
-	set   protocol.Settings
-	nodes map[string]*node
-	ends  []func()
-	all   sync.WaitGroup
+	world      *world.World
+	set        protocol.Settings
+	nodes      map[string]*node
+	stopFronts []func()
+	stopping   sync.WaitGroup
 }
 
-// host is a loopback address that this process alone uses: on a shared one, a port that a dead node gave back could be
-// taken by another program.
-func host() string {
+// loopbackHost returns a loopback address that only this process uses. On a shared address, another program could take the port
+// of a dead node before the node restarts.
+func loopbackHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>16&0x3f, pid>>8&0xff, pid&0xff)
 }
 
-// settings are what the platform's protocol needs to know of a world: kinds are its classes' names, by class.
-func settings(w *world.World, kinds []string, writes []bool) protocol.Settings {
+// protocolSettings returns the settings of the platform's protocol for a world. kinds holds the name of each class, writes whether
+// its requests write.
+func protocolSettings(w *world.World, kinds []string, writes []bool) protocol.Settings {
 	return protocol.Settings{
 		Scheduler: w.Set, Classes: kinds, Writes: writes, Plans: []string{"reserved", "limited"}, Shards: len(w.Nodes),
 		LongestWait: time.Minute, Retry: time.Duration(w.Set.MaxRetryAfter) * time.Microsecond,
 	}
 }
 
-// Start puts a world's nodes on sockets, and so many fronts before them; the world goes by the clock from here on.
+// Start serves the nodes of a world on sockets and starts fronts for them. From here on the world runs in real time.
 func Start(w *world.World, kinds []string, writes []bool, fronts int) (*Site, error) {
 	w.Live()
-	s := &Site{world: w, set: settings(w, kinds, writes), nodes: map[string]*node{}}
+	s := &Site{world: w, set: protocolSettings(w, kinds, writes), nodes: map[string]*node{}}
 	for _, n := range w.Nodes {
-		if err := s.add(n, host()+":0"); err != nil {
+		if err := s.addNode(n, loopbackHost()+":0"); err != nil {
 			s.Close()
 			return nil, err
 		}
 	}
-	w.Changed = s.changed
+	w.Changed = s.nodeChanged
 	w.Audit.Sockets = true
 	for i := range fronts {
 		f, err := s.front(i)
@@ -67,41 +68,42 @@
 	return s, nil
 }
 
-func (s *Site) add(n *world.Node, addr string) error {
+func (s *Site) addNode(n *world.Node, addr string) error {
 	s.nodes[n.Name] = &node{world: s.world, node: n, set: s.set}
 	return s.nodes[n.Name].listen(addr)
 }
 
-// changed follows a node that was added, died or began anew. The world has ended where an address is lost.
-func (s *Site) changed(n *world.Node) {
-	has := s.nodes[n.Name]
+// nodeChanged starts or stops the server of a node that was added, died or restarted. It panics if the address of a node can't
+// be opened again, as the world can't go on then.
+func (s *Site) nodeChanged(n *world.Node) {
+	server := s.nodes[n.Name]
 	var err error
 	switch {
-	case has == nil:
-		err = s.add(n, host()+":0")
+	case server == nil:
+		err = s.addNode(n, loopbackHost()+":0")
 	case n.Dead:
-		s.all.Go(has.die) // it waits for what asks the world
+		s.stopping.Go(server.stop) // in its own goroutine: stop waits for handlers, which need the world
 	default:
-		s.all.Wait()
-		err = has.listen(has.addr)
+		s.stopping.Wait()
+		err = server.listen(server.addr)
 	}
 	if err != nil {
-		panic(fmt.Sprintf("a node of the laboratory lost its address: %v", err))
+		panic(fmt.Sprintf("emulated node can't listen on its address: %v", err))
 	}
 }
 
-// Close ends fronts and nodes, once the world has ended.
+// Close stops fronts and nodes. The world must have ended.
 func (s *Site) Close() {
-	for _, end := range s.ends {
+	for _, end := range s.stopFronts {
 		end()
 	}
 	for _, n := range s.nodes {
-		s.all.Go(n.die)
+		s.stopping.Go(n.stop)
 	}
-	s.all.Wait()
+	s.stopping.Wait()
 }
 
-// front is one of the program's, with its clients.
+// front is a real front of the program, with its clients.
 type front struct {
 	site   *Site
 	core   *routing.Core
@@ -112,16 +114,16 @@
 
 func (s *Site) front(i int) (*front, error) {
 	l := limits.For(limits.Site{MemoryMB: 192, Sockets: 1024, Connect: 250 * time.Millisecond, ConnIdle: 15 * time.Second, Deadline: time.Minute})
-	l.Stop.Accept, l.Stop.Serve, l.Stop.AtMost = 0, 0, time.Millisecond // there is no one left to wait for
+	l.Stop.Accept, l.Stop.Serve, l.Stop.AtMost = 0, 0, time.Millisecond // no client is left to wait for when it stops
 	f := &front{site: s, nodes: transport.NewNodes(l), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}}
 	set := s.set
 	set.Scheduler.MaxOpen = l.Requests.Scheduled
-	set.Scheduler.FrontIndex, set.Scheduler.PeerMessages = i, false // no messages go between these fronts
+	set.Scheduler.FrontIndex, set.Scheduler.PeerMessages = i, false // these fronts exchange no messages
 	var err error
 	if f.core, err = routing.New(set.Scheduler, int64(i), l, transport.NewHealthChecker(f.nodes, set, logs.Quiet()).Check); err != nil {
 		return nil, err
 	}
-	listener, err := net.Listen("tcp", host()+":0")
+	listener, err := net.Listen("tcp", loopbackHost()+":0")
 	if err != nil {
 		return nil, err
 	}
@@ -132,7 +134,7 @@
 	wait.Go(func() { f.core.Run(ctx) })
 	wait.Go(func() { f.nodes.Run(ctx) })
 	wait.Go(func() { server.Serve(listener) })
-	s.ends = append(s.ends, func() {
+	s.stopFronts = append(s.stopFronts, func() {
 		f.client.CloseIdleConnections()
 		server.Stop(nil)
 		end()
@@ -141,7 +143,7 @@
 	return f, nil
 }
 
-// Submit has a client ask over a connection.
+// Submit sends a request from a client of the front.
 func (f *front) Submit(r scheduler.Request) {
 	go func() {
 		ctx, end := context.WithTimeout(context.Background(), time.Duration(r.TimeLeft)*time.Microsecond+time.Second)
@@ -151,7 +153,7 @@
 	}()
 }
 
-// Tell hands the node list over, as discovery would.
+// Tell passes the endpoint list to the front, as discovery would.
 func (f *front) Tell(list scheduler.EndpointsChanged) {
 	out := protocol.List{Whole: list.Full}
 	for _, l := range list.Endpoints {
@@ -160,13 +162,13 @@
 	f.core.UpdateEndpoints(f.nodes.Apply(out))
 }
 
-// End does nothing: a live front ends with its site.
+// End does nothing: Site.Close stops the front.
 func (f *front) End() {}
 
-// verdicts are those of a load, for the world.
+// verdicts maps verdicts of package load to those of package world.
 var verdicts = map[load.Verdict]world.Verdict{load.Served: world.Served, load.Refused: world.Refused, load.Failed: world.Failed}
 
-// Play plays one day of a scenario on sockets, in real time.
+// Play runs one day of a scenario on sockets in real time.
 func Play(s scenario.Scenario, seed uint64) (scenario.Result, error) {
 	var kinds []string
 	var writes []bool
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -10,28 +10,28 @@
 	"otterturn/internal/soak/peers"
 )
 
-// platformClasses are the classes of the platform's fronts.
+// platformClasses are the request classes of the platform's fronts.
 var platformClasses = []peers.Class{
-	{Name: "read", Effect: audit.Repeatable},
-	{Name: "save", Effect: audit.Keyed, Write: true, Key: true},
-	{Name: "move", Effect: audit.Once, Write: true},
+	{Name: "read", Idempotency: audit.Repeatable},
+	{Name: "save", Idempotency: audit.Keyed, Write: true, Key: true},
+	{Name: "move", Idempotency: audit.Once, Write: true},
 }
 
-// applianceClasses are those of an appliance.
+// applianceClasses are the request classes of an appliance.
 var applianceClasses = []peers.Class{
-	{Name: "read", Effect: audit.Repeatable},
-	{Name: "write", Effect: audit.Keyed, Write: true, Key: true},
-	{Name: "bulk-read", Effect: audit.Repeatable},
+	{Name: "read", Idempotency: audit.Repeatable},
+	{Name: "write", Idempotency: audit.Keyed, Write: true, Key: true},
+	{Name: "bulk-read", Idempotency: audit.Repeatable},
 }
 
 type object map[string]any
 
-// platformConfig is the file of a platform's front.
+// platformConfig returns the configuration file of a front of the platform.
 func (s Scenario) platformConfig(addr, control, discovery string, list peers.List, longest time.Duration) []byte {
 	aim := min(longest/2, 300*time.Millisecond).Microseconds()
-	class := func(name, semantics string, more object) object {
+	class := func(name, semantics string, extra object) object {
 		out := object{"name": name, "aimUs": aim, "giveUpUs": longest.Microseconds(), "semantics": semantics, "credit": 1, "group": "", "windowUs": nil}
-		for k, v := range more {
+		for k, v := range extra {
 			out[k] = v
 		}
 		return out
@@ -57,12 +57,12 @@
 		},
 	})
 	if err != nil {
-		panic(err) // of constants
+		panic(err) // plain values always encode
 	}
 	return text
 }
 
-// applianceConfig is the operator's file of an appliance.
+// applianceConfig returns the configuration file of an appliance.
 func (s Scenario) applianceConfig(http, sftp, folder, console string, nodes []*peers.Node, files *peers.FileServer) []byte {
 	var out strings.Builder
 	fmt.Fprintf(&out, "[limits]\nmemory_mb = 192\nsockets = 1024\nopen = 256\ntries = 4\nconnect = %q\nnode_idle = %q\nretry_after = \"500ms\"\n", s.Connect, s.ConnIdle)
--- a/internal/soak/frontlog.go
+++ b/internal/soak/frontlog.go
@@ -15,34 +15,32 @@
 	"otterturn/internal/soak/audit"
 )
 
-// This file is what a front's processes say of themselves: their logs, and the violations that they count.
-
-// openLog opens what a process writes its log to: a file of the run, or a pipe that nobody reads.
+// openLog opens the destination of a process's log: a file of the run, or a pipe that nobody reads.
 func (f *front) openLog() (*os.File, error) {
-	if !f.blocked {
-		return os.Create(filepath.Join(f.run.folder, fmt.Sprintf("%s.%d.log", f.name, f.runs)))
+	if !f.logBlocked {
+		return os.Create(filepath.Join(f.run.folder, fmt.Sprintf("%s.%d.log", f.name, f.starts)))
 	}
 	r, w, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	if f.unread != nil {
-		f.unread.Close()
+	if f.logPipe != nil {
+		f.logPipe.Close()
 	}
-	f.unread = r
+	f.logPipe = r
 	return w, nil
 }
 
-// fillPipe fills a pipe by its read end's name, which opens it for writing as well.
+// fillPipe fills a pipe. It opens the read end through /proc, which allows opening it for writing.
 func fillPipe(pipe *os.File) {
 	fd, err := unix.Open(fmt.Sprintf("/proc/self/fd/%d", pipe.Fd()), unix.O_WRONLY|unix.O_NONBLOCK, 0)
 	if err != nil {
 		return
 	}
 	defer unix.Close(fd)
-	for _, piece := range [][]byte{make([]byte, 4096), make([]byte, 1)} {
+	for _, chunk := range [][]byte{make([]byte, 4096), make([]byte, 1)} {
 		for {
-			if _, err := unix.Write(fd, piece); err != nil {
+			if _, err := unix.Write(fd, chunk); err != nil {
 				break
 			}
 		}
@@ -51,8 +49,8 @@
 
 var violationsLine = regexp.MustCompile(`(?m)^svc\.violations:(\d+)\|c$`)
 
-// noteViolations asks the process for what it counted itself; one that does not answer has counted nothing that can be known.
-func (f *front) noteViolations() {
+// recordViolations records the number of violations that the process itself counted. A process that does not answer is skipped.
+func (f *front) recordViolations() {
 	if f.control == "" {
 		return
 	}
@@ -65,6 +63,6 @@
 	text, _ := io.ReadAll(resp.Body)
 	if found := violationsLine.FindSubmatch(text); found != nil {
 		n, _ := strconv.ParseInt(string(found[1]), 10, 64)
-		f.run.record.Change(f.process, func(p *audit.Process) { p.Counted = max(p.Counted, n) })
+		f.run.record.UpdateProcess(f.process, func(p *audit.Process) { p.CountedViolations = max(p.CountedViolations, n) })
 	}
 }
--- a/internal/soak/peers/discovery.go
+++ b/internal/soak/peers/discovery.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Host is a node as discovery lists it.
+// Host is a node as listed by discovery.
 type Host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -21,28 +21,28 @@
 	BornMs int64   `json:"born_ms"`
 }
 
-// List is discovery's list, or what changed of it.
+// List is the full list of hosts, or the hosts that have changed since a version.
 type List struct {
 	Seq   int64  `json:"seq"`
 	Whole bool   `json:"whole"`
 	Hosts []Host `json:"hosts"`
 }
 
-// Discovery knows the nodes, and tells agents.
+// Discovery holds the list of nodes and passes it to agents.
 type Discovery struct {
-	mu      sync.Mutex
-	seq     int64
-	hosts   []Host
-	since   map[string]int64 // the version with which a host changed last
-	changed chan struct{}
+	mu         sync.Mutex
+	seq        int64
+	hosts      []Host
+	lastChange map[string]int64 // version of the last change of each host
+	changed    chan struct{}
 }
 
-// NewDiscovery lists hosts.
+// NewDiscovery returns a Discovery with the given hosts.
 func NewDiscovery(hosts []Host) *Discovery {
-	return &Discovery{seq: 1, hosts: hosts, since: map[string]int64{}, changed: make(chan struct{})}
+	return &Discovery{seq: 1, hosts: hosts, lastChange: map[string]int64{}, changed: make(chan struct{})}
 }
 
-// SetHealth changes a host's health, and tells of it.
+// SetHealth changes the health of a host and notifies agents.
 func (d *Discovery) SetHealth(host, health string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -52,39 +52,39 @@
 			d.hosts[i].Health = health
 		}
 	}
-	d.since[host] = d.seq
+	d.lastChange[host] = d.seq
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// Whole is the present list.
-func (d *Discovery) Whole() List {
+// FullList returns the full list.
+func (d *Discovery) FullList() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return List{Seq: d.seq, Whole: true, Hosts: append([]Host(nil), d.hosts...)}
 }
 
-// newer lists what changed since a version, and what is closed with the next change.
-func (d *Discovery) newer(from int64) (List, <-chan struct{}) {
+// changesSince returns the hosts that have changed since a version, and a channel that the next change closes.
+func (d *Discovery) changesSince(from int64) (List, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := List{Seq: d.seq, Hosts: []Host{}}
 	for _, h := range d.hosts {
-		if d.since[h.Host] > from {
+		if d.lastChange[h.Host] > from {
 			out.Hosts = append(out.Hosts, h)
 		}
 	}
 	return out, d.changed
 }
 
-// Agent is a front's own way to discovery.
+// Agent serves discovery's list to one front.
 type Agent struct {
 	Addr      string
 	discovery *Discovery
 	server    *http.Server
 
-	mu    sync.Mutex
-	quiet time.Time // until then it says nothing
+	mu          sync.Mutex
+	silentUntil time.Time // it answers no call until then
 }
 
 // NewAgent starts an agent.
@@ -101,23 +101,23 @@
 	return a, nil
 }
 
-// Close ends the agent.
+// Close stops the agent.
 func (a *Agent) Close() { a.server.Close() }
 
-// Silence has the agent say nothing for a while: calls wait.
+// Silence stops the agent from answering for a time, in which calls wait.
 func (a *Agent) Silence(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.quiet = time.Now().Add(d)
+	a.silentUntil = time.Now().Add(d)
 }
 
-// Telling tells whether it says what it knows.
-func (a *Agent) Telling() bool { return a.silentFor() <= 0 }
+// IsResponding reports whether the agent answers calls at present.
+func (a *Agent) IsResponding() bool { return a.silentFor() <= 0 }
 
 func (a *Agent) silentFor() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return time.Until(a.quiet)
+	return time.Until(a.silentUntil)
 }
 
 func (a *Agent) endpoints(w http.ResponseWriter, r *http.Request) {
@@ -130,21 +130,21 @@
 	}
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
-		json.NewEncoder(w).Encode(a.discovery.Whole())
+		json.NewEncoder(w).Encode(a.discovery.FullList())
 		return
 	}
 	hold, _ := strconv.ParseInt(r.URL.Query().Get("hold_ms"), 10, 64)
-	over := time.NewTimer(time.Duration(hold) * time.Millisecond)
-	defer over.Stop()
+	timeout := time.NewTimer(time.Duration(hold) * time.Millisecond)
+	defer timeout.Stop()
 	for {
-		list, changed := a.discovery.newer(from)
+		list, changed := a.discovery.changesSince(from)
 		if len(list.Hosts) > 0 {
 			json.NewEncoder(w).Encode(list)
 			return
 		}
 		select {
 		case <-changed:
-		case <-over.C:
+		case <-timeout.C:
 			json.NewEncoder(w).Encode(list)
 			return
 		case <-r.Context().Done():
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -18,10 +18,10 @@
 // Run is one run of a scenario.
 type Run struct {
 	scenario  Scenario
-	binary    string // the program
-	self      string // this program, as the wrapper of processes under faults
-	folder    string // of logs and files
-	began     time.Time
+	binary    string // path of the program under test
+	wrapper   string // path of this program, which wraps processes for fault injection
+	folder    string // holds logs and configuration files
+	startedAt time.Time
 	record    *audit.Record
 	discovery *peers.Discovery
 	nodes     []*peers.Node
@@ -30,7 +30,7 @@
 	draining  sync.Mutex
 }
 
-// Result is what a run brought.
+// Result summarizes a run.
 type Result struct {
 	Scenario   Scenario
 	Requests   int
@@ -40,36 +40,36 @@
 	Violations []audit.Violation
 }
 
-// String is one line of figures.
+// String returns a one-line summary.
 func (r Result) String() string {
 	return fmt.Sprintf("seed %d: %d processes, longest deadline %v, %d requests, %d answered, %d attempts, %d violations",
 		r.Scenario.Seed, r.Processes, r.Scenario.Longest, r.Requests, r.Answered, r.Attempts, len(r.Violations))
 }
 
-// Play runs a scenario with a build of the program. The folder keeps the processes' logs.
+// Play runs a scenario with the given binary of the program. The logs of its processes stay in the folder.
 func Play(s Scenario, binary, folder string) (Result, error) {
-	self, err := os.Executable()
+	wrapper, err := os.Executable()
 	if err != nil {
 		return Result{}, err
 	}
-	r := &Run{scenario: s, binary: binary, self: self, folder: folder, began: time.Now(), record: &audit.Record{Window: s.Window}}
+	r := &Run{scenario: s, binary: binary, wrapper: wrapper, folder: folder, startedAt: time.Now(), record: &audit.Record{Window: s.Window}}
 	defer r.close()
-	if err := r.build(); err != nil {
+	if err := r.setUp(); err != nil {
 		return Result{}, err
 	}
 	if err := r.startAll(); err != nil {
 		return Result{}, err
 	}
-	ctx, end := context.WithTimeout(context.Background(), runTime)
-	defer end()
+	ctx, cancel := context.WithTimeout(context.Background(), runTime)
+	defer cancel()
 	err = r.play(ctx)
 	return r.result(), err
 }
 
-func (r *Run) clock() time.Duration { return time.Since(r.began) }
+func (r *Run) clock() time.Duration { return time.Since(r.startedAt) }
 
-// build makes the peers and the fronts' files.
-func (r *Run) build() error {
+// setUp starts the nodes, discovery and the file server, and writes the configuration files of the fronts.
+func (r *Run) setUp() error {
 	var hosts []peers.Host
 	for i := range nodeCount {
 		n, err := peers.NewNode(fmt.Sprintf("s-%08x", i), r.clock, r.record, r.scenario.ConnIdle)
@@ -94,12 +94,13 @@
 	return nil
 }
 
-// newFront makes the files of a front. The first one is an appliance; one in four has a log that nobody reads.
+// newFront writes the configuration file of a front and starts its agent. The first front is an appliance, and the log of one front in
+// four goes to a pipe that nobody reads.
 func (r *Run) newFront(number int) (*front, error) {
 	f := &front{
-		run: r, number: number, name: fmt.Sprintf("n%d", number), appliance: number == 0, blocked: number%4 == 3,
-		random:   rand.New(rand.NewPCG(r.scenario.Seed, uint64(100+number))),
-		failures: rand.New(rand.NewPCG(r.scenario.Seed, uint64(1000+number))), longest: r.scenario.Longest,
+		run: r, number: number, name: fmt.Sprintf("n%d", number), appliance: number == 0, logBlocked: number%4 == 3,
+		random:      rand.New(rand.NewPCG(r.scenario.Seed, uint64(100+number))),
+		faultRandom: rand.New(rand.NewPCG(r.scenario.Seed, uint64(1000+number))), longest: r.scenario.Longest,
 	}
 	f.folder = filepath.Join(r.folder, f.name)
 	if err := os.MkdirAll(f.folder, 0o700); err != nil {
@@ -124,11 +125,11 @@
 	if f.agent, err = peers.NewAgent(r.discovery); err != nil {
 		return nil, err
 	}
-	text := r.scenario.platformConfig(f.addr, f.control, f.agent.Addr, r.discovery.Whole(), f.longest)
+	text := r.scenario.platformConfig(f.addr, f.control, f.agent.Addr, r.discovery.FullList(), f.longest)
 	return f, os.WriteFile(f.config, text, 0o600)
 }
 
-// startAll starts all fronts side by side.
+// startAll starts all fronts concurrently.
 func (r *Run) startAll() error {
 	errs := make([]error, len(r.fronts))
 	var all sync.WaitGroup
@@ -139,31 +140,31 @@
 	return errors.Join(errs...)
 }
 
-// play has clients ask and troubles come until ctx ends, and waits for the last answers.
+// play runs clients and faults until ctx ends, and then waits for the last answers.
 func (r *Run) play(ctx context.Context) error {
-	asking, endAsking := context.WithCancel(context.Background())
-	defer endAsking()
-	var clients, lives sync.WaitGroup
+	clientCtx, stopClients := context.WithCancel(context.Background())
+	defer stopClients()
+	var clients, restarts sync.WaitGroup
 	for _, f := range r.fronts {
 		for i := range r.scenario.Clients {
-			clients.Go(func() { r.newClient(f, i).Run(asking) })
+			clients.Go(func() { r.newClient(f, i).Run(clientCtx) })
 		}
 		if f.appliance {
 			for i := range r.scenario.Clients {
-				clients.Go(func() { r.newFileClient(f, i).Run(asking) })
+				clients.Go(func() { r.newFileClient(f, i).Run(clientCtx) })
 			}
 		}
 	}
 	errs := make([]error, len(r.fronts))
 	for i, f := range r.fronts {
-		lives.Go(func() { errs[i] = f.live(ctx) })
+		restarts.Go(func() { errs[i] = f.restartOnce(ctx) })
 	}
-	r.troubles(ctx)
-	lives.Wait()
-	endAsking()
+	r.injectFaults(ctx)
+	restarts.Wait()
+	stopClients()
 	clients.Wait()
 	for _, f := range r.fronts {
-		f.noteViolations()
+		f.recordViolations()
 	}
 	return errors.Join(errs...)
 }
@@ -181,12 +182,12 @@
 
 func (r *Run) newFileClient(f *front, number int) *peers.FileClient {
 	return &peers.FileClient{
-		Target: f.fileTarget, Prefix: "/riverside", Clock: r.clock, Record: r.record,
+		Target: f.sftpTarget, Prefix: "/riverside", Clock: r.clock, Record: r.record,
 		Random: rand.New(rand.NewPCG(r.scenario.Seed, uint64(20_000+number))),
 	}
 }
 
-// close ends all that a run has started.
+// close stops everything that the run has started.
 func (r *Run) close() {
 	for _, f := range r.fronts {
 		if f.cmd != nil {
@@ -195,8 +196,8 @@
 		if f.agent != nil {
 			f.agent.Close()
 		}
-		if f.unread != nil {
-			f.unread.Close()
+		if f.logPipe != nil {
+			f.logPipe.Close()
 		}
 	}
 	for _, n := range r.nodes {
@@ -208,19 +209,19 @@
 }
 
 func (r *Run) result() Result {
-	out := Result{Scenario: r.scenario, Requests: len(r.record.Requests), Attempts: len(r.record.Attempts), Processes: len(r.record.Process)}
-	for _, x := range r.record.Requests {
-		if x.Ending == audit.Answered {
+	out := Result{Scenario: r.scenario, Requests: len(r.record.Requests), Attempts: len(r.record.Attempts), Processes: len(r.record.Processes)}
+	for _, request := range r.record.Requests {
+		if request.Ending == audit.Answered {
 			out.Answered++
 		}
 	}
-	out.Violations = audit.Judge(r.record)
+	out.Violations = audit.Check(r.record)
 	return out
 }
 
-// Report is a result with its violations, each rule's first ones.
+// Report returns the summary with the first violations of each rule.
 func (r Result) Report() string {
-	const shown = 4 // of each rule
+	const shown = 4 // per rule
 	var out strings.Builder
 	fmt.Fprintln(&out, r)
 	count := map[string]int{}
@@ -230,7 +231,7 @@
 		}
 	}
 	for rule, n := range count {
-		fmt.Fprintf(&out, "  %d of %s\n", n, rule)
+		fmt.Fprintf(&out, "  %d violations of rule %q\n", n, rule)
 	}
 	return out.String()
 }
