--- a/cmd/knownred/main.go
+++ b/cmd/knownred/main.go
@@ -1,4 +1,4 @@
-// Command knownred reads the events of 'go test -json' and judges them beside a list of tests that are known to fail.
+// Command knownred reads the events of 'go test -json' and fails on test failures that a list of known failures does not contain.
 package main
 
 import (
@@ -10,7 +10,7 @@
 
 func main() {
 	if len(os.Args) != 2 {
-		fmt.Fprintln(os.Stderr, "knownred: the list's file is wanted")
+		fmt.Fprintln(os.Stderr, "knownred: expects one argument, the file with the list of known failures")
 		os.Exit(2)
 	}
 	list, err := os.ReadFile(os.Args[1])
--- a/cmd/otterlab/capacity.go
+++ b/cmd/otterlab/capacity.go
@@ -13,30 +13,31 @@
 	"otterturn/scheduler"
 )
 
-// garbagePercent has memory collected less often than usual, within the bound: most of a fleet stays.
+// garbagePercent makes garbage collections rarer than the default of 100, as most of a fleet's memory stays in use. The memory
+// limit still holds.
 const garbagePercent = 200
 
 type capacity struct {
-	Sizes    []int         `help:"Fronts of the fleets that are played, with one and a half times as many nodes." default:"40,60,85,120,300,1200"`
-	Small    int           `help:"Events that are not about the whole fleet are played at sizes up to this; beyond it they are reckoned." default:"120"`
-	Events   []string      `help:"Events that are played, all by default."`
-	Health   string        `help:"Without or with health of nodes, or both." enum:"on,off,both" default:"both"`
-	Seed     uint64        `help:"Of what is drawn." default:"1"`
-	Workers  int           `help:"Goroutines, 0 for one a processor." default:"0"`
-	Memory   int64         `help:"Soft bound, in gigabytes." default:"12"`
-	Suspect  time.Duration `help:"After which health of nodes suspects an attempt that is out, 0 for its default." name:"suspect-after" default:"0s"`
+	Sizes    []int         `help:"Numbers of fronts of the simulated fleets; each fleet has 1.5 times as many nodes." default:"40,60,85,120,300,1200"`
+	Small    int           `help:"Events that do not concern the whole fleet are simulated up to this number of fronts, and extrapolated above it." default:"120"`
+	Events   []string      `help:"Events to simulate; all by default."`
+	Health   string        `help:"Simulate with the fleet's health checks, without them, or both." enum:"on,off,both" default:"both"`
+	Seed     uint64        `help:"Seed of the random numbers." default:"1"`
+	Workers  int           `help:"Number of goroutines; 0 for one per processor." default:"0"`
+	Memory   int64         `help:"Soft memory limit in gigabytes." default:"12"`
+	Suspect  time.Duration `help:"Age at which health checks suspect an unanswered attempt; 0 for their default." name:"suspect-after" default:"0s"`
 	Markdown bool          `help:"Print the tables as Markdown."`
 }
 
-// Run plays fleets of hollow fronts and prints the page's table. What a run says of itself goes to standard error.
+// Run simulates fleets of hollow fronts and prints a table of their costs. Progress messages go to standard error.
 func (c capacity) Run(out io.Writer) error {
 	if len(c.Sizes) == 0 || slices.Min(c.Sizes) < 12 || c.Memory < 1 {
-		return errors.New("--sizes must be 12 at least, and --memory 1")
+		return errors.New("--sizes must be at least 12, and --memory at least 1")
 	}
 	slices.Sort(c.Sizes)
 	for _, name := range c.Events {
 		if !slices.ContainsFunc(hollow.Events, func(e hollow.Event) bool { return e.Name == name }) {
-			return fmt.Errorf("--events: %q is unknown", name)
+			return fmt.Errorf("--events: unknown event %q", name)
 		}
 	}
 	debug.SetMemoryLimit(c.Memory << 30)
--- a/cmd/otterlab/demo.go
+++ b/cmd/otterlab/demo.go
@@ -23,16 +23,16 @@
 //go:embed demo.toml
 var demoFile string
 
-// rehearsed is the incident that the demo ends with, one of deploy/rehearsals.
+// rehearsed is the scenario file of the incident that the demo simulates last.
 const rehearsed = "deploy/rehearsals/deploy.toml"
 
 type demo struct {
-	For    time.Duration `help:"How long the load lasts." default:"12s"`
+	For    time.Duration `help:"Duration of the load." default:"12s"`
 	Report string        `help:"Folder for the report." default:"bin/demo" placeholder:"FOLDER"`
 }
 
-// run starts emulated nodes and an appliance, asks it for files, shows what the console says meanwhile, and rehearses an
-// incident. Everything is on loopback and ends with it.
+// Run starts emulated nodes and an appliance, sends it file requests, prints the console's answers meanwhile, and simulates an
+// incident. Everything listens on loopback and stops when Run returns.
 func (c demo) Run(out io.Writer) (err error) {
 	folder, err := os.MkdirTemp("", "otterturn-demo-")
 	if err != nil {
@@ -60,7 +60,7 @@
 	if err := await(ctx, o.Nodes[len(o.Nodes)-1].SFTP); err != nil {
 		return errors.Join(err, <-emulated)
 	}
-	fmt.Fprintln(out, "== an appliance before them")
+	fmt.Fprintln(out, "== an appliance in front of them")
 	appliance, err := beside("otterturn")
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 		return err
 	}
 	defer func() {
-		front.Process.Signal(syscall.SIGTERM) // it ends ahead of the nodes
+		front.Process.Signal(syscall.SIGTERM) // the appliance stops before the nodes
 		err = errors.Join(err, front.Wait())
 		end()
 		err = errors.Join(err, <-emulated)
@@ -86,7 +86,7 @@
 		fmt.Fprintln(out, "== console:", strings.Join(words, " "))
 		return program.Console(config, words, os.Stdin, out)
 	}
-	fmt.Fprintln(out, "== files are written and read, 40 a second; node-b drains meanwhile")
+	fmt.Fprintln(out, "== clients write and read files, 40 requests per second; node-b drains meanwhile")
 	drained := false
 	var failed error
 	p, err := loading{Front: "files", Rate: 40, For: c.For, Sessions: 16, Seed: 1}.ask(ctx, o, func(p load.Progress) {
@@ -117,7 +117,7 @@
 	return err
 }
 
-// freePorts puts ports that are free now in the place of those of a text.
+// freePorts replaces the fixed ports in a text with currently free ones.
 func freePorts(text string) (string, error) {
 	for _, fixed := range []string{"127.0.0.1:2022", "127.0.0.1:3022", "127.0.0.1:3023", "127.0.0.1:3024"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -130,7 +130,7 @@
 	return text, nil
 }
 
-// beside is a program in the folder of this one.
+// beside returns the path of a program in the same folder as this one.
 func beside(name string) (string, error) {
 	own, err := os.Executable()
 	if err != nil {
@@ -138,12 +138,12 @@
 	}
 	path := filepath.Join(filepath.Dir(own), name)
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("%w; 'make build' makes it", err)
+		return "", fmt.Errorf("%w; run 'make build' to build it", err)
 	}
 	return path, nil
 }
 
-// patience is how long the demo waits for a part to start.
+// patience limits how long the demo waits for a server to accept connections.
 const patience = 10 * time.Second
 
 func await(ctx context.Context, addr string) error {
@@ -156,13 +156,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s does not answer: %w", addr, err)
+			return fmt.Errorf("%s accepts no connections: %w", addr, err)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// untilServing shows the appliance's log, until it serves; what comes later is left out.
+// untilServing prints the appliance's log until the appliance serves, and discards the rest.
 func untilServing(logs io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(logs)
 	for lines.Scan() {
@@ -172,5 +172,5 @@
 			return nil
 		}
 	}
-	return errors.New("the appliance ended before it served")
+	return errors.New("appliance exited before it served")
 }
--- a/cmd/otterlab/emulate.go
+++ b/cmd/otterlab/emulate.go
@@ -19,12 +19,12 @@
 
 type node struct {
 	Config string  `help:"The operator's file whose nodes are emulated." default:"deploy/appliance.toml" placeholder:"FILE"`
-	Cores  int     `help:"Of each node." default:"2"`
-	Speed  float64 `help:"Of a core." default:"1"`
-	Room   int     `help:"Requests that wait at each node." default:"64"`
+	Cores  int     `help:"Number of cores per node." default:"2"`
+	Speed  float64 `help:"Relative speed of a core." default:"1"`
+	Room   int     `help:"Number of requests that can wait at each node." default:"64"`
 }
 
-// run serves until it is interrupted.
+// Run emulates the nodes until it is interrupted.
 func (c node) Run(out io.Writer) error {
 	o, err := program.LoadOperator(c.Config)
 	if err != nil {
@@ -50,15 +50,15 @@
 }
 
 type loading struct {
-	Config   string        `help:"The operator's file of the appliance that is asked." default:"deploy/appliance.toml" placeholder:"FILE"`
-	Front    string        `help:"Which front: http or files." enum:"http,files" default:"files"`
-	Rate     float64       `help:"Requests a second." default:"20"`
-	For      time.Duration `help:"How long." default:"10s"`
-	Sessions int           `help:"File sessions." default:"16"`
-	Seed     uint64        `help:"Of what is drawn." default:"1"`
+	Config   string        `help:"The operator's file of the appliance that receives the load." default:"deploy/appliance.toml" placeholder:"FILE"`
+	Front    string        `help:"Protocol of the load: http or files." enum:"http,files" default:"files"`
+	Rate     float64       `help:"Requests per second." default:"20"`
+	For      time.Duration `help:"Duration of the load." default:"10s"`
+	Sessions int           `help:"Number of file sessions." default:"16"`
+	Seed     uint64        `help:"Seed of the random numbers." default:"1"`
 }
 
-// most is how many requests of a load may be open.
+// most limits the open requests of a load.
 const most = 4096
 
 func (c loading) Run(out io.Writer) error {
@@ -97,7 +97,7 @@
 	return load.Run(ctx, set, ask, tell), nil
 }
 
-// folders are those of the projects.
+// folders returns the path prefixes of the projects.
 func folders(o program.Operator) (out []string) {
 	for _, p := range o.Projects {
 		out = append(out, p.Prefix)
--- a/cmd/otterlab/main.go
+++ b/cmd/otterlab/main.go
@@ -1,4 +1,4 @@
-// Command otterlab runs the project's laboratory: experiments, and stand-ins to be started by hand on loopback.
+// Command otterlab runs experiments, and emulated nodes and certificate authorities on loopback.
 package main
 
 import (
@@ -19,24 +19,24 @@
 	"otterturn/internal/lab/restart"
 )
 
-// commands are the words of the command line.
+// commands defines the command line.
 type commands struct {
-	Restart   restarts `cmd:"" help:"What a restart costs, with and without what the front had learned."`
-	Rehearse  rehearse `cmd:"" help:"Play scenarios in virtual time, by the decision module, the baselines and other builds. It fails where the module breaks a rule or pushes a node over."`
-	Repeat    repeat   `cmd:"" help:"Play a day of each scenario twice. It fails unless both have the same digest, and where a rule is broken or a node pushed over."`
-	Agree     agree    `cmd:"" help:"Play days on sockets and in virtual time, and fail where they differ by more than they may."`
-	Node      node     `cmd:"" help:"Emulate an appliance's nodes, until it is interrupted."`
-	Load      loading  `cmd:"" help:"Ask a running appliance for what clients would. It fails where a request has no proper answer."`
-	Demo      demo     `cmd:"" help:"Emulated nodes, an appliance, a little load, a few console screens and a report, in under a minute."`
-	Speed     speed    `cmd:"" help:"Tell how fast virtual time goes, by the number of nodes."`
-	Processes measured `cmd:"" help:"Measure fronts that run as processes of their own: processor time, memory, changes, probes; under four minutes."`
-	Histories years    `cmd:"" help:"Certificates' years against authorities that fail, in virtual time."`
-	Capacity  capacity `cmd:"" help:"What a fleet of hollow fronts costs, by its size and event: the table of the page on capacity."`
-	Authority issuer   `cmd:"" help:"A certificate authority that speaks ACME on loopback, until it is interrupted."`
+	Restart   restarts `cmd:"" help:"Measure what a restart costs, with and without saved learned state."`
+	Rehearse  rehearse `cmd:"" help:"Simulate scenarios in virtual time with the scheduler, the baselines and other builds. Fails if the scheduler breaks a rule or makes a node fail by overload."`
+	Repeat    repeat   `cmd:"" help:"Simulate a run of each scenario twice. Fails if the digests differ, a rule is broken or a node fails by overload."`
+	Agree     agree    `cmd:"" help:"Run the same load on sockets and in virtual time. Fails if the results differ by more than the tolerance."`
+	Node      node     `cmd:"" help:"Emulate an appliance's nodes until interrupted."`
+	Load      loading  `cmd:"" help:"Send client requests to a running appliance. Fails if a request has no valid answer."`
+	Demo      demo     `cmd:"" help:"Demonstrate emulated nodes, an appliance, a light load, console commands and a report in under a minute."`
+	Speed     speed    `cmd:"" help:"Measure the speed of virtual time by number of nodes."`
+	Processes measured `cmd:"" help:"Measure fronts that run as separate processes: processor time, memory, changes, probes; takes under four minutes."`
+	Histories years    `cmd:"" help:"Simulate years of certificate renewals against failing authorities, in virtual time."`
+	Capacity  capacity `cmd:"" help:"Measure the cost of a fleet of hollow fronts by size and event, as a table."`
+	Authority issuer   `cmd:"" help:"Run an ACME certificate authority on loopback until interrupted."`
 }
 
 type restarts struct {
-	Seeds int `help:"Days that are played." default:"20"`
+	Seeds int `help:"Number of simulated runs." default:"20"`
 }
 
 func (c restarts) Run(out io.Writer) error {
@@ -47,7 +47,7 @@
 }
 
 type years struct {
-	N int `short:"n" help:"Histories that are played." default:"10000"`
+	N int `short:"n" help:"Number of simulated histories." default:"10000"`
 }
 
 func (c years) Run(out io.Writer) error {
@@ -56,12 +56,12 @@
 }
 
 type issuer struct {
-	Lifetime time.Duration `help:"Of certificates." default:"1h"`
-	HTTP     string        `help:"Where HTTP-01 answers are fetched." default:"127.0.0.1:8080"`
-	TLS      string        `help:"Where TLS-ALPN-01 answers are fetched." default:"127.0.0.1:8443"`
+	Lifetime time.Duration `help:"Lifetime of the certificates." default:"1h"`
+	HTTP     string        `help:"Address at which HTTP-01 challenges are validated." default:"127.0.0.1:8080"`
+	TLS      string        `help:"Address at which TLS-ALPN-01 challenges are validated." default:"127.0.0.1:8443"`
 	Informs  bool          `help:"Offer renewal information." default:"true" negatable:""`
-	Roots    string        `help:"File for the root certificate of its own server." default:"authority.pem"`
-	Faults   string        `help:"TOML file of what goes wrong: [[fault]] step, do, after, for, times, retry." placeholder:"FILE"`
+	Roots    string        `help:"File to write the root certificate of the authority's HTTPS server to." default:"authority.pem"`
+	Faults   string        `help:"TOML file with faults to inject: [[fault]] step, do, after, for, times, retry." placeholder:"FILE"`
 }
 
 func main() {
@@ -73,7 +73,7 @@
 
 func run(args []string) error {
 	var c commands
-	parser, err := kong.New(&c, kong.Name("otterlab"), kong.Description("The project's laboratory."), kong.UsageOnError(),
+	parser, err := kong.New(&c, kong.Name("otterlab"), kong.Description("Experiments, emulated nodes and a test certificate authority."), kong.UsageOnError(),
 		kong.BindTo(os.Stdout, (*io.Writer)(nil)))
 	if err != nil {
 		return err
@@ -83,7 +83,7 @@
 	return parsed.Run()
 }
 
-// Run serves an authority until it is interrupted.
+// Run runs a certificate authority until it is interrupted.
 func (c issuer) Run(out io.Writer) error {
 	set := authority.Settings{Lifetime: c.Lifetime, HTTP: c.HTTP, TLS: c.TLS, Informs: c.Informs, Faults: &authority.Faults{}}
 	var script struct{ Fault []authority.Fault }
@@ -93,7 +93,7 @@
 			return fmt.Errorf("%s: %w", c.Faults, err)
 		}
 		if odd := meta.Undecoded(); len(odd) > 0 {
-			return fmt.Errorf("%s: %s: unknown", c.Faults, odd[0])
+			return fmt.Errorf("%s: unknown field %s", c.Faults, odd[0])
 		}
 	}
 	set.Faults.Set(script.Fault...)
--- a/cmd/otterlab/processes.go
+++ b/cmd/otterlab/processes.go
@@ -16,20 +16,20 @@
 )
 
 type measured struct {
-	Program  string   `help:"The built otterturn that is measured." default:"bin/otterturn" placeholder:"FILE"`
-	Only     []string `help:"Measures to run: requests, memory, changes, idle, silent, connections, compare. Without it, all." placeholder:"NAME"`
-	Fronts   []int    `help:"Fronts that hear of a change, or share a silent node." default:"1,2,4,8,16,32"`
-	Markdown string   `help:"Write the table as Markdown into a file." placeholder:"FILE"`
+	Program  string   `help:"Path of the otterturn program to measure." default:"bin/otterturn" placeholder:"FILE"`
+	Only     []string `help:"Measurements to run: requests, memory, changes, idle, silent, connections, compare; all by default." placeholder:"NAME"`
+	Fronts   []int    `help:"Numbers of fronts that receive a change or share a silent node." default:"1,2,4,8,16,32"`
+	Markdown string   `help:"Write the table as Markdown to a file." placeholder:"FILE"`
 }
 
-// Run measures, prints the table and the worst row. What was measured ahead of a failure is printed, too.
+// Run measures and prints the table and the worst row. After a failure it prints the rows measured before.
 func (c measured) Run(out io.Writer) error {
 	program, err := filepath.Abs(c.Program)
 	if err != nil {
 		return err
 	}
 	if _, err := os.Stat(program); err != nil {
-		return fmt.Errorf("%w; 'make build' makes it", err)
+		return fmt.Errorf("%w; run 'make build' to build it", err)
 	}
 	if err := c.check(); err != nil {
 		return err
@@ -41,7 +41,7 @@
 	lab := &processes.Lab{Program: program, Plan: plan, Log: out}
 	before := loads()
 	rows, failed := lab.Run(ctx, c.Only...)
-	busy := fmt.Sprintf("%d cores, shared; load over the last minute %s ahead of the run, %s at its end.", runtime.NumCPU(), before, loads())
+	busy := fmt.Sprintf("%d cores, shared; load average over the last minute %s before the run, %s at its end.", runtime.NumCPU(), before, loads())
 	fmt.Fprintln(out, busy)
 	fmt.Fprintln(out)
 	processes.Text(out, rows)
@@ -54,7 +54,7 @@
 	return failed
 }
 
-// loads is the machine's load over the last minute, as the kernel tells.
+// loads returns the machine's load average over the last minute.
 func loads() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	first, _, _ := strings.Cut(string(text), " ")
@@ -64,21 +64,21 @@
 	return first
 }
 
-// mostFronts run on one machine.
+// mostFronts limits the fronts on one machine.
 const mostFronts = 64
 
-// check tells of a measure that there is none of, and of fronts that can't be.
+// check rejects unknown measurements and numbers of fronts out of range.
 func (c measured) check() error {
 	known := map[string]bool{}
 	for _, m := range processes.Measures {
 		known[m.Name] = true
 	}
 	if len(c.Fronts) < 3 || slices.Min(c.Fronts) < 1 || slices.Max(c.Fronts) > mostFronts {
-		return fmt.Errorf("--fronts: at least three numbers from 1 to %d", mostFronts)
+		return fmt.Errorf("--fronts must be at least three numbers from 1 to %d", mostFronts)
 	}
 	for _, name := range c.Only {
 		if !known[name] {
-			return fmt.Errorf("--only: %q is unknown", name)
+			return fmt.Errorf("--only: unknown measurement %q", name)
 		}
 	}
 	return nil
--- a/cmd/otterlab/rehearse.go
+++ b/cmd/otterlab/rehearse.go
@@ -17,11 +17,11 @@
 )
 
 type rehearse struct {
-	Files  []string          `arg:"" help:"Scenarios." placeholder:"FILE"`
-	Seeds  int               `help:"Days that are played of each." default:"5"`
-	Report string            `help:"Folder for a page with plots, report.html, and report.json." placeholder:"FOLDER"`
-	Build  map[string]string `help:"Other builds to compare with: the path of their benchlink, by a name." placeholder:"NAME=PATH"`
-	Only   []string          `help:"Variants to play beside the first." placeholder:"NAME"`
+	Files  []string          `arg:"" help:"Scenario files." placeholder:"FILE"`
+	Seeds  int               `help:"Number of simulated runs per scenario." default:"5"`
+	Report string            `help:"Folder for report.html, a page with plots, and report.json." placeholder:"FOLDER"`
+	Build  map[string]string `help:"Other builds to compare with: a name and the path of the build's benchlink." placeholder:"NAME=PATH"`
+	Only   []string          `help:"Variants to simulate in addition to the first." placeholder:"NAME"`
 }
 
 func (c rehearse) Run(out io.Writer) error {
@@ -52,7 +52,7 @@
 			return err
 		}
 		if kept, _ := compared.Kept(); !kept {
-			failed = errors.Join(failed, fmt.Errorf("%s: a rule was broken, or a node pushed over", name))
+			failed = errors.Join(failed, fmt.Errorf("%s: a rule was broken or a node failed by overload", name))
 		}
 		all = append(all, compared)
 	}
@@ -62,10 +62,10 @@
 	return errors.Join(failed, writeReport(out, c.Report, all))
 }
 
-// writeReport writes a report's page and its figures for programs.
+// writeReport writes the comparisons as an HTML page and as JSON.
 func writeReport(out io.Writer, folder string, all []scenario.Comparison) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return fmt.Errorf("the report's folder: %w", err)
+		return fmt.Errorf("creating the report folder: %w", err)
 	}
 	for name, write := range map[string]func(io.Writer, []scenario.Comparison) error{"report.html": scenario.Page, "report.json": scenario.JSON} {
 		f, err := os.Create(filepath.Join(folder, name))
@@ -81,7 +81,7 @@
 }
 
 type repeat struct {
-	Files []string `arg:"" help:"Scenarios." placeholder:"FILE"`
+	Files []string `arg:"" help:"Scenario files." placeholder:"FILE"`
 }
 
 func (c repeat) Run(out io.Writer) error {
@@ -106,7 +106,7 @@
 			fmt.Fprintln(out, "broken:", line)
 		}
 		if digests[0] != digests[1] || r.Fallen > 0 || len(r.Breaks) > 0 {
-			failed = errors.Join(failed, fmt.Errorf("%s: two digests, a rule broken, or a node pushed over", name))
+			failed = errors.Join(failed, fmt.Errorf("%s: the digests differ, a rule was broken or a node failed by overload", name))
 		}
 		summary = append(summary, fmt.Sprintf("%s twice %s, %.3f in time, %d pushed over, %d rules broken", strings.TrimSuffix(filepath.Base(name), ".toml"),
 			digests[0], r.Share(), r.Fallen, len(r.Breaks)))
@@ -116,11 +116,11 @@
 }
 
 type speed struct {
-	Nodes  []int `help:"How many nodes." default:"10,100,1000"`
-	Fronts int   `help:"How many fronts." default:"80"`
+	Nodes  []int `help:"Numbers of nodes." default:"10,100,1000"`
+	Fronts int   `help:"Number of fronts." default:"80"`
 }
 
-// run plays ten seconds of a calm evening at each size; the load grows with the nodes.
+// Run simulates 10 s of load without incidents for each number of nodes. The load grows with the number of nodes.
 func (c speed) Run(out io.Writer) error {
 	for _, nodes := range c.Nodes {
 		s, err := scenario.Calm(nodes, c.Fronts, 10*time.Second)
@@ -140,12 +140,12 @@
 }
 
 type agree struct {
-	Days      int           `help:"How many." default:"4"`
-	Length    time.Duration `help:"Of each." default:"20s"`
-	Tolerance float64       `help:"By which the worth in time may differ." default:"0.03"`
+	Days      int           `help:"Number of runs." default:"4"`
+	Length    time.Duration `help:"Duration of each run." default:"20s"`
+	Tolerance float64       `help:"Maximum difference of the share of worth served in time." default:"0.03"`
 }
 
-// run plays calm days on which a quarter of the nodes dies.
+// Run compares sockets and virtual time on runs without other incidents in which a quarter of the nodes fails.
 func (c agree) Run(out io.Writer) error {
 	if c.Days < 1 {
 		return errors.New("--days must be above 0")
@@ -176,7 +176,7 @@
 	}
 	fmt.Fprintf(out, "agree: %d days of %v, worth in time differs by %.3f at the most, %.3f is allowed\n", c.Days, c.Length, most, c.Tolerance)
 	if most > c.Tolerance {
-		failed = errors.Join(failed, fmt.Errorf("sockets and virtual time differ by %.3f", most))
+		failed = errors.Join(failed, fmt.Errorf("share served in time differs by %.3f between sockets and virtual time, more than --tolerance", most))
 	}
 	return failed
 }
--- a/cmd/ottersoak/main.go
+++ b/cmd/ottersoak/main.go
@@ -1,5 +1,5 @@
-// Command ottersoak plays soaks: real processes of the program under faults that overlap, judged by an auditor that shares no code
-// with it. Each seed is a run of some 15 s.
+// Command ottersoak runs soak tests: processes of the program run under overlapping faults, and an auditor that shares no code with
+// the program checks the results. Each seed is a run of about 15 s.
 package main
 
 import (
@@ -14,13 +14,13 @@
 	"otterturn/internal/soak"
 )
 
-// How the program ends.
+// Exit statuses of the program.
 const (
-	exitBroken  = 1 // a rule was broken, or a run could not be played
+	exitBroken  = 1 // a rule was broken, or a run failed to execute
 	exitMisused = 2
 )
 
-// options are the words of the command line.
+// options are the values of the command-line flags.
 type options struct {
 	seed, seeds, beside, crowd int
 	binary, folder             string
@@ -29,18 +29,18 @@
 // Bounds of the options.
 const (
 	mostSeeds  = 10_000
-	mostBeside = 8 // runs at a time: a few hundred processes
+	mostBeside = 8 // concurrent runs; they start a few hundred processes
 )
 
 func main() {
 	faults.ExecIfWrapper()
 	var o options
 	flag.IntVar(&o.seed, "seed", 1, "the first seed")
-	flag.IntVar(&o.seeds, "seeds", 5, "how many seeds are played")
-	flag.IntVar(&o.beside, "beside", 1, "runs side by side")
-	flag.IntVar(&o.crowd, "crowd", 10, "each seed that this divides has 36 fronts, 0 for none")
-	flag.StringVar(&o.binary, "binary", "bin/otterturn", "the program")
-	flag.StringVar(&o.folder, "logs", "", "folder for the processes' logs, kept; a temporary one without")
+	flag.IntVar(&o.seeds, "seeds", 5, "number of seeds to run")
+	flag.IntVar(&o.beside, "beside", 1, "number of concurrent runs")
+	flag.IntVar(&o.crowd, "crowd", 10, "seeds that are a multiple of this run 36 fronts; 0 for none")
+	flag.StringVar(&o.binary, "binary", "bin/otterturn", "path of the otterturn program")
+	flag.StringVar(&o.folder, "logs", "", "folder in which the process logs are kept; a temporary folder by default")
 	flag.Parse()
 	if err := o.check(); err != nil {
 		fmt.Fprintln(os.Stderr, "ottersoak:", err)
@@ -52,11 +52,11 @@
 	}
 }
 
-// check names the option that can't be.
+// check returns an error for the first invalid option.
 func (o options) check() error {
 	switch info, err := os.Stat(o.binary); {
 	case flag.NArg() > 0:
-		return fmt.Errorf("%q: no such argument", flag.Arg(0))
+		return fmt.Errorf("unexpected argument %q", flag.Arg(0))
 	case o.seed < 0:
 		return errors.New("-seed must not be below 0")
 	case o.seeds < 1 || o.seeds > mostSeeds:
@@ -68,12 +68,12 @@
 	case err != nil:
 		return fmt.Errorf("-binary: %w", err)
 	case info.IsDir():
-		return fmt.Errorf("-binary: %s is a folder", o.binary)
+		return fmt.Errorf("-binary: %s is a directory", o.binary)
 	}
 	return nil
 }
 
-// play plays all seeds, and fails where one broke a rule.
+// play runs all seeds and returns an error if one broke a rule.
 func (o options) play() error {
 	folder := o.folder
 	if folder == "" {
--- a/cmd/otterturn/accept_test.go
+++ b/cmd/otterturn/accept_test.go
@@ -14,7 +14,7 @@
 	"otterturn/internal/standin"
 )
 
-// startUnderFaults starts the front with some of its system calls in the test's hand.
+// startUnderFaults starts the front with an injector that can make the given system calls fail.
 func (s *shutdownSite) startUnderFaults(t *testing.T, calls ...uintptr) (*process, *faults.Injector) {
 	t.Helper()
 	p := &process{Cmd: exec.CommandContext(t.Context(), os.Args[0]), done: make(chan error, 1), output: &output{}}
@@ -30,15 +30,15 @@
 	return p, injector
 }
 
-// acceptErrors are what accept(2) and tcp(7) name for a listening TCP socket, a firewall's word included. EAGAIN is not among them:
-// the kernel says it of an empty queue alone, and wakes the caller with the next connection.
+// acceptErrors are the errors that accept(2) and tcp(7) name for a listening TCP socket, including those that a firewall causes.
+// EAGAIN is not among them: the kernel returns it only for an empty queue, and wakes the caller at the next connection.
 var acceptErrors = []unix.Errno{
 	unix.ECONNABORTED, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM, unix.EPROTO,
 	unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT,
 }
 
-// Guards against the end of the program where accepting fails for a moment: errors that net/http does not call temporary ended
-// it with all that it had taken.
+// Guards against a transient accept error that ends the program: errors that net/http does not classify as temporary ended it
+// together with all requests that it had accepted.
 func TestAcceptThatFailsForAMomentEndsNothing(t *testing.T) {
 	s := newShutdownSite(t, 3*time.Second, 0)
 	p, injector := s.startUnderFaults(t, unix.SYS_ACCEPT4)
@@ -51,7 +51,7 @@
 			t.Fatal(err)
 		}
 		if status, err := readAnswer(c); err != nil || status != 200 {
-			t.Fatalf("accept4 fails with %v: %d, %v\n%s", errno, status, err, p.output)
+			t.Fatalf("accept4 fails with %v: status %d, error %v\n%s", errno, status, err, p.output)
 		}
 		if injector.Injected(unix.SYS_ACCEPT4) == before {
 			t.Errorf("%v was not injected", errno)
@@ -59,13 +59,13 @@
 		injector.Clear()
 	}
 	p.Process.Signal(syscall.SIGTERM)
-	if err := standin.Await(t, "the end of the program", p.done); err != nil {
-		t.Errorf("ended with %v:\n%s", err, p.output)
+	if err := standin.Await(t, "the exit of the program", p.done); err != nil {
+		t.Errorf("exited with %v:\n%s", err, p.output)
 	}
 }
 
-// Guards against requests that are answered too late as accepting failed: what they waited in the kernel is off the time that their
-// clients have left.
+// Guards against answers that come after the client's deadline because accepting failed: the time that a connection waited in the
+// kernel's accept queue is subtracted from the time that its client has left.
 func TestRequestThatWaitedToBeAcceptedHasLessTime(t *testing.T) {
 	const failing, wait = 400 * time.Millisecond, 300 * time.Millisecond
 	s := newShutdownSite(t, 3*time.Second, 0)
@@ -77,12 +77,12 @@
 	c.Write([]byte(askText("GET", 0, wait)))
 	status, err := readAnswer(c)
 	if asked := s.asked.Load() - before; err != nil || status != 503 || asked != 0 {
-		t.Errorf("%d, %v, the node was asked %d times", status, err, asked)
+		t.Errorf("status %d, error %v, %d requests reached the node; want status 503 and no request", status, err, asked)
 	}
 	p.stop(t)
 }
 
-// Guards against requests that are reset in the kernel's queue as a front that stops closes its listener while accepting fails.
+// Guards against a reset of connections in the kernel's accept queue: a stopping front closes its listener while accepting fails.
 func TestConnectionsOfTheKernelAreServedAsTheFrontCloses(t *testing.T) {
 	const deadline = time.Second
 	s := newShutdownSite(t, deadline, 0)
@@ -91,14 +91,14 @@
 	began := time.Now()
 	p.Process.Signal(syscall.SIGTERM)
 	injector.Inject(faults.Rule{Call: unix.SYS_ACCEPT4, Err: unix.ENFILE, Until: began.Add((stop.Serve + stop.Answer) / 2)})
-	time.Sleep(time.Until(began.Add(stop.Serve - 100*time.Millisecond))) // the moments are the terms' own
+	time.Sleep(time.Until(began.Add(stop.Serve - 100*time.Millisecond))) // just before the front closes idle connections
 	c := dialFront(t, s.addr)
 	c.SetDeadline(began.Add(killAfter(deadline)))
 	c.Write([]byte(askText("GET", 0, deadline)))
 	if status, err := readAnswer(c); err != nil {
-		t.Errorf("%d, %v\n%s", status, err, p.output)
+		t.Errorf("status %d, error %v\n%s", status, err, p.output)
 	}
-	if err := standin.Await(t, "the end", p.done); err != nil {
+	if err := standin.Await(t, "the exit of the program", p.done); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/otterturn/appliance_test.go
+++ b/cmd/otterturn/appliance_test.go
@@ -57,7 +57,7 @@
 shard = 0
 ` + plans
 
-// filesOnly is an appliance with the SFTP front alone.
+// filesOnly configures an appliance that has only the SFTP front.
 const filesOnly = `
 [limits]
 memory_mb = 192
@@ -104,7 +104,8 @@
 shard = 0
 `
 
-// An appliance from its start to its end: certificate and renewal, files, HTTP over TLS, console, stop.
+// Runs an appliance from start to shutdown: obtaining, renewing and revoking a certificate, SFTP, HTTP over TLS, console commands and
+// reload.
 func TestAppliance(t *testing.T) {
 	challenge := freeAddr(t)
 	ca := startAuthority(t, authority.Settings{Lifetime: 90 * 24 * time.Hour, HTTP: challenge})
@@ -118,10 +119,10 @@
 	p := start(t, nil, "serve", "--config", config)
 	console := func(command ...string) (string, error) {
 		c := start(t, nil, append([]string{"console", "--config", config}, command...)...)
-		err := standin.Await(t, "the end of the console", c.done)
+		err := standin.Await(t, "the exit of the console", c.done)
 		return c.output.String(), err
 	}
-	standin.Until(t, "the console", func() bool { _, err := console("status"); return err == nil })
+	standin.Until(t, "the console to answer", func() bool { _, err := console("status"); return err == nil })
 
 	standin.Until(t, "the certificate", func() bool {
 		text, err := console("certificate")
@@ -135,17 +136,17 @@
 		return err == nil && strings.Contains(text, "serial 66 until ")
 	})
 	if text, err := console("rollkey", "main"); err != nil {
-		t.Errorf("roll the key: %q, %v", text, err)
+		t.Errorf("rollkey: %q, %v", text, err)
 	}
 	if text, err := console("revoke", "files"); err != nil {
 		t.Errorf("revoke: %q, %v", text, err)
 	}
-	standin.Until(t, "the certificate after the revoked one", func() bool {
+	standin.Until(t, "the replacement of the revoked certificate", func() bool {
 		text, err := console("certificate")
 		return err == nil && strings.Contains(text, "serial 67 until ")
 	})
 	if n := ca.Counts(); n.Accounts != 1 || n.Issued != 3 || n.Revoked != 1 {
-		t.Errorf("the authority counted %+v", n)
+		t.Errorf("the authority counted %+v, want 1 account, 3 issued and 1 revoked", n)
 	}
 	client := &http.Client{Timeout: standin.Patience, Transport: &http.Transport{TLSClientConfig: &tls.Config{
 		RootCAs: ca.Roots(), ServerName: "files.example",
@@ -167,7 +168,7 @@
 	body, err := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if err != nil || string(body) != "index data" {
-		t.Errorf("over TLS: %d %q %v", resp.StatusCode, body, err)
+		t.Errorf("request over TLS: status %d, body %q, error %v", resp.StatusCode, body, err)
 	}
 
 	conn, err := net.Dial("tcp", sftpAddr)
@@ -202,13 +203,13 @@
 		}
 	}
 	if _, err := session.ReadDir("/riverside"); err == nil || !strings.Contains(err.Error(), "try again in") {
-		t.Errorf("a listing while the node drains: %v", err)
+		t.Errorf("directory listing while the node drains: %v", err)
 	}
 	if text, err := console("undrain", "node-a"); err != nil {
 		t.Errorf("undrain: %q, %v", text, err)
 	}
 	if _, err := session.ReadDir("/riverside"); err != nil {
-		t.Errorf("a listing after the drain: %v", err)
+		t.Errorf("directory listing after the drain: %v", err)
 	}
 
 	text, err := os.ReadFile(config)
@@ -220,12 +221,12 @@
 		t.Fatal(err)
 	}
 	p.Process.Signal(syscall.SIGHUP)
-	standin.Until(t, "the node of the new file", func() bool {
+	standin.Until(t, "the node added by the reload", func() bool {
 		text, err := console("drain", "node-b")
 		return err == nil && text == ""
 	})
 	if _, err := session.ReadDir("/riverside"); err != nil {
-		t.Errorf("a listing after the reload: %v", err)
+		t.Errorf("directory listing after the reload: %v", err)
 	}
 	p.stop(t)
 }
--- a/cmd/otterturn/crash_test.go
+++ b/cmd/otterturn/crash_test.go
@@ -23,15 +23,15 @@
 	"otterturn/scheduler"
 )
 
-// Figures of a limited project's uploads.
+// Sizes of the uploads, and the limit of the limited project.
 const (
 	crashPart  = 32 << 10
-	crashUnits = 3.0 // of a part
+	crashUnits = 3.0 // per write of crashPart bytes
 	crashRate  = 12.0
 	crashBurst = 36.0
 )
 
-// meter follows a limit's store from what reaches a node.
+// meter computes the level of a token bucket from the writes that reach a node.
 type meter struct {
 	mu    sync.Mutex
 	level float64
@@ -48,8 +48,8 @@
 	m.at, m.least, m.units = now, min(m.least, m.level), m.units+units
 }
 
-// crowd are clients that upload without an end: they keep a few writes under way, and come back when the front was
-// killed. They count answers that come twice or not at all.
+// crowd is a set of clients that upload until they are stopped. Each keeps a few writes in flight and reconnects after the front
+// was killed. They count answers that arrive twice or not at all.
 type crowd struct {
 	addr                       string
 	stop                       chan struct{}
@@ -75,7 +75,7 @@
 	}
 }
 
-// session is one connection: until it breaks, or an answer does not come.
+// session writes on one connection until it breaks or an answer is missing.
 func (c *crowd) session(conn net.Conn, path string) {
 	const ahead = 4
 	reply := func() (kind byte, id uint32, rest []byte, err error) {
@@ -92,7 +92,7 @@
 	if _, _, _, err := reply(); err != nil {
 		return
 	}
-	conn.Write(standin.Command(3, 0, []byte(path), uint32(0x0a), uint32(0))) // to write, created if it is missing
+	conn.Write(standin.Command(3, 0, []byte(path), uint32(0x0a), uint32(0))) // SSH_FXF_WRITE | SSH_FXF_CREAT
 	kind, _, rest, err := reply()
 	if err != nil || kind != 102 {
 		return
@@ -127,7 +127,7 @@
 		}
 		delete(open, of)
 		c.answered.Add(1)
-		if binary.BigEndian.Uint32(rest) != 0 { // the handle is spoilt: begin anew
+		if binary.BigEndian.Uint32(rest) != 0 { // the handle is unusable after a failed write: reconnect
 			c.refused.Add(1)
 			return
 		}
@@ -135,9 +135,9 @@
 	}
 }
 
-// sabotage puts a file in the place of the last one that must not be taken for current, and names what it did. The
-// previous generation stays; a kill between two steps of a save leaves the last snapshot under both names, so that one
-// may hold the same snapshot, whole, and is rightly taken then.
+// sabotage replaces the current snapshot file with one that must not be used as current, and returns the kind of damage. The previous
+// generation stays. A kill between two steps of a save leaves the last snapshot under both names, so the previous generation may be
+// an intact copy of it; the front may use that.
 func sabotage(t *testing.T, folder string, n int) string {
 	name := filepath.Join(folder, "learned")
 	file, err := os.ReadFile(name)
@@ -146,7 +146,7 @@
 	}
 	snap, err := snapshot.Decode(file)
 	if err != nil {
-		t.Fatalf("after a kill: %v", err)
+		t.Fatalf("decoding the snapshot after a kill: %v", err)
 	}
 	kinds := []string{"cut", "flipped", "hours old", "of the future", "another front's"}
 	kind := kinds[n%len(kinds)]
@@ -167,8 +167,8 @@
 			t.Fatal(err)
 		}
 	}
-	// A file of its own: a kill between two steps of a save leaves the last one under both names, and what is offered
-	// is one bad file.
+	// Removed first, as both names can be links to one file after a kill between two steps of a save: only the current file
+	// must be damaged.
 	if err := os.Remove(name); err != nil {
 		t.Fatal(err)
 	}
@@ -180,9 +180,9 @@
 
 var recalled = regexp.MustCompile(`"msg":"learned state restored","snapshot":(\d+),"nodes":(\d+),"projects":(\d+),"age":"[^"]*","previous":(true|false)`)
 
-// The appliance is killed at random moments while clients upload to a project with a limit. At each start it must
-// go on from the last file that is whole and its own, from nothing else; the limit must hold over all of it; each
-// command has one answer or a broken connection. OTTERTURN_KILLS makes it longer, see 'make crash'.
+// The appliance is killed at random moments while clients upload to a project with a limit. Each start must restore the last
+// intact snapshot of the same front and no other file. The limit must hold across all restarts. Each command has exactly one
+// answer or a broken connection. OTTERTURN_KILLS sets the number of kills, see 'make crash'.
 func TestCrash(t *testing.T) {
 	kills := 12
 	if text := os.Getenv("OTTERTURN_KILLS"); text != "" {
@@ -229,11 +229,11 @@
 		found := recalled.FindStringSubmatch(out)
 		switch {
 		case offer == "" && written && (found == nil || found[1] != fmt.Sprint(last) || strings.Contains(out, "not used")):
-			t.Errorf("kill %d: the file was snapshot %d, and the log says:\n%s", n, last, out)
+			t.Errorf("kill %d: snapshot %d was not restored, log:\n%s", n, last, out)
 		case offer == "hours old" && (found == nil || found[2] != "0" || found[3] != "0"),
 			offer != "" && offer != "hours old" && (!strings.Contains(out, "not used") || found != nil && found[4] == "false"):
 			wrong++
-			t.Errorf("kill %d: a file that was %s, and the log says:\n%s", n, offer, out)
+			t.Errorf("kill %d: a snapshot file (%s) was not handled as such, log:\n%s", n, offer, out)
 		}
 		if found != nil {
 			loads++
@@ -243,16 +243,16 @@
 		lives := []time.Duration{30 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond}
 		time.Sleep(time.Duration(rand.Int64N(int64(lives[n%len(lives)]))))
 		p.Process.Signal(syscall.SIGKILL)
-		standin.Await(t, "the end", p.done)
+		standin.Await(t, "the exit of the program", p.done)
 		snap, err := store.Read(folder, false)
 		offer = ""
 		switch {
-		case err != nil && !written && os.IsNotExist(err): // killed ahead of the first save
+		case err != nil && !written && os.IsNotExist(err): // killed before the first save
 			continue
 		case err != nil:
-			t.Fatalf("kill %d left: %v", n, err)
+			t.Fatalf("reading the snapshot after kill %d: %v", n, err)
 		case snap.Count < last:
-			t.Errorf("kill %d: snapshot %d after %d", n, snap.Count, last)
+			t.Errorf("kill %d: snapshot %d is older than snapshot %d before it", n, snap.Count, last)
 		}
 		last, written = snap.Count, true
 		if n%7 == 3 {
@@ -264,13 +264,13 @@
 	c.all.Wait()
 	limit.mu.Lock()
 	defer limit.mu.Unlock()
-	// The slack of the platform's rule: a tenth of the burst or a largest command, and what flows in within 150 ms.
+	// The platform's rule allows an excess of a tenth of the burst or one largest command, plus the refill of 150 ms.
 	slack := max(crashBurst/10, 8) + crashRate*0.15
 	if limit.least < -slack {
-		t.Errorf("%.1f units beyond the limit, its slack is %.1f", -limit.least, slack)
+		t.Errorf("the limit was exceeded by %.1f units, at most %.1f are allowed", -limit.least, slack)
 	}
 	if c.twice.Load()+c.silent.Load() > 0 {
-		t.Errorf("%d answers came twice, %d not at all", c.twice.Load(), c.silent.Load())
+		t.Errorf("%d answers arrived twice, %d never", c.twice.Load(), c.silent.Load())
 	}
 	if c.succeeded.Load() == 0 || limit.units == 0 {
 		t.Error("no upload came through")
--- a/cmd/otterturn/crowd_test.go
+++ b/cmd/otterturn/crowd_test.go
@@ -14,8 +14,9 @@
 	"otterturn/internal/standin"
 )
 
-// Idle and half-open clients come by the hundred while discovery is down, to a process that may have 160 descriptors. The
-// places for nodes, discovery and those who ask are kept back: it gets its list, reaches its node and answers.
+// Guards against idle clients that use up all file descriptors. Hundreds of clients connect while discovery is down, idle or with an
+// incomplete request, to a process with 160 descriptors. The descriptors reserved for nodes, discovery and active clients must
+// suffice to fetch the endpoint list, connect to the node and answer.
 func TestIdleClientsLeaveRoomForListAndNodes(t *testing.T) {
 	node := httpPeer(t, func(*http.Request) string { return "index data" })
 	list := fmt.Sprintf(`{"seq":42,"whole":true,"hosts":[{"host":"s","dial":%q,"site":"a","block":0,"health":"up","born_ms":0}]}`, node)
@@ -29,7 +30,7 @@
 			case <-back:
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 			default:
-				io.Copy(io.Discard, c) // down: silent until the front gives up
+				io.Copy(io.Discard, c) // down: no answer until the front closes the connection
 				return
 			}
 		}
--- a/cmd/otterturn/daily_test.go
+++ b/cmd/otterturn/daily_test.go
@@ -15,10 +15,10 @@
 	"otterturn/internal/standin"
 )
 
-// site is a platform's front with one node, its clients' socket held by the test as the platform does.
+// site is a platform front with one node. The test holds the client listening socket, as the platform does.
 type site struct {
 	addr, control, config, folder string
-	socket                        *os.File // of the clients
+	socket                        *os.File // listens for clients
 	get                           func(path, id string) (int, string, bool)
 }
 
@@ -45,14 +45,14 @@
 	return s
 }
 
-// start starts a process of the front, with an operators' address of its own.
+// start starts a process of the front with its own operator address.
 func (s *site) start(t *testing.T, control string, env ...string) *process {
 	t.Helper()
 	return startWith(t, func(c *exec.Cmd) { c.ExtraFiles = []*os.File{s.socket} },
 		append([]string{"RELAY_CONFIG=" + s.config, "RELAY_CONTROL=" + control, "RELAY_ACCEPT_FD=3", "TMPDIR=" + s.folder}, env...))
 }
 
-// call makes one operators' call.
+// call sends one request to an operator address.
 func call(t *testing.T, method, addr, path string) (int, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+addr+path, nil)
@@ -73,7 +73,7 @@
 
 func healthy(t *testing.T, control string) {
 	t.Helper()
-	standin.Until(t, "a yes", func() bool { status, _ := call(t, "GET", control, "/healthcheck"); return status == 200 })
+	standin.Until(t, "a successful health check", func() bool { status, _ := call(t, "GET", control, "/healthcheck"); return status == 200 })
 }
 
 func (s *site) figure(t *testing.T, line string) {
@@ -89,8 +89,8 @@
 
 func anID() string { return fmt.Sprint("id-", time.Now().UnixNano()) }
 
-// Operators leave a node out, twice, and call it back once; the figures follow what clients saw. Callers that say
-// nothing hold nobody up.
+// Operators exclude a node twice and readmit it once; the metrics match what clients saw. Operator connections with an incomplete
+// request must not block other operator calls.
 func TestOperators(t *testing.T) {
 	s := newSite(t)
 	p := s.start(t, s.control)
@@ -116,10 +116,10 @@
 	}
 	s.figure(t, "svc.chunk_servers_excluded:1|g")
 	if status, _, _ := s.get(piece, anID()); status == 200 {
-		t.Error("a node that is kept out was asked")
+		t.Error("a request was served while the only node was excluded")
 	}
 	if status, _ := call(t, "POST", s.control, "/chunk-servers/s/ready"); status != 200 {
-		t.Errorf("called back: %d", status)
+		t.Errorf("readmitting the node: status %d", status)
 	}
 	standin.Until(t, "a served request", func() bool { status, _, _ := s.get(piece, anID()); return status == 200 })
 	s.figure(t, "svc.served.read:2|c")
@@ -128,7 +128,8 @@
 	p.stop(t)
 }
 
-// A file is taken whole or not at all: classes come and go, and what is broken names its field and changes nothing.
+// A reload applies a configuration completely or not at all: classes are added and removed, and an invalid file changes nothing; the
+// error names the invalid field.
 func TestSettingsThatChange(t *testing.T) {
 	s := newSite(t)
 	p := s.start(t, s.control)
@@ -156,7 +157,7 @@
 	} {
 		reload(strings.Replace(string(former), c.old, c.new, 1))
 		s.figure(t, fmt.Sprintf("svc.reloads_failed:%d|c", i+1))
-		logged(t, p, c.says) // which is written behind the count
+		logged(t, p, c.says) // logged after the metric is incremented
 	}
 	standin.Until(t, "a served request", func() bool { status, _, _ := s.get(piece, anID()); return status == 200 })
 	reload(strings.Replace(string(former), `"classes":[`, `"classes":[{"name":"index","aimUs":300000,"giveUpUs":5000000,"semantics":"retryable","credit":1},`, 1))
@@ -165,16 +166,16 @@
 	s.figure(t, "svc.served.read:1|c")
 	reload(strings.Replace(string(former), `"name":"read"`, `"name":"index"`, 1))
 	s.figure(t, "svc.reloads_ok:2|c")
-	standin.Until(t, "the end of a class", func() bool { status, _, _ := s.get(piece, anID()); return status == 404 })
+	standin.Until(t, "the removal of a class", func() bool { status, _, _ := s.get(piece, anID()); return status == 404 })
 	p.stop(t)
 }
 
-// A descriptor that is none ends the start with a word.
+// An invalid accept descriptor ends the start with an error that names the variable.
 func TestWrongDescriptor(t *testing.T) {
 	s := newSite(t)
 	for _, fd := range []string{"x", "1", "77"} {
 		p := s.start(t, freeAddr(t), "RELAY_ACCEPT_FD="+fd)
-		if err := standin.Await(t, "the end", p.done); err == nil || !strings.Contains(p.output.String(), "RELAY_ACCEPT_FD") {
+		if err := standin.Await(t, "the exit of the program", p.done); err == nil || !strings.Contains(p.output.String(), "RELAY_ACCEPT_FD") {
 			t.Errorf("%q: %v, %s", fd, err, p.output)
 		}
 	}
--- a/cmd/otterturn/exit_test.go
+++ b/cmd/otterturn/exit_test.go
@@ -10,7 +10,7 @@
 	"otterturn/internal/standin"
 )
 
-// Scripts tell from the status what went wrong.
+// Scripts distinguish kinds of failure by the exit status.
 func TestExitStatus(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("limits = 3\n"), 0o600); err != nil {
@@ -34,17 +34,17 @@
 		{0, []string{"state", "show", "--config", config}},
 	} {
 		ended := start(t, nil, c.args...)
-		got, err := 0, standin.Await(t, "the end", ended.done)
+		got, err := 0, standin.Await(t, "the exit of the program", ended.done)
 		if status := (*exec.ExitError)(nil); errors.As(err, &status) {
 			got = status.ExitCode()
 		}
 		if got != c.want {
-			t.Errorf("%v ends with %d, want %d: %s", c.args, got, c.want, ended.output)
+			t.Errorf("%v: exit status %d, want %d: %s", c.args, got, c.want, ended.output)
 		}
 	}
 	p.stop(t)
 	ended := start(t, nil, "console", "--config", config, "status")
-	if status := (*exec.ExitError)(nil); !errors.As(standin.Await(t, "the end", ended.done), &status) || status.ExitCode() != exitNotRunning {
-		t.Errorf("with no appliance: %s", ended.output)
+	if status := (*exec.ExitError)(nil); !errors.As(standin.Await(t, "the exit of the program", ended.done), &status) || status.ExitCode() != exitNotRunning {
+		t.Errorf("console without an appliance: %s", ended.output)
 	}
 }
--- a/cmd/otterturn/fleet_input_test.go
+++ b/cmd/otterturn/fleet_input_test.go
@@ -13,8 +13,8 @@
 	"otterturn/internal/standin"
 )
 
-// What comes to a front's address for messages may be anything, from anybody: it is dropped, counted and logged once a
-// kind, and the front goes on.
+// A front's peer address can receive any datagram from any sender. Invalid ones are dropped, counted and logged once per kind, and
+// the front keeps serving.
 func TestBadMessagesAreDroppedAndCounted(t *testing.T) {
 	const each = 20
 	s := newFleetSite(t, 3, 1, fleetText(t, fleetSettings, 3))
@@ -30,12 +30,12 @@
 		text, why string
 		foreign   bool
 	}{
-		{text: head[:9], why: `"why":"unreadable"`},                                      // cut
-		{text: "\xf1\x63" + head[2:], why: `"why":"unreadable"`},                         // of another version
-		{text: head + strings.Repeat("\xff", 7), why: `"why":"unreadable"`},              // an entry cut
+		{text: head[:9], why: `"why":"unreadable"`},                                      // truncated header
+		{text: "\xf1\x63" + head[2:], why: `"why":"unreadable"`},                         // another version
+		{text: head + strings.Repeat("\xff", 7), why: `"why":"unreadable"`},              // truncated entry
 		{text: head + strings.Repeat("\xff", 300), why: `"why":"too long"`},              // oversized
-		{text: strings.Repeat("\x00garbage\xff", 9), why: `"why":"of no kind"`},          // neither a message nor a note
-		{text: head + strings.Repeat("\x01", 15), why: `"why":"no peer"`, foreign: true}, // of an address that is no peer's
+		{text: strings.Repeat("\x00garbage\xff", 9), why: `"why":"of no kind"`},          // unknown kind of message
+		{text: head + strings.Repeat("\x01", 15), why: `"why":"no peer"`, foreign: true}, // the sender is not a peer
 	} {
 		before := f.figure("health.dropped")
 		for range each {
@@ -45,7 +45,7 @@
 				s.relay.Inject(1, 0, []byte(c.text))
 			}
 		}
-		standin.Until(t, fmt.Sprintf("the count of %d", kind), func() bool { return f.figure("health.dropped") >= before+each })
+		standin.Until(t, fmt.Sprintf("the count of dropped messages of kind %d", kind), func() bool { return f.figure("health.dropped") >= before+each })
 		logged(t, f.process, c.why)
 		if n := strings.Count(f.output.String(), c.why); n != 1 {
 			t.Errorf("%s was logged %d times", c.why, n)
@@ -57,7 +57,8 @@
 	figures(t, s.fronts, "health.condemned", 1)
 }
 
-// At SIGHUP a fleet's file that is wrong changes nothing, nor does a configuration beside it; a good one holds.
+// A reload with an invalid fleet file changes nothing, even if the configuration read with it is valid. A reload with a valid fleet
+// file applies both.
 func TestFleetFileThatChanges(t *testing.T) {
 	path := fleetText(t, fleetSettings, 3)
 	s := newFleetSite(t, 3, 1, path)
@@ -95,9 +96,9 @@
 		logged(t, f.process, c.says)
 	}
 	if f.figure("served.index") != -1 {
-		t.Error("a configuration was taken over beside a fleet's file that is wrong")
+		t.Error("a configuration was applied together with an invalid fleet file")
 	}
-	s.nodes[0].silence(true) // the old settings hold
+	s.nodes[0].silence(true) // the old settings still apply
 	go f.ask(0)
 	figures(t, s.fronts, "health.condemned", 1)
 	s.nodes[0].silence(false)
@@ -107,7 +108,7 @@
 	figures(t, []*fleetFront{f}, "served.index", 0)
 }
 
-// A wrong file of the fleet ends the start with one line that names the field, and the status of wrong configurations.
+// An invalid fleet file ends the start with one line that names the field, and with the exit status for invalid configurations.
 func TestWrongFleetFileEndsTheStart(t *testing.T) {
 	platform := fmt.Sprintf(platformConfig, freeAddr(t), "127.0.0.1:1")
 	config := write(t, "config.json", platform)
@@ -117,10 +118,10 @@
 		{"/nowhere/fleet.toml", "RELAY_FLEET"},
 	} {
 		p := start(t, []string{"RELAY_CONFIG=" + config, "RELAY_FLEET=" + c.fleet})
-		err := standin.Await(t, "the end", p.done)
+		err := standin.Await(t, "the exit of the program", p.done)
 		exit, text := new(exec.ExitError), p.output.String()
 		if !errors.As(err, &exit) || exit.ExitCode() != exitMisused || strings.Count(text, "\n") != 1 || !strings.Contains(text, c.says) {
-			t.Errorf("%v, %q, want %q", err, text, c.says)
+			t.Errorf("error %v, output %q, want %q", err, text, c.says)
 		}
 	}
 }
--- a/cmd/otterturn/fleet_links_test.go
+++ b/cmd/otterturn/fleet_links_test.go
@@ -8,9 +8,9 @@
 	"otterturn/internal/standin"
 )
 
-// Messages are lost, repeated and reordered, and two fronts hear each other one way alone: the zone finds silent nodes
-// and their return all the same, and a node that answers is not condemned. Each node is silent once, and each front asks
-// for it once: one that is not told, as a prober that it can't hear counts for the others' quorum, finds out so.
+// Messages are lost, duplicated and reordered, and one front receives nothing from another. The zone must still detect silent nodes
+// and their recovery, and must not condemn a node that answers. Each node is silent once, and each front sends it one request: a
+// front that cannot receive from a prober in the quorum may not learn the verdict, and detects the silence by that request.
 func TestVerdictsOverBadLinks(t *testing.T) {
 	const fronts, healthy = 5, 2
 	s := newFleetSite(t, fronts, healthy+1, fleetText(t, fleetSettings, fronts))
@@ -39,6 +39,6 @@
 		}
 	}
 	if dropped == 0 {
-		t.Error("of all the messages that were repeated none was dropped")
+		t.Error("no duplicated message was dropped")
 	}
 }
--- a/cmd/otterturn/fleet_nodes_test.go
+++ b/cmd/otterturn/fleet_nodes_test.go
@@ -14,8 +14,7 @@
 	"otterturn/internal/standin"
 )
 
-// auditedNode is a storage node that counts what comes to it, by the front from which it comes. Each front has an
-// address of its own for it.
+// auditedNode is a storage node that counts the requests it receives per front. It has a separate address for each front.
 type auditedNode struct {
 	name  string
 	addrs []string // by front
@@ -48,7 +47,7 @@
 	}
 }
 
-// count tells whether the request is to be answered.
+// count counts the request and reports whether the node answers it.
 func (n *auditedNode) count(front int, r *http.Request) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -60,24 +59,24 @@
 	return !n.silent
 }
 
-// silence has the node answer nothing from now on, or again.
+// silence makes the node stop answering, or answer again.
 func (n *auditedNode) silence(on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.silent = on
 }
 
-// forget begins the count anew.
+// forget resets the counts.
 func (n *auditedNode) forget() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.probes, n.attempts = map[int]int{}, map[int]int{}
 }
 
-// audit is what came to a node.
+// audit holds the number of requests that a node received.
 type audit struct {
 	probes, attempts int
-	probing          []int // fronts
+	probing          []int // fronts that sent probes
 }
 
 func (n *auditedNode) audit() (a audit) {
--- a/cmd/otterturn/fleet_site_test.go
+++ b/cmd/otterturn/fleet_site_test.go
@@ -17,7 +17,7 @@
 	"otterturn/internal/standin"
 )
 
-// fleetSite is a few fronts, each a process of the program, before a few nodes, with a relay between all of them.
+// fleetSite is a set of fronts, each a process of the program, and of nodes. A relay carries all traffic between them.
 type fleetSite struct {
 	t      *testing.T
 	relay  *standin.Relay
@@ -25,7 +25,7 @@
 	fronts []*fleetFront
 }
 
-// fleetFront is one process.
+// fleetFront is one front of a fleetSite.
 type fleetFront struct {
 	*process
 	t             *testing.T
@@ -37,11 +37,13 @@
 	client        *http.Client
 }
 
-// timeLeft is for how long a client waits. A time-out raises what the scheduler takes for a node's usual latency, by a part
-// of it; past the class's aim it sends the node nothing more for long, with the mechanism or without.
+// timeLeft is the time for which a client waits. A timeout raises the scheduler's estimate of the node's latency by a part of this
+// time. An estimate above the class's latency objective keeps requests from the node for long, with shared health checks or
+// without.
 const timeLeft = "1000m"
 
-// fleetSettings are the figures of the fleet's file, slow enough for a busy machine: what counts is how they compare.
+// fleetSettings are the health settings of the fleet file. Their times are long enough for a busy machine; only the ratios between
+// them matter.
 const fleetSettings = `[health]
 enabled = true
 probers = 3
@@ -54,7 +56,7 @@
 message_bytes = 8192
 `
 
-// zonesOf writes zones of so many fronts, numbered on.
+// zonesOf formats zones with the given numbers of fronts. The fronts are numbered consecutively.
 func zonesOf(sizes ...int) string {
 	var out strings.Builder
 	first := 0
@@ -65,15 +67,15 @@
 	return out.String()
 }
 
-// newFleetSite starts fronts before nodes, which hold a shard each. fleetFile is the path of the fleet's file, "" for
-// none. It returns once each front has served a request of each node.
+// newFleetSite starts fronts and nodes; each node holds one shard. fleetFile is the path of the fleet file, "" for none. It returns
+// once each front has served a request from each node.
 func newFleetSite(t *testing.T, fronts, nodes int, fleetFile string) *fleetSite {
 	t.Helper()
 	s := &fleetSite{t: t, relay: standin.NewRelay(t, rand.Uint64())}
 	for i := range nodes {
 		s.nodes = append(s.nodes, newAuditedNode(t, fmt.Sprint("s-", i), fronts))
 	}
-	var held []io.Closer // the fronts' addresses, until all others are taken
+	var held []io.Closer // reserve the fronts' addresses until all addresses are assigned
 	var listens []netip.AddrPort
 	for range fronts {
 		c, err := net.ListenPacket("udp4", freeAddr(t))
@@ -96,7 +98,7 @@
 	for _, f := range s.fronts {
 		f.start(fleetFile)
 	}
-	t.Cleanup(s.report) // ahead of their end
+	t.Cleanup(s.report) // runs before the processes are stopped
 	s.each(func(f *fleetFront) {
 		for shard := range s.nodes {
 			f.serves(shard)
@@ -105,7 +107,7 @@
 	return s
 }
 
-// report logs what the fronts say of themselves, where the test failed.
+// report logs the fronts' metrics and output if the test failed.
 func (s *fleetSite) report() {
 	if !s.t.Failed() {
 		return
@@ -119,7 +121,7 @@
 	}
 }
 
-// each runs a function for all fronts side by side.
+// each runs a function for all fronts concurrently.
 func (s *fleetSite) each(do func(f *fleetFront)) {
 	var wait sync.WaitGroup
 	for _, f := range s.fronts {
@@ -128,7 +130,7 @@
 	wait.Wait()
 }
 
-// configure writes a front's configuration, with the relay in all its ways to others.
+// configure writes a front's configuration, in which all nodes and peers are reached through the relay.
 func (s *fleetSite) configure(f *fleetFront, peers []netip.AddrPort) {
 	s.t.Helper()
 	f.t, f.client = s.t, &http.Client{Timeout: standin.Patience, Transport: &http.Transport{}}
@@ -161,7 +163,7 @@
 	f.process = start(f.t, []string{"RELAY_CONFIG=" + f.config, "RELAY_FLEET=" + fleetFile})
 }
 
-// ask sends a request for a shard and returns the answer's status, 0 for none.
+// ask sends a request for a shard and returns the answer's status, 0 if there is no answer.
 func (f *fleetFront) ask(shard int) int {
 	r, err := http.NewRequest(http.MethodGet, "http://"+f.addr+piece, nil)
 	if err != nil {
@@ -191,13 +193,13 @@
 			f.t.Logf("front %d, shard %d: answers %v", f.number, shard, statuses)
 		}
 	}()
-	standin.Until(f.t, fmt.Sprintf("a request of shard %d served by front %d", shard, f.number), func() bool {
+	standin.Until(f.t, fmt.Sprintf("a request for shard %d served by front %d", shard, f.number), func() bool {
 		statuses = append(statuses, f.ask(shard))
 		return statuses[len(statuses)-1] == http.StatusOK
 	})
 }
 
-// figure is one line of what the front tells operators, -1 where there is none.
+// figure returns the value of a metric, -1 if the front does not report it.
 func (f *fleetFront) figure(name string) int {
 	_, text := call(f.t, "GET", f.control, "/stats")
 	found := regexp.MustCompile(`(?m)^svc\.` + regexp.QuoteMeta(name) + `:(\d+)\|`).FindStringSubmatch(text)
@@ -211,24 +213,24 @@
 	return n
 }
 
-// figures waits until a figure has a value at all of the fronts.
+// figures waits until a metric has the wanted value on each of the fronts.
 func figures(t *testing.T, fronts []*fleetFront, name string, want int) {
 	t.Helper()
 	for _, f := range fronts {
-		standin.Until(t, fmt.Sprintf("%s of %d at front %d", name, want, f.number), func() bool { return f.figure(name) == want })
+		standin.Until(t, fmt.Sprintf("metric %s = %d on front %d", name, want, f.number), func() bool { return f.figure(name) == want })
 	}
 }
 
-// verdicts counts how often a front's zone found a node silent.
+// verdicts counts how often the front logged that its zone found a node silent.
 func (f *fleetFront) verdicts() int {
 	return strings.Count(f.output.String(), "node silent in zone")
 }
 
-// fleetText writes a fleet's file and returns its path.
+// fleetText writes a fleet file and returns its path.
 func fleetText(t *testing.T, settings string, zones ...int) string {
 	t.Helper()
 	return write(t, "fleet.toml", settings+zonesOf(zones...))
 }
 
-// since is for how long something has gone on, in seconds.
+// since returns the time since at in seconds.
 func since(at time.Time) float64 { return time.Since(at).Seconds() }
--- a/cmd/otterturn/fleet_view_test.go
+++ b/cmd/otterturn/fleet_view_test.go
@@ -11,22 +11,22 @@
 	"otterturn/internal/standin"
 )
 
-// replace is a text with another one in the place of what must be there.
+// replace replaces old in text, and panics if old is missing.
 func replace(text, old, with string) string {
 	if !strings.Contains(text, old) {
-		panic("there is no " + old)
+		panic("text to replace is missing: " + old)
 	}
 	return strings.Replace(text, old, with, 1)
 }
 
-// A prober that is cut off from a node by itself tells the zone that it is silent, and condemns nothing for the others:
-// the probers see for themselves, and those who don't probe want the word of two.
+// A prober that alone has lost its connection to a node reports the node as silent. Other fronts must not condemn it: the other
+// probers have evidence of their own, and the fronts that do not probe need reports from a quorum of two.
 func TestOneFrontsWrongViewCondemnsNothing(t *testing.T) {
 	const fronts, probers = 6, 3
 	s := newFleetSite(t, fronts, 1, fleetText(t, fleetSettings, fronts))
 	node := s.nodes[0]
 	node.forget()
-	node.silence(true) // to see who probes
+	node.silence(true) // to find out which fronts are probers
 	go s.fronts[0].ask(0)
 	figures(t, s.fronts, "health.condemned", 1)
 	var probing []int
@@ -38,7 +38,7 @@
 	figures(t, s.fronts, "health.condemned", 0)
 	s.each(func(f *fleetFront) { f.serves(0) })
 	node.forget()
-	wrong := s.fronts[probing[len(probing)-1]] // the first front has paid already
+	wrong := s.fronts[probing[len(probing)-1]] // not the first front, which has already made an attempt
 	var others []*fleetFront
 	verdicts := map[*fleetFront]int{}
 	for _, f := range s.fronts {
@@ -48,7 +48,7 @@
 		}
 	}
 	wrong.pipes[0].Set(standin.Faults{Cut: true})
-	standin.Until(t, "the front that is cut off to avoid the node", func() bool { // which one time-out alone may not bring about
+	standin.Until(t, "the front that is cut off to avoid the node", func() bool { // one timeout may not suffice
 		wrong.ask(0)
 		return wrong.figure("chunk_servers_excluded") == 1
 	})
@@ -57,7 +57,7 @@
 	standin.Until(t, "three further probes of the front that is cut off", func() bool { return wrong.figure("health.probes") >= sent+3 })
 	for _, f := range others {
 		if n := f.verdicts() - verdicts[f]; n != 0 || f.figure("chunk_servers_excluded") != 0 {
-			t.Errorf("front %d avoids the node by the word of front %d alone (%d verdicts)", f.number, wrong.number, n)
+			t.Errorf("front %d avoids the node on the report of front %d only (%d verdicts)", f.number, wrong.number, n)
 		}
 		f.serves(0)
 	}
@@ -65,7 +65,7 @@
 	wrong.serves(0)
 }
 
-// A zone that can't see a node avoids it, and another zone goes on using it.
+// A zone that cannot reach a node avoids it, and another zone keeps using it.
 func TestZoneThatCannotSeeANodeStopsNoOtherZone(t *testing.T) {
 	s := newFleetSite(t, 6, 1, fleetText(t, fleetSettings, 3, 3))
 	blind, seeing := s.fronts[:3], s.fronts[3:]
@@ -77,7 +77,7 @@
 	for _, f := range seeing {
 		for range 5 {
 			if status := f.ask(0); status != http.StatusOK {
-				t.Errorf("front %d of the other zone: %d", f.number, status)
+				t.Errorf("front %d of the other zone: status %d", f.number, status)
 			}
 		}
 		if n := f.verdicts(); n != 0 || f.figure("health.messages_received") != 0 {
@@ -93,13 +93,14 @@
 	}
 }
 
-// Fronts are stopped for some seconds, while they have requests out and while they probe, and go on: the time that they
-// did not look is no node's silence. (Its own scheduler may take it for the node's latency, with the mechanism or without.)
+// Fronts are suspended by SIGSTOP for 2 s, while they have open attempts and while they probe, and then continue. The time of
+// the suspension must not count as silence of a node. (The front's own scheduler may count it as latency of the node, with shared
+// health checks or without.)
 func TestPausedFrontsCondemnNothing(t *testing.T) {
 	const fronts = 4
 	s := newFleetSite(t, fronts, 2, fleetText(t, replace(fleetSettings, "probers = 3", "probers = 4"), fronts))
 	paused, others := s.fronts[:2], s.fronts[2:]
-	s.nodes[0].silence(true) // so that there are probers and probes
+	s.nodes[0].silence(true) // to have probers and probes
 	go others[0].ask(0)
 	figures(t, s.fronts, "health.condemned", 1)
 	for range 2 {
@@ -108,7 +109,7 @@
 			for range 4 {
 				out.Go(func() {
 					if f.ask(1) == 0 {
-						t.Errorf("front %d: no answer behind its pause", f.number)
+						t.Errorf("front %d: no answer after its pause", f.number)
 					}
 				})
 			}
@@ -117,10 +118,10 @@
 			}
 		}
 		stopped := time.Now()
-		standin.Until(t, "two seconds of service by others", func() bool {
+		standin.Until(t, "two seconds of service by the other fronts", func() bool {
 			for _, f := range others {
 				if status := f.ask(1); status != http.StatusOK {
-					t.Errorf("front %d: %d while others are stopped", f.number, status)
+					t.Errorf("front %d: status %d while others are suspended", f.number, status)
 				}
 			}
 			return since(stopped) > 2
--- a/cmd/otterturn/learned_test.go
+++ b/cmd/otterturn/learned_test.go
@@ -11,7 +11,7 @@
 	"otterturn/internal/standin"
 )
 
-// keeping is an operator's file of an appliance that keeps what it learns, and its SFTP address.
+// keeping writes the operator's file of an appliance that saves its learned state. addr is the appliance's SFTP address.
 func keeping(t *testing.T, node string) (config, folder, addr string) {
 	dir := t.TempDir()
 	folder, addr = filepath.Join(dir, "learned"), freeAddr(t)
@@ -20,7 +20,7 @@
 	return write(t, "appliance.toml", text), folder, addr
 }
 
-// serving is in the log of a program that does.
+// serving is the log message of a program that has begun to serve.
 const serving = `"msg":"serving"`
 
 func until(t *testing.T, p *process, text string) {
@@ -28,18 +28,18 @@
 	standin.Until(t, fmt.Sprintf("%q in the log", text), func() bool { return strings.Contains(p.output.String(), text) })
 }
 
-// What the front learned survives a kill and a stop, is shown and forgotten on a running and on a stopped appliance,
-// and belongs to one process at a time.
+// Learned state survives SIGKILL and a graceful shutdown. It can be shown and removed on a running and on a stopped appliance. Only
+// one process at a time uses its folder.
 func TestLearnedSurvivesARestart(t *testing.T) {
 	node := standin.NewFileServer(t)
 	config, folder, addr := keeping(t, node.Addr)
 	run := func(args ...string) (string, error) {
 		c := start(t, nil, append([]string{args[0], "--config", config}, args[1:]...)...)
-		err := standin.Await(t, "the end of "+args[0], c.done)
+		err := standin.Await(t, "the exit of "+args[0], c.done)
 		return c.output.String(), err
 	}
 	if text, err := run("state", "show"); err == nil {
-		t.Errorf("shown before there is anything: %q", text)
+		t.Errorf("state show before the first save: %q", text)
 	}
 	p := start(t, nil, "serve", "--config", config)
 	until(t, p, serving)
@@ -66,19 +66,19 @@
 		}
 	}
 	second := start(t, nil, "serve", "--config", config)
-	if err := standin.Await(t, "the end of the second process", second.done); err == nil ||
+	if err := standin.Await(t, "the exit of the second process", second.done); err == nil ||
 		!strings.Contains(second.output.String(), "another process uses the folder") {
-		t.Errorf("a second process on the folder: %v, %q", err, second.output)
+		t.Errorf("second process with the same folder: %v, %q", err, second.output)
 	}
 
 	p.Process.Signal(syscall.SIGKILL)
-	standin.Await(t, "the end", p.done)
+	standin.Await(t, "the exit of the program", p.done)
 	p = start(t, nil, "serve", "--config", config)
 	until(t, p, serving)
 	if text := p.output.String(); !strings.Contains(text, "learned state restored") || !strings.Contains(text, `"node drain restored","node":"node-a"`) {
-		t.Errorf("after the kill: %q", text)
+		t.Errorf("log after the kill: %q", text)
 	}
-	for range 3 { // saves that an operator asks for are under way as it stops
+	for range 3 { // these commands cause saves that are running when the appliance stops
 		start(t, nil, "console", "--config", config, "learned")
 	}
 	p.stop(t)
@@ -97,26 +97,26 @@
 		}
 	}
 
-	// A damaged file is one line in the log, and kept.
+	// A damaged file causes one log line and is set aside, not removed.
 	if err := os.WriteFile(filepath.Join(folder, "learned"), []byte("OTTLEARN and then nothing"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if text, err := run("state", "check"); err == nil || !strings.Contains(text, "damaged") {
-		t.Errorf("check of a damaged file: %q, %v", text, err)
+		t.Errorf("state check of a damaged file: %q, %v", text, err)
 	}
 	p = start(t, nil, "serve", "--config", config)
 	until(t, p, serving)
 	if text := p.output.String(); strings.Count(text, "snapshot rejected") != 1 || !strings.Contains(text, "it is kept as learned.aside.") {
-		t.Errorf("with a damaged file: %q", text)
+		t.Errorf("log after a start with a damaged file: %q", text)
 	}
 
-	// The folder vanishes and comes back: one line each, and commands are served throughout.
+	// The folder disappears and reappears: each causes one log line, and commands are served all the time.
 	if err := os.Rename(folder, folder+".away"); err != nil {
 		t.Fatal(err)
 	}
 	until(t, p, "saving learned state failed")
 	if _, err := nodeSession(t, addr).ReadDir("/riverside"); err != nil {
-		t.Errorf("while the folder is away: %v", err)
+		t.Errorf("directory listing while the folder is missing: %v", err)
 	}
 	if err := os.Rename(folder+".away", folder); err != nil {
 		t.Fatal(err)
@@ -124,6 +124,6 @@
 	until(t, p, "saving learned state recovered")
 	p.stop(t)
 	if n := strings.Count(p.output.String(), "saving learned state failed"); n != 1 {
-		t.Errorf("%d lines of saves that failed:\n%s", n, p.output)
+		t.Errorf("%d log lines for failed saves, want 1:\n%s", n, p.output)
 	}
 }
--- a/cmd/otterturn/log_test.go
+++ b/cmd/otterturn/log_test.go
@@ -13,7 +13,7 @@
 	"otterturn/internal/standin"
 )
 
-// Guards against lost requests where the log can't be written: a line ahead of the shutdown held all of it up.
+// Guards against requests lost while the log cannot be written: a log line written before the shutdown blocked the whole shutdown.
 func TestLogThatBlocksHoldsUpNoShutdown(t *testing.T) {
 	const deadline = 300 * time.Millisecond
 	s := newShutdownSite(t, deadline, nodeDelay/2)
@@ -31,7 +31,8 @@
 	clients.stopUnder(t, p, deadline, syscall.SIGTERM)
 }
 
-// fillPipe writes to a pipe until it takes nothing more, by a description of its own: the other writer goes on to block.
+// fillPipe fills a pipe. It opens the pipe anew, so that only its own file description is non-blocking and the other writer still
+// blocks.
 func fillPipe(t *testing.T, pipe *os.File) {
 	t.Helper()
 	fd, err := unix.Open(fmt.Sprintf("/proc/self/fd/%d", pipe.Fd()), unix.O_WRONLY|unix.O_NONBLOCK, 0)
@@ -48,7 +49,7 @@
 	}
 }
 
-// Guards against the end of the program as it writes to a log that nobody reads any more.
+// Guards against an exit of the program when it writes to a log pipe whose reader is closed.
 func TestLogThatIsClosedEndsNothing(t *testing.T) {
 	s := newShutdownSite(t, time.Second, 0)
 	read, log, err := os.Pipe()
@@ -58,8 +59,8 @@
 	p := s.start(t, func(c *exec.Cmd) { c.Stderr = log })
 	log.Close()
 	read.Close()
-	p.Process.Signal(syscall.SIGHUP) // a line for each
+	p.Process.Signal(syscall.SIGHUP) // the reload writes a log line
 	standin.Until(t, "the reload", func() bool { return figure(t, s.control, "svc.reloads_ok") == 1 })
-	standin.Until(t, "a line that was dropped", func() bool { return figure(t, s.control, "svc.log_lines_dropped") > 0 })
+	standin.Until(t, "a dropped log line", func() bool { return figure(t, s.control, "svc.log_lines_dropped") > 0 })
 	p.stop(t)
 }
--- a/cmd/otterturn/main.go
+++ b/cmd/otterturn/main.go
@@ -1,5 +1,5 @@
-// Command otterturn is a front for storage nodes. Without arguments it is the platform's front and takes its
-// configuration from the RELAY_ variables; the commands are those of an appliance, by an operator's file.
+// Command otterturn is a front for storage nodes. Without arguments it runs as the platform's front, configured by the
+// RELAY_ environment variables. Its commands run and control an appliance, which is configured by an operator's file.
 package main
 
 import (
@@ -19,37 +19,37 @@
 	"otterturn/internal/program"
 )
 
-// How the program ends.
+// Exit statuses of the program.
 const (
-	exitFailed     = 1 // something failed at work
-	exitMisused    = 2 // the command line or a configuration is wrong
-	exitNotCarried = 3 // the appliance did not carry out a command
-	exitNotRunning = 4 // no appliance answers on the console's socket
+	exitFailed     = 1 // an operation failed
+	exitMisused    = 2 // the command line or a configuration is invalid
+	exitNotCarried = 3 // the appliance rejected a command
+	exitNotRunning = 4 // no appliance listens on the console socket
 )
 
-// commands are the words of the command line.
+// commands defines the command line.
 type commands struct {
 	Config string `help:"The operator's file." default:"deploy/appliance.toml" placeholder:"FILE"`
 
-	Serve   serve   `cmd:"" help:"Run an appliance until SIGTERM. SIGHUP takes over the file's nodes and certificates."`
-	Check   check   `cmd:"" help:"Check the operator's file, and say which field is wrong."`
+	Serve   serve   `cmd:"" help:"Run an appliance until SIGTERM. SIGHUP reloads the nodes and certificates from the file."`
+	Check   check   `cmd:"" help:"Check the operator's file and name the first invalid field."`
 	Console console `cmd:"" help:"Send commands to a running appliance."`
 	State   struct {
-		Show   show   `cmd:"" help:"Show what is kept."`
-		Check  whole  `cmd:"" help:"Tell whether the next start would use it."`
-		Forget forget `cmd:"" help:"Drop what was learned."`
-	} `cmd:"" help:"What an appliance keeps of what it learned, whether it runs or not."`
+		Show   show   `cmd:"" help:"Show the saved state."`
+		Check  whole  `cmd:"" help:"Check whether the next start would use the saved state."`
+		Forget forget `cmd:"" help:"Remove learned state."`
+	} `cmd:"" help:"Learned state that an appliance saves; works on a running and on a stopped appliance."`
 	Cert struct {
-		Show    certificates `cmd:"" help:"Names, serial, end, next try and why then, last error."`
+		Show    certificates `cmd:"" help:"Show names, serial number, expiry, next renewal attempt with its reason, and last error."`
 		Renew   renew        `cmd:"" help:"Renew a certificate now."`
-		Revoke  revoke       `cmd:"" help:"Have a certificate revoked, and another one made."`
-		Rollkey rollkey      `cmd:"" help:"Give the account at an authority a new key."`
-	} `cmd:"" help:"The certificates of a running appliance."`
+		Revoke  revoke       `cmd:"" help:"Revoke a certificate and obtain a new one."`
+		Rollkey rollkey      `cmd:"" help:"Replace the account key at an authority."`
+	} `cmd:"" help:"Manage the certificates of a running appliance."`
 	Lab     lab     `cmd:"" help:"The laboratory: emulated nodes, load, rehearsals. 'otterturn lab --help' lists its commands."`
-	Demo    demo    `cmd:"" help:"See it all in 20 s: emulated nodes, an appliance, load, console, a report."`
-	Version version `cmd:"" help:"Tell which build this is."`
+	Demo    demo    `cmd:"" help:"Run a 20 s demonstration: emulated nodes, an appliance, load, console commands and a report."`
+	Version version `cmd:"" help:"Print the version of this build."`
 
-	InstallCompletions kongplete.InstallCompletions `cmd:"" help:"Have the shell complete commands."`
+	InstallCompletions kongplete.InstallCompletions `cmd:"" help:"Install shell completions."`
 }
 
 type serve struct{}
@@ -67,7 +67,7 @@
 }
 
 type console struct {
-	Command []string `arg:"" optional:"" help:"One command; without it, lines from standard input. 'help' lists them."`
+	Command []string `arg:"" optional:"" help:"One command; if omitted, commands are read from standard input, one per line. 'help' lists them."`
 }
 
 func (console) Help() string {
@@ -94,7 +94,7 @@
 	return program.Kept(c.Config, append([]string{"forget"}, w.What...), os.Stdout)
 }
 
-// told sends one command to the appliance.
+// told sends one command to the appliance and prints its answer.
 func told(c *commands, words ...string) error {
 	return program.Console(c.Config, words, nil, os.Stdout)
 }
@@ -129,8 +129,8 @@
 
 func (demo) Run() error { return otterlab([]string{"demo"}) }
 
-// otterlab becomes the laboratory's program, which stands beside this one: it is one of its own because fonts and plots
-// would be loaded at each start of the platform's front.
+// otterlab replaces this process with the otterlab program from the same folder. The laboratory is a separate program because
+// otherwise each start of the platform's front would load its fonts and plots.
 func otterlab(args []string) error {
 	own, err := os.Executable()
 	if err != nil {
@@ -138,7 +138,7 @@
 	}
 	path := filepath.Join(filepath.Dir(own), "otterlab")
 	if _, err := exec.LookPath(path); err != nil {
-		return fmt.Errorf("%w; 'make build' makes it", err)
+		return fmt.Errorf("%w; run 'make build' to build it", err)
 	}
 	return syscall.Exec(path, append([]string{path}, args...), os.Environ())
 }
@@ -148,7 +148,7 @@
 func (version) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("the build says nothing of itself")
+		return errors.New("the binary contains no build information")
 	}
 	set := map[string]string{}
 	for _, s := range info.Settings {
@@ -165,7 +165,7 @@
 	}
 }
 
-// exit is the program's status after an error.
+// exit returns the program's exit status for an error.
 func exit(err error) int {
 	switch {
 	case errors.Is(err, program.ErrNotRunning):
@@ -182,15 +182,15 @@
 	if len(args) == 0 {
 		return program.Platform()
 	}
-	if args[0] == "lab" { // its flags are its own
+	if args[0] == "lab" { // otterlab parses its own flags
 		return otterlab(args[1:])
 	}
 	var c commands
 	parser, err := kong.New(&c, kong.Name("otterturn"), kong.Description("A front for shared storage nodes. Without a "+
-		"command it is the platform's front, by the RELAY_ variables. It ends with 0, or with 1 where something failed, 2 where "+
-		"the command line or a configuration is wrong, 3 where an appliance did not carry out a command, 4 where none answers."),
+		"command it runs as the platform's front, configured by the RELAY_ variables. Exit status: 0 on success, 1 on failure, 2 if "+
+		"the command line or a configuration is invalid, 3 if the appliance rejected a command, 4 if no appliance is running."),
 		kong.UsageOnError(), kong.Bind(&c), kong.Exit(func(code int) {
-			if code != 0 { // of kong's own there are only those of a wrong command line
+			if code != 0 { // kong itself exits with an error only for an invalid command line
 				code = exitMisused
 			}
 			os.Exit(code)
--- a/cmd/otterturn/main_test.go
+++ b/cmd/otterturn/main_test.go
@@ -20,7 +20,7 @@
 	"otterturn/internal/standin"
 )
 
-// TestMain lets the test's own binary stand for the program, so that the tests start it as it is.
+// TestMain runs the program itself when OTTERTURN_TEST_RUN is set, so that the tests can start it from the test binary.
 func TestMain(m *testing.M) {
 	faults.ExecIfWrapper()
 	if os.Getenv("OTTERTURN_TEST_RUN") != "" {
@@ -34,7 +34,7 @@
 	os.Exit(m.Run())
 }
 
-// bridge stands in for the SSH below an SFTP client: its input and output go over a plain connection.
+// bridge replaces ssh as the transport of an SFTP client: it copies standard input and output to and from a TCP connection.
 func bridge(addr string) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return path
 }
 
-// httpPeer answers requests with what the function returns, an empty text for silence.
+// httpPeer starts a server that answers requests with the text that answer returns; it does not answer if the text is empty.
 func httpPeer(t *testing.T, answer func(r *http.Request) string) string {
 	return standin.Peer(t, func(_ int, c net.Conn) {
 		for in := bufio.NewReader(c); ; {
@@ -80,7 +80,7 @@
 	})
 }
 
-// startAuthority starts a certificate authority that ends with the test.
+// startAuthority starts a certificate authority that is closed at the end of the test.
 func startAuthority(t *testing.T, set authority.Settings) *authority.Authority {
 	t.Helper()
 	ca, err := authority.Start(set)
@@ -99,7 +99,8 @@
  "classes":[{"name":"read","aimUs":300000,"giveUpUs":5000000,"semantics":"retryable","credit":1}],
  "contracts":[{"name":"gold","shares":1}],"familyInfo":{"meanUnits":2,"mostUnits":6,"shards":1},"report":{"how":"on_probe"}}}`
 
-// newGet returns a client of the front: it tells an answer's status and body and whether it ends the connection.
+// newGet returns a function that sends a GET request to the front and returns the answer's status and body, and whether the answer
+// closes the connection.
 func newGet(t *testing.T, addr string) func(path, id string) (int, string, bool) {
 	client := &http.Client{Timeout: standin.Patience, Transport: &http.Transport{}}
 	return func(path, id string) (int, string, bool) {
@@ -146,12 +147,12 @@
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	standin.Until(t, "an answer that ends its connection", func() bool {
+	standin.Until(t, "an answer that closes its connection", func() bool {
 		status, _, ends := get("/read/00000000000000aa/00000000000000bb", fmt.Sprint("id-", time.Now().UnixNano()))
 		return status == 200 && ends
 	})
-	if err := standin.Await(t, "the end of the program", p.done); err != nil {
-		t.Errorf("ended with %v:\n%s", err, p.output)
+	if err := standin.Await(t, "the exit of the program", p.done); err != nil {
+		t.Errorf("exited with %v:\n%s", err, p.output)
 	}
 }
 
@@ -189,14 +190,14 @@
 		} else {
 			p = start(t, []string{"RELAY_CONFIG=" + write(t, "config.json", strings.Replace(platform, c.old, c.with, 1))})
 		}
-		err := standin.Await(t, "the end", p.done)
+		err := standin.Await(t, "the exit of the program", p.done)
 		text := p.output.String()
 		if exit := new(exec.ExitError); !errors.As(err, &exit) || strings.Count(text, "\n") != 1 || !strings.Contains(text, c.field) {
-			t.Errorf("%s for %s: %v, %q", c.with, c.old, err, text)
+			t.Errorf("%s instead of %s: error %v, output %q", c.with, c.old, err, text)
 		}
 	}
 	p := start(t, nil, "serve", "--config", "../../deploy/missing.toml")
-	if err := standin.Await(t, "the end", p.done); err == nil {
-		t.Error("a missing file was accepted")
+	if err := standin.Await(t, "the exit of the program", p.done); err == nil {
+		t.Error("a missing configuration file was accepted")
 	}
 }
--- a/cmd/otterturn/openssh_test.go
+++ b/cmd/otterturn/openssh_test.go
@@ -19,8 +19,9 @@
 	"otterturn/internal/standin"
 )
 
-// OpenSSH's client sends 64 writes ahead and keeps the status of the last answer alone. To a node that is slow at
-// writes it once uploaded four files, called all four good, and all four had holes.
+// Guards against incomplete uploads that the client takes for complete. OpenSSH's client has up to 64 writes open and keeps only
+// the status of the last answer. On a node with slow writes it uploaded four files and reported success for all of them, and all four
+// had holes.
 func TestUploadsByOpenSSH(t *testing.T) {
 	if _, err := exec.LookPath("sftp"); err != nil {
 		t.Skip("no OpenSSH client on this machine")
@@ -40,7 +41,7 @@
 		fmt.Sprintf(filesOnly, addr, filepath.Join(dir, "console.sock"), node.Addr), `wait = "5s"`, `wait = "2s"`))
 	p := start(t, nil, "serve", "--config", config)
 	defer p.stop(t)
-	standin.Until(t, "the front", func() bool {
+	standin.Until(t, "the front to accept connections", func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			c.Close()
@@ -67,10 +68,10 @@
 			all.Go(func() {
 				remote := fmt.Sprintf("/riverside/%d-%d", clients, i)
 				if err := put(local, remote); err != nil {
-					t.Errorf("%s failed", remote)
+					t.Errorf("upload of %s failed", remote)
 				}
 				if got, err := fetch(direct, remote); err != nil || !bytes.Equal(got, data) {
-					t.Errorf("%s is not whole at the node: %v", remote, err)
+					t.Errorf("%s is incomplete on the node: %v", remote, err)
 				}
 			})
 		}
@@ -78,7 +79,7 @@
 	}
 }
 
-// nodeSession is a session with a node itself.
+// nodeSession opens an SFTP session directly with a node.
 func nodeSession(t *testing.T, addr string) *sftp.Client {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -93,7 +94,7 @@
 	return s
 }
 
-// fetch reads a file from a node itself.
+// fetch reads a whole file through an SFTP session.
 func fetch(s *sftp.Client, path string) ([]byte, error) {
 	f, err := s.Open(path)
 	if err != nil {
--- a/cmd/otterturn/order_test.go
+++ b/cmd/otterturn/order_test.go
@@ -14,8 +14,8 @@
 	"otterturn/internal/standin"
 )
 
-// Signals come in the middle of an order. SIGHUP leaves it alone, after SIGTERM the program ends at once, and after
-// SIGKILL the next start goes on: one order, one account, and a certificate.
+// Signals arrive during a certificate order. SIGHUP does not affect the order, SIGTERM ends the program at once, and after SIGKILL
+// the next start continues the order: one account, one order and one certificate in total.
 func TestSignalsAmidAnOrder(t *testing.T) {
 	challenge, httpAddr, faults := freeAddr(t), freeAddr(t), &authority.Faults{}
 	stall := authority.Fault{Step: "finalize", Do: "stall"}
@@ -30,7 +30,7 @@
 	stalled := 0
 	amid := func() *process {
 		p := start(t, nil, "serve", "--config", config)
-		standin.Until(t, "the step of the order", func() bool { return faults.Count() > stalled })
+		standin.Until(t, "the stalled step of the order", func() bool { return faults.Count() > stalled })
 		stalled = faults.Count()
 		return p
 	}
@@ -39,7 +39,7 @@
 	p.stop(t)
 	p = amid()
 	p.Process.Signal(syscall.SIGKILL)
-	standin.Await(t, "the end", p.done)
+	standin.Await(t, "the exit of the program", p.done)
 	p = amid()
 	faults.Set()
 	standin.Until(t, "the certificate", func() bool {
@@ -53,15 +53,15 @@
 		t.Errorf("the authority counted %+v, want one of each", n)
 	}
 
-	// The challenge port is taken, by the appliance that runs: the next one says which field that is.
+	// The running appliance uses the challenge port: a second appliance fails with an error that names the field.
 	other := strings.NewReplacer(httpAddr, freeAddr(t), "console.sock", "other.sock").Replace(text)
 	second := start(t, nil, "serve", "--config", write(t, "other.toml", other))
-	if err := standin.Await(t, "the end of the second", second.done); err == nil ||
+	if err := standin.Await(t, "the exit of the second process", second.done); err == nil ||
 		!strings.Contains(second.output.String(), "acme.challenge: ") {
-		t.Errorf("%v: %q", err, second.output)
+		t.Errorf("second process: error %v, output %q", err, second.output)
 	}
 
-	// A certificate of the operator's is taken over at SIGHUP; a bad one changes nothing.
+	// SIGHUP loads a certificate file that the operator provides; an invalid one changes nothing.
 	mine, key := filepath.Join(dir, "acme", "certificate-files.pem"), filepath.Join(dir, "acme", "account-main.pem")
 	for _, c := range []struct{ key, want string }{{key, "reload of certificates failed, certificates unchanged"}, {mine, ""}} {
 		anew := text + fmt.Sprintf("[[certificates]]\ncert = %q\nkey = %q\n", mine, c.key)
--- a/cmd/otterturn/process_test.go
+++ b/cmd/otterturn/process_test.go
@@ -12,14 +12,14 @@
 	"otterturn/internal/standin"
 )
 
-// process is a started otterturn.
+// process is a running otterturn program.
 type process struct {
 	*exec.Cmd
 	done   chan error
-	output *output // whole once it has ended
+	output *output // complete once done has received
 }
 
-// output is what a process has written so far.
+// output collects what a process writes.
 type output struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -42,7 +42,7 @@
 	return startWith(t, func(*exec.Cmd) {}, env, args...)
 }
 
-// startWith starts a process that is prepared further.
+// startWith starts a process after prepare has adjusted its command.
 func startWith(t *testing.T, prepare func(*exec.Cmd), env []string, args ...string) *process {
 	t.Helper()
 	ctx, end := context.WithCancel(context.Background()) // a process must not outlive its test
@@ -58,13 +58,13 @@
 	return p
 }
 
-// stop sends SIGTERM and wants a clean end.
+// stop sends SIGTERM and expects exit status 0.
 func (p *process) stop(t *testing.T) {
 	t.Helper()
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := standin.Await(t, "the end of the program", p.done); err != nil {
-		t.Errorf("ended with %v:\n%s", err, p.output)
+	if err := standin.Await(t, "the exit of the program", p.done); err != nil {
+		t.Errorf("exited with %v:\n%s", err, p.output)
 	}
 }
--- a/cmd/otterturn/reload_test.go
+++ b/cmd/otterturn/reload_test.go
@@ -12,8 +12,8 @@
 	"otterturn/internal/standin"
 )
 
-// SIGHUP once ended the program. It moves the watch to the discovery that the file names then, whose versions
-// begin anew; a file that is bad changes nothing, and a stop right behind it still is a clean one.
+// Guards against a program that SIGHUP ends. SIGHUP switches to the discovery address in the reloaded file, whose versions start
+// anew. An invalid file changes nothing, and SIGTERM immediately after SIGHUP still ends the program with status 0.
 func TestReload(t *testing.T) {
 	list := `{"seq":%d,"whole":true,"hosts":[{"host":%q,"dial":%q,"site":"a","block":0,"health":"up","born_ms":0}]}`
 	discovery := func(seq int, host string) (addr string, calls chan string) {
@@ -22,7 +22,7 @@
 		return httpPeer(t, func(r *http.Request) string {
 			calls <- r.URL.RawQuery
 			if r.URL.Query().Get("from") == fmt.Sprint(seq) {
-				return "" // holds the watch
+				return "" // no answer: the watch stays open
 			}
 			return fmt.Sprintf(list, seq, host, node)
 		}), calls
@@ -35,7 +35,7 @@
 	get := newGet(t, addr)
 	served := func(by string) {
 		t.Helper()
-		standin.Until(t, "an answer of the "+by+" node", func() bool {
+		standin.Until(t, "an answer from the "+by+" node", func() bool {
 			status, body, _ := get("/read/00000000000000aa/00000000000000bb", fmt.Sprint("id-", time.Now().UnixNano()))
 			return status == 200 && body == by
 		})
@@ -50,20 +50,20 @@
 	}
 	served("old")
 	reload(`{"listen"`)
-	standin.Until(t, "the log of the bad file", func() bool { return strings.Contains(p.output.String(), "reload failed, configuration unchanged") })
+	standin.Until(t, "the log line for the invalid file", func() bool { return strings.Contains(p.output.String(), "reload failed, configuration unchanged") })
 	served("old")
 	reload(fmt.Sprintf(platformConfig, addr, second))
 	if query := standin.Await(t, "a call to the new discovery", calls); query != "" {
-		t.Errorf("the new watch began with %q, not with the whole list", query)
+		t.Errorf("the first query to the new discovery was %q, want a query for the whole list", query)
 	}
 	served("new")
 	for _, sig := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
 		p.Process.Signal(sig)
 	}
-	if err := standin.Await(t, "the end of the program", p.done); err != nil {
-		t.Errorf("ended with %v:\n%s", err, p.output)
+	if err := standin.Await(t, "the exit of the program", p.done); err != nil {
+		t.Errorf("exited with %v:\n%s", err, p.output)
 	}
 	if n := strings.Count(p.output.String(), "reload failed, configuration unchanged"); n != 1 {
-		t.Errorf("%d lines of the bad file:\n%s", n, p.output)
+		t.Errorf("%d log lines for the invalid file, want 1:\n%s", n, p.output)
 	}
 }
--- a/cmd/otterturn/renewals_test.go
+++ b/cmd/otterturn/renewals_test.go
@@ -22,7 +22,7 @@
 	"otterturn/internal/standin"
 )
 
-// tally counts what clients saw.
+// renewalTally counts the results that clients saw.
 type renewalTally struct {
 	mu                                         sync.Mutex
 	broken, unanswered, expired, done, refused int
@@ -40,9 +40,9 @@
 	*to++
 }
 
-// Certificates of a few seconds are renewed again and again in the midst of long transfers over both fronts, with new
-// connections all the time and an authority that fails in between. No connection may fail, no request go without its
-// answer, and no certificate be served beyond its end. OTTERTURN_RENEWALS makes it longer, see 'make renewals'.
+// Certificates with a lifetime of 10 s are renewed repeatedly during long transfers over HTTP and SFTP. New connections are opened
+// all the time, and the authority fails temporarily. No connection may fail, each request needs an answer, and no expired certificate
+// may be served. OTTERTURN_RENEWALS sets the number of renewals, see 'make renewals'.
 func TestRenewals(t *testing.T) {
 	renewals, transfers := 2, 12
 	if text := os.Getenv("OTTERTURN_RENEWALS"); text != "" {
@@ -88,7 +88,7 @@
 			return false
 		}
 	}
-	for i := range transfers / 2 { // uploads, each on one connection throughout
+	for i := range transfers / 2 { // uploads, each on one connection for the whole test
 		all.Go(func() {
 			conn, err := tls.Dial("tcp", sftpAddr, secure)
 			if err != nil {
@@ -112,7 +112,7 @@
 				switch {
 				case err == nil:
 					seen.add(&seen.done)
-				case errors.As(err, &status): // an answer as well: the file is begun anew, on the same connection
+				case errors.As(err, &status): // a rejection is an answer too: reopen the file on the same connection
 					seen.add(&seen.refused)
 					if f != nil {
 						f.Close()
@@ -126,7 +126,7 @@
 			}
 		})
 	}
-	for i := range transfers - transfers/2 { // bulk reads, likewise
+	for i := range transfers - transfers/2 { // bulk reads, each on one connection for the whole test
 		all.Go(func() {
 			client := &http.Client{Timeout: standin.Patience, Transport: &http.Transport{TLSClientConfig: secure.Clone(), MaxConnsPerHost: 1}}
 			for n := 0; !over(); n++ {
@@ -155,7 +155,7 @@
 			}
 		})
 	}
-	for i := range 3 { // and new connections all the time, to either front
+	for i := range 3 { // new connections all the time, over HTTP or SFTP
 		all.Go(func() {
 			for !over() {
 				began := time.Now()
@@ -165,7 +165,7 @@
 					if errors.As(err, &invalid) {
 						seen.add(&seen.expired)
 					}
-					t.Errorf("a new connection: %v", err)
+					t.Errorf("new connection: %v", err)
 					seen.add(&seen.broken)
 					return
 				}
@@ -181,7 +181,7 @@
 			}
 		})
 	}
-	// The authority fails in a different way for a while in each lifetime, as renewal is due.
+	// In each lifetime the authority fails for a while in a different way, at the time when the renewal is due.
 	kinds := []string{"refuse", "stall", "nonsense", "limit", "cut", "wrong key"}
 	served := func() string {
 		c, err := tls.Dial("tcp", httpAddr, secure)
@@ -194,7 +194,7 @@
 	var renewed []time.Time
 	began := time.Now()
 	for n := 0; n < renewals && !t.Failed(); n++ {
-		// Renewal is due with a third of the lifetime left: the authority fails from before that on.
+		// Renewal is due when a third of the lifetime is left. The authority begins to fail before that.
 		fault := authority.Fault{Do: kinds[n%len(kinds)], After: life * 55 / 100, For: life * 2 / 10, Retry: time.Second}
 		if fault.Do == "wrong key" {
 			fault.Step = "finalize"
--- a/cmd/otterturn/shutdown_test.go
+++ b/cmd/otterturn/shutdown_test.go
@@ -19,8 +19,8 @@
 	"otterturn/internal/standin"
 )
 
-// Terms of a shutdown on the platform: SIGKILL follows SIGTERM after the longest deadline, counted as at most killMaxDeadline,
-// and killExtra.
+// The platform sends SIGKILL after SIGTERM. The time between them is the longest deadline of a class, at most killMaxDeadline, plus
+// killExtra.
 const (
 	killMaxDeadline = 3 * time.Second
 	killExtra       = 700 * time.Millisecond
@@ -28,11 +28,11 @@
 
 func killAfter(longest time.Duration) time.Duration { return min(longest, killMaxDeadline) + killExtra }
 
-// shutdownSite is a front with one node, whose answers take delay; below 0 it never answers.
+// shutdownSite is a front with one node, which answers after a delay, or never if the delay is negative.
 type shutdownSite struct {
 	addr, control, config string
 	node, discovery       string
-	asked                 atomic.Int64 // requests that came to the node
+	asked                 atomic.Int64 // requests that reached the node
 }
 
 func newShutdownSite(t *testing.T, deadline, delay time.Duration) *shutdownSite {
@@ -57,7 +57,7 @@
 	return s
 }
 
-// text is the configuration with another longest deadline.
+// text returns the configuration with the given longest deadline.
 func (s *shutdownSite) text(deadline time.Duration) string {
 	return strings.Replace(fmt.Sprintf(platformConfig, s.addr, s.discovery), `"giveUpUs":5000000`, fmt.Sprintf(`"giveUpUs":%d`, deadline.Microseconds()), 1)
 }
@@ -73,13 +73,13 @@
 func (s *shutdownSite) awaitServing(t *testing.T) {
 	t.Helper()
 	healthy(t, s.control)
-	standin.Until(t, "the node on the list", func() bool {
+	standin.Until(t, "the node on the endpoint list", func() bool {
 		_, text := call(t, "GET", s.control, "/stats")
 		return strings.Contains(text, "svc.chunk_servers_known:1|g")
 	})
 }
 
-// askText is a request whose client waits for so long.
+// askText returns the head of a request whose client waits for the given time.
 func askText(method string, body int, wait time.Duration) (head string) {
 	head = fmt.Sprintf("%s %s HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: %s\r\nX-Service-Class: read\r\nX-Plan: gold\r\nX-Time-Left: %dm\r\nX-IO: units=1,shard=0,hosts=1\r\n",
 		method, piece, anID(), wait.Milliseconds())
@@ -99,8 +99,8 @@
 	return c
 }
 
-// Guards against lost requests whose head came ahead of a shutdown's middle and whose body ended late: the time until SIGKILL
-// was taken when the head came, and the request forwarded for longer than that.
+// Guards against requests that have no answer at SIGKILL because their body ends late in the shutdown: the time until SIGKILL was
+// read when the head arrived, and the request was forwarded for longer than the time that was left when the body ended.
 func TestBodyThatEndsDuringAShutdownIsAnsweredBeforeTheKill(t *testing.T) {
 	const deadline = time.Second
 	s := newShutdownSite(t, deadline, -1)
@@ -111,11 +111,11 @@
 	standin.Until(t, "the beginning of a request", func() bool { return figure(t, s.control, "svc.in_flight") >= 0 })
 	began := time.Now()
 	p.Process.Signal(syscall.SIGTERM)
-	time.Sleep(100 * time.Millisecond) // the moments are the terms' own
+	time.Sleep(100 * time.Millisecond) // the test needs a fixed time within the shutdown
 	io.WriteString(after, askText("PUT", 10, deadline)+"12345")
 	time.Sleep(time.Until(began.Add(1100 * time.Millisecond)))
 	kill := began.Add(killAfter(deadline))
-	for name, c := range map[string]net.Conn{"head ahead of SIGTERM": before, "head behind SIGTERM": after} {
+	for name, c := range map[string]net.Conn{"head before SIGTERM": before, "head after SIGTERM": after} {
 		io.WriteString(c, "67890")
 		c.SetReadDeadline(kill)
 		if _, err := readAnswer(c); err != nil && name != "" {
@@ -123,7 +123,7 @@
 		}
 	}
 	p.Process.Kill()
-	standin.Await(t, "the end", p.done)
+	standin.Await(t, "the exit of the program", p.done)
 }
 
 func readAnswer(c net.Conn) (status int, err error) {
@@ -136,7 +136,7 @@
 	return resp.StatusCode, err
 }
 
-// figure reads one of the operators' figures, -1 where there is none.
+// figure returns the value of a metric, -1 if the front does not report it.
 func figure(t *testing.T, control, name string) (value int64) {
 	t.Helper()
 	_, text := call(t, "GET", control, "/stats")
@@ -149,7 +149,7 @@
 	return -1
 }
 
-// eagerClients keep asking on one connection each until the front ends it. They count requests that have no answer at the kill.
+// eagerClients send requests on one connection each until the front closes it. They count requests without an answer at SIGKILL.
 type eagerClients struct {
 	wait       time.Duration
 	all        sync.WaitGroup
@@ -192,7 +192,7 @@
 		c.SetReadDeadline(time.Now().Add(standin.Patience))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
-			return // the front ended the connection between two requests
+			return // the front closed the connection between two requests
 		}
 		io.Copy(io.Discard, resp.Body)
 		e.count(&e.answered)
@@ -208,7 +208,7 @@
 	*n++
 }
 
-// stopUnder sends SIGTERM while the clients ask, kills the front when the terms allow it, and wants no request unanswered then.
+// stopUnder sends the signals under load, kills the front when the platform would, and expects that all requests have an answer then.
 func (e *eagerClients) stopUnder(t *testing.T, p *process, longest time.Duration, signals ...os.Signal) {
 	t.Helper()
 	kill := time.Now().Add(killAfter(longest))
@@ -220,20 +220,20 @@
 	e.mu.Unlock()
 	e.all.Wait()
 	p.Process.Kill()
-	standin.Await(t, "the end", p.done)
+	standin.Await(t, "the exit of the program", p.done)
 	if e.unanswered > 0 {
-		t.Errorf("%d requests had no answer at the kill, %d had one", e.unanswered, e.answered)
+		t.Errorf("%d requests had no answer at SIGKILL, %d were answered", e.unanswered, e.answered)
 	}
 }
 
-// Clients of the tests below, and how long the node takes for an answer.
+// Number of clients in the shutdown tests, and the delay of the node's answers.
 const (
 	shutdownClients = 30
 	nodeDelay       = 350 * time.Millisecond
 )
 
-// Guards against lost requests where a reload shortens the longest deadline, and so the time until SIGKILL: the shutdown went
-// by the settings of the start.
+// Guards against requests lost after a reload that shortens the longest deadline, and with it the time until SIGKILL: the shutdown
+// used the settings of the start.
 func TestShutdownGoesByTheReloadedDeadline(t *testing.T) {
 	const reloaded = 500 * time.Millisecond
 	s := newShutdownSite(t, 3*time.Second, nodeDelay)
--- a/cmd/otterturn/size_test.go
+++ b/cmd/otterturn/size_test.go
@@ -14,7 +14,7 @@
 	"otterturn/internal/standin"
 )
 
-// fleetConfig is that of one of many fronts before many nodes, none of which answers.
+// fleetConfig returns the configuration of one front in a fleet of many fronts and as many nodes, none of which answers.
 func fleetConfig(t *testing.T, listen, discovery, peerListen string, many int) string {
 	t.Helper()
 	var hosts, peers []string
@@ -28,7 +28,7 @@
 		`"report"`, `"safety":{"coldFrom":0.2,"fallMultiple":2.5,"fallUs":1000000,"rampTimeUs":17000000},"report"`).Replace(fmt.Sprintf(platformConfig, listen, discovery))
 }
 
-// freePeer is an address for messages between fronts that nobody else has.
+// freePeer returns a free address for messages between fronts.
 func freePeer(t *testing.T) string {
 	t.Helper()
 	c, err := net.ListenPacket("udp4", freeAddr(t))
@@ -39,22 +39,22 @@
 	return c.LocalAddr().String()
 }
 
-// A front takes memory, descriptors and threads by what it has to do and not by the size of the fleet: no more than
-// a few kilobytes for each front and node. The line that is logged has the figures.
+// Memory, descriptors and threads of a front depend on its load and not on the size of the fleet, apart from at most 16 KiB of memory
+// per pair of front and node. The test logs the measured values.
 func TestSizeOfAFront(t *testing.T) {
 	rss := map[int]int{}
 	for _, many := range []int{10, 350, 1024} {
-		discovery := standin.Peer(t, func(_ int, c net.Conn) { c.Read(make([]byte, 1<<16)) }) // hears the call, and says nothing
+		discovery := standin.Peer(t, func(_ int, c net.Conn) { c.Read(make([]byte, 1<<16)) }) // accepts the request and does not answer
 		addr := freeAddr(t)
 		p := start(t, []string{"RELAY_CONFIG=" + write(t, "config.json", fleetConfig(t, addr, discovery, freePeer(t), many))})
 		get := newGet(t, addr)
 		standin.Until(t, "readiness", func() bool { status, _, _ := get("/ready", ""); return status == 200 })
-		for i := range 2 { // for a node that is away
+		for i := range 2 { // for a node that does not answer
 			get("/read/00000000000000aa/00000000000000bb", fmt.Sprint("id-", i))
 		}
 		status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
 		if err != nil {
-			t.Skip("no /proc here: ", err)
+			t.Skip("no /proc on this machine: ", err)
 		}
 		figure := func(name string) int {
 			n, _ := strconv.Atoi(regexp.MustCompile(name + `:\s+(\d+)`).FindStringSubmatch(string(status))[1])
@@ -72,27 +72,27 @@
 		p.stop(t)
 	}
 	if each := (rss[1024] - rss[10]) / 1014; each > 16 {
-		t.Errorf("%d KiB for each front and node", each)
+		t.Errorf("%d KiB of memory per pair of front and node, want at most 16", each)
 	}
 }
 
-// Signals may come while a front starts, before it has heard anything: with discovery silent and no node there it takes
-// over the file and ends by itself.
+// Signals may arrive while a front starts, before discovery or a node has answered. The front must still reload its configuration and
+// shut down gracefully.
 func TestSignalsWhileNothingAnswers(t *testing.T) {
 	discovery := standin.Peer(t, func(_ int, c net.Conn) { c.Read(make([]byte, 1<<16)) })
 	for _, ready := range []bool{false, true} {
 		addr := freeAddr(t)
 		config := write(t, "config.json", fleetConfig(t, addr, discovery, freePeer(t), 350))
 		p := start(t, []string{"RELAY_CONFIG=" + config})
-		standin.Until(t, "the first line", func() bool { return p.output.String() != "" })
+		standin.Until(t, "the first log line", func() bool { return p.output.String() != "" })
 		if get := newGet(t, addr); ready {
 			standin.Until(t, "readiness", func() bool { status, _, _ := get("/ready", ""); return status == 200 })
 		}
 		for _, sig := range []os.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
 			p.Process.Signal(sig)
 		}
-		if err := standin.Await(t, "the end of the program", p.done); err != nil {
-			t.Errorf("ready %v: ended with %v:\n%s", ready, err, p.output)
+		if err := standin.Await(t, "the exit of the program", p.done); err != nil {
+			t.Errorf("ready %v: exited with %v:\n%s", ready, err, p.output)
 		}
 	}
 }
--- a/cmd/otterturn/upgrade_test.go
+++ b/cmd/otterturn/upgrade_test.go
@@ -14,7 +14,7 @@
 	"otterturn/internal/standin"
 )
 
-// kept is a client's connection that lives through upgrades.
+// kept is a client connection that stays open during upgrades.
 type kept struct {
 	net.Conn
 	in *bufio.Reader
@@ -30,7 +30,7 @@
 	return &kept{c, bufio.NewReader(c)}
 }
 
-// head is the first part of a request, and rest the other one.
+// head returns the first part of a request; rest is the remaining part.
 func head(id string) string {
 	return "GET " + piece + " HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: " + id + "\r\nX-Service-Class: read\r\nX-Plan: gold\r\n"
 }
@@ -70,20 +70,20 @@
 	standin.Until(t, what, func() bool { return strings.Contains(p.output.String(), what) })
 }
 
-// Upgrades in a row: no connection of a client is closed, what is kept out by hand stays out, an id is taken once over
-// all processes, and a request that has half come is answered by the process that began to read it.
+// During successive upgrades no client connection is closed, a node that an operator excluded stays excluded, a request id is accepted
+// only once across all processes, and a request that is half received is answered by the process that began to read it.
 func TestUpgrades(t *testing.T) {
 	s := newSite(t)
 	predecessor := s.start(t, s.control)
 	healthy(t, s.control)
 	clients := []*kept{s.connect(t), s.connect(t), s.connect(t)}
 	half := s.connect(t)
-	for _, c := range clients[:2] { // the third has said nothing yet
+	for _, c := range clients[:2] { // the third connection has not sent a request yet
 		standin.Until(t, "a served request", func() bool { return c.ask(t, anID()) == 200 })
 	}
 	once := anID()
 	if got := clients[0].ask(t, once); got != 200 {
-		t.Fatalf("answered with %d", got)
+		t.Fatalf("first request with the id: status %d", got)
 	}
 	for round := range 3 {
 		half.say(t, head(anID()))
@@ -93,43 +93,43 @@
 		logged(t, predecessor, "handover sent")
 		half.say(t, rest)
 		if got := half.answer(t); got != 200 {
-			t.Errorf("round %d: half a request got %d", round, got)
+			t.Errorf("round %d: status %d for the request sent in two halves", round, got)
 		}
 		predecessor.stop(t)
 		for i, c := range clients {
 			if got := c.ask(t, anID()); got != 200 {
-				t.Errorf("round %d: connection %d got %d", round, i, got)
+				t.Errorf("round %d: connection %d: status %d", round, i, got)
 			}
 		}
 		if got := half.ask(t, anID()); got != 200 {
-			t.Errorf("round %d: the connection with half a request got %d", round, got)
+			t.Errorf("round %d: status %d for the next request on the connection of the request sent in two halves", round, got)
 		}
 		predecessor, s.control = successor, control
 	}
 	if status, _ := call(t, "POST", s.control, "/chunk-servers/s/maint"); status != 200 {
-		t.Fatalf("out by hand: %d", status)
+		t.Fatalf("excluding the node: status %d", status)
 	}
 	control := freeAddr(t)
 	successor := s.start(t, control)
 	healthy(t, control)
 	predecessor.stop(t)
 	if got := clients[1].ask(t, anID()); got == 200 {
-		t.Error("a node that is kept out was asked after an upgrade")
+		t.Error("a request was served after an upgrade while the only node was excluded")
 	}
 	if status, _ := call(t, "POST", control, "/chunk-servers/s/ready"); status != 200 {
-		t.Errorf("called back: %d", status)
+		t.Errorf("readmitting the node: status %d", status)
 	}
 	if got := clients[1].ask(t, anID()); got != 200 {
-		t.Errorf("after the call back: %d", got)
+		t.Errorf("request after the node was readmitted: status %d", got)
 	}
 	if got := clients[1].ask(t, once); got != 400 {
-		t.Errorf("an id that another process took: %d", got)
+		t.Errorf("request with an id that another process accepted: status %d", got)
 	}
 	successor.stop(t)
 }
 
-// A successor that dies leaves the predecessor serving, which hands over to the next. A predecessor that dies leaves the
-// successor serving. What another version or nobody left in the folder holds no start up.
+// If a successor is killed, the predecessor continues serving and hands over to the next one. If the predecessor is killed, the
+// successor continues serving. A file of another version in the folder, or a client that sends garbage, does not block a start.
 func TestUpgradesThatFail(t *testing.T) {
 	s := newSite(t)
 	if err := os.WriteFile(filepath.Join(s.folder, "handover"), []byte("of another version"), 0o600); err != nil {
@@ -153,25 +153,25 @@
 		logged(t, predecessor, "handover sent")
 		fresh := s.connect(t)
 		if got := fresh.ask(t, anID()); got != 200 {
-			t.Errorf("a new client got %d of the successor", got)
+			t.Errorf("new client of the successor: status %d", got)
 		}
 		successor.Process.Kill()
-		standin.Await(t, "the end of the successor", successor.done)
-		standin.Until(t, "a new client of the predecessor", func() bool { return s.connect(t).ask(t, anID()) == 200 })
+		standin.Await(t, "the exit of the successor", successor.done)
+		standin.Until(t, "an answer of the predecessor to a new client", func() bool { return s.connect(t).ask(t, anID()) == 200 })
 	}
 	control := freeAddr(t)
 	successor := s.start(t, control)
 	healthy(t, control)
 	predecessor.Process.Signal(syscall.SIGKILL)
-	standin.Await(t, "the end of the predecessor", predecessor.done)
+	standin.Await(t, "the exit of the predecessor", predecessor.done)
 	if got := s.connect(t).ask(t, anID()); got != 200 {
-		t.Errorf("after the predecessor's death: %d", got)
+		t.Errorf("request after the predecessor was killed: status %d", got)
 	}
 	successor.stop(t)
 }
 
-// A predecessor that is stopped keeps its promises to itself: the successor serves, but lets nothing flow into limits until
-// that one has ended.
+// A predecessor suspended by SIGSTOP cannot hand over its use of the limits. The successor serves, but adds no tokens to the limits
+// until the predecessor has ended.
 func TestUpgradeBesideOneThatSaysNothing(t *testing.T) {
 	s := newSite(t)
 	predecessor := s.start(t, s.control)
