--- a/cmd/otterlab/capacity.go
+++ b/cmd/otterlab/capacity.go
@@ -13,24 +13,24 @@
 	"otterturn/scheduler"
 )
 
-// garbagePercent makes garbage collections rarer than the default of 100, as most of a fleet's memory stays in use. The memory
+// gcPercent makes garbage collections rarer than the default of 100, as most of a fleet's memory stays in use. The memory
 // limit still holds.
-const garbagePercent = 200
+const gcPercent = 200
 
-type capacity struct {
+type capacityCommand struct {
 	Sizes    []int         `help:"Numbers of fronts of the simulated fleets; each fleet has 1.5 times as many nodes." default:"40,60,85,120,300,1200"`
 	Small    int           `help:"Events that do not concern the whole fleet are simulated up to this number of fronts, and extrapolated above it." default:"120"`
 	Events   []string      `help:"Events to simulate; all by default."`
 	Health   string        `help:"Simulate with the fleet's health checks, without them, or both." enum:"on,off,both" default:"both"`
 	Seed     uint64        `help:"Seed of the random numbers." default:"1"`
-	Workers  int           `help:"Number of goroutines; 0 for one per processor." default:"0"`
+	Workers  int           `help:"Number of goroutines, 0 for one per processor." default:"0"`
 	Memory   int64         `help:"Soft memory limit in gigabytes." default:"12"`
 	Suspect  time.Duration `help:"Age at which health checks suspect an unanswered attempt; 0 for their default." name:"suspect-after" default:"0s"`
 	Markdown bool          `help:"Print the tables as Markdown."`
 }
 
 // Run simulates fleets of hollow fronts and prints a table of their costs. Progress messages go to standard error.
-func (c capacity) Run(out io.Writer) error {
+func (c capacityCommand) Run(out io.Writer) error {
 	if len(c.Sizes) == 0 || slices.Min(c.Sizes) < 12 || c.Memory < 1 {
 		return errors.New("--sizes must be at least 12, and --memory at least 1")
 	}
@@ -41,7 +41,7 @@
 		}
 	}
 	debug.SetMemoryLimit(c.Memory << 30)
-	debug.SetGCPercent(garbagePercent)
+	debug.SetGCPercent(gcPercent)
 	plan := hollow.Plan{
 		Sizes: c.Sizes, Small: c.Small, Events: c.Events, Seed: c.Seed, Workers: c.Workers,
 		SuspectAfter: scheduler.Micros(c.Suspect / time.Microsecond),
--- a/cmd/otterlab/demo.go
+++ b/cmd/otterlab/demo.go
@@ -21,26 +21,26 @@
 )
 
 //go:embed demo.toml
-var demoFile string
+var demoConfig string
 
-// rehearsed is the scenario file of the incident that the demo simulates last.
-const rehearsed = "deploy/rehearsals/deploy.toml"
+// incidentFile is the scenario file of the incident that the demo simulates last.
+const incidentFile = "deploy/rehearsals/deploy.toml"
 
-type demo struct {
+type demoCommand struct {
 	For    time.Duration `help:"Duration of the load." default:"12s"`
 	Report string        `help:"Folder for the report." default:"bin/demo" placeholder:"FOLDER"`
 }
 
 // Run starts emulated nodes and an appliance, sends it file requests, prints the console's answers meanwhile, and simulates an
 // incident. Everything listens on loopback and stops when Run returns.
-func (c demo) Run(out io.Writer) (err error) {
+func (c demoCommand) Run(out io.Writer) (err error) {
 	folder, err := os.MkdirTemp("", "otterturn-demo-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(folder)
 	config := filepath.Join(folder, "demo.toml")
-	text, err := freePorts(demoFile)
+	text, err := freePorts(demoConfig)
 	if err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		return err
 	}
-	o, err := program.LoadOperator(config)
+	operator, err := program.LoadOperator(config)
 	if err != nil {
 		return err
 	}
@@ -56,12 +56,12 @@
 	defer end()
 	fmt.Fprintln(out, "== three emulated nodes")
 	emulated := make(chan error, 1)
-	go func() { emulated <- node{Cores: 2, Speed: 1, Room: 64}.serve(ctx, o, out) }()
-	if err := await(ctx, o.Nodes[len(o.Nodes)-1].SFTP); err != nil {
+	go func() { emulated <- nodeCommand{Cores: 2, Speed: 1, Room: 64}.serve(ctx, operator, out) }()
+	if err := awaitListener(ctx, operator.Nodes[len(operator.Nodes)-1].SFTP); err != nil {
 		return errors.Join(err, <-emulated)
 	}
 	fmt.Fprintln(out, "== an appliance in front of them")
-	appliance, err := beside("otterturn")
+	appliance, err := siblingProgram("otterturn")
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 		end()
 		err = errors.Join(err, <-emulated)
 	}()
-	if err := untilServing(logs, out); err != nil {
+	if err := awaitServing(logs, out); err != nil {
 		return err
 	}
 	console := func(words ...string) error {
@@ -88,19 +88,19 @@
 	}
 	fmt.Fprintln(out, "== clients write and read files, 40 requests per second; node-b drains meanwhile")
 	drained := false
-	var failed error
-	p, err := loading{Front: "files", Rate: 40, For: c.For, Sessions: 16, Seed: 1}.ask(ctx, o, func(p load.Progress) {
+	var consoleErr error
+	p, err := loadCommand{Front: "files", Rate: 40, For: c.For, Sessions: 16, Seed: 1}.run(ctx, operator, func(p load.Progress) {
 		fmt.Fprintln(out, "  ", p)
 		if !drained && p.At > c.For/2 {
 			drained = true
-			failed = errors.Join(console("drain", "node-b"), console("nodes"), console("undrain", "node-b"))
+			consoleErr = errors.Join(console("drain", "node-b"), console("nodes"), console("undrain", "node-b"))
 		}
 	})
-	if err = errors.Join(err, failed, console("status"), console("projects")); err != nil {
+	if err = errors.Join(err, consoleErr, console("status"), console("projects")); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "== a rehearsal in virtual time: nine tenths of ten nodes are replaced")
-	s, err := scenario.Load(rehearsed)
+	s, err := scenario.Load(incidentFile)
 	if err != nil {
 		return err
 	}
@@ -130,24 +130,24 @@
 	return text, nil
 }
 
-// beside returns the path of a program in the same folder as this one.
-func beside(name string) (string, error) {
-	own, err := os.Executable()
+// siblingProgram returns the path of a program in the same folder as this one.
+func siblingProgram(name string) (string, error) {
+	executable, err := os.Executable()
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(filepath.Dir(own), name)
+	path := filepath.Join(filepath.Dir(executable), name)
 	if _, err := os.Stat(path); err != nil {
 		return "", fmt.Errorf("%w; run 'make build' to build it", err)
 	}
 	return path, nil
 }
 
-// patience limits how long the demo waits for a server to accept connections.
-const patience = 10 * time.Second
+// startTimeout limits how long the demo waits for a server to accept connections.
+const startTimeout = 10 * time.Second
 
-func await(ctx context.Context, addr string) error {
-	ctx, end := context.WithTimeout(ctx, patience)
+func awaitListener(ctx context.Context, addr string) error {
+	ctx, end := context.WithTimeout(ctx, startTimeout)
 	defer end()
 	for {
 		c, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
@@ -162,8 +162,8 @@
 	}
 }
 
-// untilServing prints the appliance's log until the appliance serves, and discards the rest.
-func untilServing(logs io.Reader, out io.Writer) error {
+// awaitServing prints the appliance's log until the appliance serves, and discards the rest.
+func awaitServing(logs io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(logs)
 	for lines.Scan() {
 		fmt.Fprintln(out, "  ", lines.Text())
--- a/cmd/otterlab/main.go
+++ b/cmd/otterlab/main.go
@@ -21,41 +21,41 @@
 
 // commands defines the command line.
 type commands struct {
-	Restart   restarts `cmd:"" help:"Measure what a restart costs, with and without saved learned state."`
-	Rehearse  rehearse `cmd:"" help:"Simulate scenarios in virtual time with the scheduler, the baselines and other builds. Fails if the scheduler breaks a rule or makes a node fail by overload."`
-	Repeat    repeat   `cmd:"" help:"Simulate a run of each scenario twice. Fails if the digests differ, a rule is broken or a node fails by overload."`
-	Agree     agree    `cmd:"" help:"Run the same load on sockets and in virtual time. Fails if the results differ by more than the tolerance."`
-	Node      node     `cmd:"" help:"Emulate an appliance's nodes until interrupted."`
-	Load      loading  `cmd:"" help:"Send client requests to a running appliance. Fails if a request has no valid answer."`
-	Demo      demo     `cmd:"" help:"Demonstrate emulated nodes, an appliance, a light load, console commands and a report in under a minute."`
-	Speed     speed    `cmd:"" help:"Measure the speed of virtual time by number of nodes."`
-	Processes measured `cmd:"" help:"Measure fronts that run as separate processes: processor time, memory, changes, probes; takes under four minutes."`
-	Histories years    `cmd:"" help:"Simulate years of certificate renewals against failing authorities, in virtual time."`
-	Capacity  capacity `cmd:"" help:"Measure the cost of a fleet of hollow fronts by size and event, as a table."`
-	Authority issuer   `cmd:"" help:"Run an ACME certificate authority on loopback until interrupted."`
+	Restart   restartCommand   `cmd:"" help:"Measure what a restart costs, with and without saved learned state."`
+	Rehearse  rehearseCommand  `cmd:"" help:"Simulate scenarios with the scheduler, the baselines and other builds. Fails if a rule is broken or a node overloaded."`
+	Repeat    repeatCommand    `cmd:"" help:"Simulate scenarios twice. Fails if the digests differ, a rule is broken or a node overloaded."`
+	Agree     agreeCommand     `cmd:"" help:"Run a load on sockets and in virtual time. Fails if they differ by more than the tolerance."`
+	Node      nodeCommand      `cmd:"" help:"Emulate an appliance's nodes until interrupted."`
+	Load      loadCommand      `cmd:"" help:"Send client requests to a running appliance. Fails if a request has no valid answer."`
+	Demo      demoCommand      `cmd:"" help:"Show emulated nodes, an appliance, load, console commands and a report in under a minute."`
+	Speed     speedCommand     `cmd:"" help:"Measure the speed of virtual time by number of nodes."`
+	Processes processesCommand `cmd:"" help:"Measure fronts that run as processes, in under four minutes."`
+	Histories historiesCommand `cmd:"" help:"Simulate years of certificate renewals against failing authorities, in virtual time."`
+	Capacity  capacityCommand  `cmd:"" help:"Measure the cost of a fleet of hollow fronts by size and event, as a table."`
+	Authority authorityCommand `cmd:"" help:"Run an ACME certificate authority on loopback until interrupted."`
 }
 
-type restarts struct {
+type restartCommand struct {
 	Seeds int `help:"Number of simulated runs." default:"20"`
 }
 
-func (c restarts) Run(out io.Writer) error {
+func (c restartCommand) Run(out io.Writer) error {
 	if c.Seeds < 1 {
 		return errors.New("--seeds must be above 0")
 	}
 	return restart.Report(out, c.Seeds)
 }
 
-type years struct {
+type historiesCommand struct {
 	N int `short:"n" help:"Number of simulated histories." default:"10000"`
 }
 
-func (c years) Run(out io.Writer) error {
+func (c historiesCommand) Run(out io.Writer) error {
 	_, err := histories.Report(out, c.N)
 	return err
 }
 
-type issuer struct {
+type authorityCommand struct {
 	Lifetime time.Duration `help:"Lifetime of the certificates." default:"1h"`
 	HTTP     string        `help:"Address at which HTTP-01 challenges are validated." default:"127.0.0.1:8080"`
 	TLS      string        `help:"Address at which TLS-ALPN-01 challenges are validated." default:"127.0.0.1:8443"`
@@ -84,20 +84,20 @@
 }
 
 // Run runs a certificate authority until it is interrupted.
-func (c issuer) Run(out io.Writer) error {
-	set := authority.Settings{Lifetime: c.Lifetime, HTTP: c.HTTP, TLS: c.TLS, Informs: c.Informs, Faults: &authority.Faults{}}
+func (c authorityCommand) Run(out io.Writer) error {
+	settings := authority.Settings{Lifetime: c.Lifetime, HTTP: c.HTTP, TLS: c.TLS, Informs: c.Informs, Faults: &authority.Faults{}}
 	var script struct{ Fault []authority.Fault }
 	if c.Faults != "" {
 		meta, err := toml.DecodeFile(c.Faults, &script)
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.Faults, err)
 		}
-		if odd := meta.Undecoded(); len(odd) > 0 {
-			return fmt.Errorf("%s: unknown field %s", c.Faults, odd[0])
+		if unknown := meta.Undecoded(); len(unknown) > 0 {
+			return fmt.Errorf("%s: unknown field %s", c.Faults, unknown[0])
 		}
 	}
-	set.Faults.Set(script.Fault...)
-	a, err := authority.Start(set)
+	settings.Faults.Set(script.Fault...)
+	a, err := authority.Start(settings)
 	if err != nil {
 		return err
 	}
--- a/cmd/otterlab/processes.go
+++ b/cmd/otterlab/processes.go
@@ -15,15 +15,15 @@
 	"otterturn/internal/lab/processes"
 )
 
-type measured struct {
+type processesCommand struct {
 	Program  string   `help:"Path of the otterturn program to measure." default:"bin/otterturn" placeholder:"FILE"`
-	Only     []string `help:"Measurements to run: requests, memory, changes, idle, silent, connections, compare; all by default." placeholder:"NAME"`
+	Only     []string `help:"Measurements: requests, memory, changes, idle, silent, connections, compare; all by default." placeholder:"NAME"`
 	Fronts   []int    `help:"Numbers of fronts that receive a change or share a silent node." default:"1,2,4,8,16,32"`
 	Markdown string   `help:"Write the table as Markdown to a file." placeholder:"FILE"`
 }
 
 // Run measures and prints the table and the worst row. After a failure it prints the rows measured before.
-func (c measured) Run(out io.Writer) error {
+func (c processesCommand) Run(out io.Writer) error {
 	program, err := filepath.Abs(c.Program)
 	if err != nil {
 		return err
@@ -39,14 +39,14 @@
 	plan := processes.Full()
 	plan.Fronts = c.Fronts
 	lab := &processes.Lab{Program: program, Plan: plan, Log: out}
-	before := loads()
+	before := loadAverage()
 	rows, failed := lab.Run(ctx, c.Only...)
-	busy := fmt.Sprintf("%d cores, shared; load average over the last minute %s before the run, %s at its end.", runtime.NumCPU(), before, loads())
-	fmt.Fprintln(out, busy)
+	machineLoad := fmt.Sprintf("%d cores, shared; load average over one minute %s before the run, %s at its end.", runtime.NumCPU(), before, loadAverage())
+	fmt.Fprintln(out, machineLoad)
 	fmt.Fprintln(out)
 	processes.Text(out, rows)
 	if c.Markdown != "" && failed == nil {
-		if err := c.write(rows, busy); err != nil {
+		if err := c.write(rows, machineLoad); err != nil {
 			return err
 		}
 	}
@@ -54,8 +54,8 @@
 	return failed
 }
 
-// loads returns the machine's load average over the last minute.
-func loads() string {
+// loadAverage returns the machine's load average over the last minute.
+func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	first, _, _ := strings.Cut(string(text), " ")
 	if err != nil {
@@ -64,17 +64,17 @@
 	return first
 }
 
-// mostFronts limits the fronts on one machine.
-const mostFronts = 64
+// maxFronts limits the fronts on one machine.
+const maxFronts = 64
 
 // check rejects unknown measurements and numbers of fronts out of range.
-func (c measured) check() error {
+func (c processesCommand) check() error {
 	known := map[string]bool{}
 	for _, m := range processes.Measures {
 		known[m.Name] = true
 	}
-	if len(c.Fronts) < 3 || slices.Min(c.Fronts) < 1 || slices.Max(c.Fronts) > mostFronts {
-		return fmt.Errorf("--fronts must be at least three numbers from 1 to %d", mostFronts)
+	if len(c.Fronts) < 3 || slices.Min(c.Fronts) < 1 || slices.Max(c.Fronts) > maxFronts {
+		return fmt.Errorf("--fronts must be at least three numbers from 1 to %d", maxFronts)
 	}
 	for _, name := range c.Only {
 		if !known[name] {
@@ -84,11 +84,11 @@
 	return nil
 }
 
-func (c measured) write(rows []processes.Row, busy string) error {
+func (c processesCommand) write(rows []processes.Row, machineLoad string) error {
 	f, err := os.Create(c.Markdown)
 	if err != nil {
 		return err
 	}
-	processes.Page(f, rows, busy)
+	processes.Page(f, rows, machineLoad)
 	return f.Close()
 }
--- a/cmd/otterlab/rehearse.go
+++ b/cmd/otterlab/rehearse.go
@@ -16,7 +16,7 @@
 	"otterturn/internal/lab/sockets"
 )
 
-type rehearse struct {
+type rehearseCommand struct {
 	Files  []string          `arg:"" help:"Scenario files." placeholder:"FILE"`
 	Seeds  int               `help:"Number of simulated runs per scenario." default:"5"`
 	Report string            `help:"Folder for report.html, a page with plots, and report.json." placeholder:"FOLDER"`
@@ -24,12 +24,12 @@
 	Only   []string          `help:"Variants to simulate in addition to the first." placeholder:"NAME"`
 }
 
-func (c rehearse) Run(out io.Writer) error {
+func (c rehearseCommand) Run(out io.Writer) error {
 	if c.Seeds < 1 {
 		return errors.New("--seeds must be above 0")
 	}
 	var failed error
-	var all []scenario.Comparison
+	var comparisons []scenario.Comparison
 	for _, name := range c.Files {
 		s, err := scenario.Load(name)
 		if err != nil {
@@ -51,19 +51,19 @@
 		if err := compared.Table(out); err != nil {
 			return err
 		}
-		if kept, _ := compared.Kept(); !kept {
-			failed = errors.Join(failed, fmt.Errorf("%s: a rule was broken or a node failed by overload", name))
+		if passed, _ := compared.Kept(); !passed {
+			failed = errors.Join(failed, fmt.Errorf("%s: a rule was broken or a node overloaded", name))
 		}
-		all = append(all, compared)
+		comparisons = append(comparisons, compared)
 	}
 	if c.Report == "" {
 		return failed
 	}
-	return errors.Join(failed, writeReport(out, c.Report, all))
+	return errors.Join(failed, writeReport(out, c.Report, comparisons))
 }
 
 // writeReport writes the comparisons as an HTML page and as JSON.
-func writeReport(out io.Writer, folder string, all []scenario.Comparison) error {
+func writeReport(out io.Writer, folder string, comparisons []scenario.Comparison) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return fmt.Errorf("creating the report folder: %w", err)
 	}
@@ -72,7 +72,7 @@
 		if err != nil {
 			return err
 		}
-		if err := errors.Join(write(f, all), f.Close()); err != nil {
+		if err := errors.Join(write(f, comparisons), f.Close()); err != nil {
 			return fmt.Errorf("%s: %w", f.Name(), err)
 		}
 	}
@@ -80,11 +80,11 @@
 	return err
 }
 
-type repeat struct {
+type repeatCommand struct {
 	Files []string `arg:"" help:"Scenario files." placeholder:"FILE"`
 }
 
-func (c repeat) Run(out io.Writer) error {
+func (c repeatCommand) Run(out io.Writer) error {
 	var failed error
 	var summary []string
 	for _, name := range c.Files {
@@ -93,35 +93,35 @@
 			return err
 		}
 		var digests [2]string
-		var r scenario.Result
+		var result scenario.Result
 		for i := range digests {
-			if r, err = s.Play(1, scenario.Ours); err != nil {
+			if result, err = s.Play(1, scenario.Ours); err != nil {
 				return err
 			}
-			digests[i] = r.Digest
-			fmt.Fprintf(out, "%s, run %d: digest %s, %.3f in time, %d nodes pushed over, %d rules broken\n", s.Name, i+1, r.Digest, r.Share(),
-				r.Fallen, len(r.Breaks))
+			digests[i] = result.Digest
+			fmt.Fprintf(out, "%s, run %d: digest %s, %.3f in time, %d nodes pushed over, %d rules broken\n", s.Name, i+1,
+				result.Digest, result.Share(), result.Fallen, len(result.Breaks))
 		}
-		for _, line := range r.Breaks {
+		for _, line := range result.Breaks {
 			fmt.Fprintln(out, "broken:", line)
 		}
-		if digests[0] != digests[1] || r.Fallen > 0 || len(r.Breaks) > 0 {
-			failed = errors.Join(failed, fmt.Errorf("%s: the digests differ, a rule was broken or a node failed by overload", name))
+		if digests[0] != digests[1] || result.Fallen > 0 || len(result.Breaks) > 0 {
+			failed = errors.Join(failed, fmt.Errorf("%s: the digests differ, a rule was broken or a node overloaded", name))
 		}
 		summary = append(summary, fmt.Sprintf("%s twice %s, %.3f in time, %d pushed over, %d rules broken", strings.TrimSuffix(filepath.Base(name), ".toml"),
-			digests[0], r.Share(), r.Fallen, len(r.Breaks)))
+			digests[0], result.Share(), result.Fallen, len(result.Breaks)))
 	}
 	fmt.Fprintln(out, "rehearse:", strings.Join(summary, "; "))
 	return failed
 }
 
-type speed struct {
+type speedCommand struct {
 	Nodes  []int `help:"Numbers of nodes." default:"10,100,1000"`
 	Fronts int   `help:"Number of fronts." default:"80"`
 }
 
 // Run simulates 10 s of load without incidents for each number of nodes. The load grows with the number of nodes.
-func (c speed) Run(out io.Writer) error {
+func (c speedCommand) Run(out io.Writer) error {
 	for _, nodes := range c.Nodes {
 		s, err := scenario.Calm(nodes, c.Fronts, 10*time.Second)
 		if err != nil {
@@ -139,14 +139,14 @@
 	return nil
 }
 
-type agree struct {
+type agreeCommand struct {
 	Days      int           `help:"Number of runs." default:"4"`
 	Length    time.Duration `help:"Duration of each run." default:"20s"`
 	Tolerance float64       `help:"Maximum difference of the share of worth served in time." default:"0.03"`
 }
 
 // Run compares sockets and virtual time on runs without other incidents in which a quarter of the nodes fails.
-func (c agree) Run(out io.Writer) error {
+func (c agreeCommand) Run(out io.Writer) error {
 	if c.Days < 1 {
 		return errors.New("--days must be above 0")
 	}
@@ -155,28 +155,29 @@
 		return err
 	}
 	s.Happens = []scenario.Event{{At: c.Length / 3, What: "die", Share: 0.25, Back: c.Length / 5}}
-	most := 0.0
+	maxDifference := 0.0
 	var failed error
 	for seed := range uint64(c.Days) {
-		want, err := s.Play(seed+1, scenario.Ours)
+		virtual, err := s.Play(seed+1, scenario.Ours)
 		if err != nil {
 			return err
 		}
-		got, err := sockets.Play(s, seed+1)
+		real, err := sockets.Play(s, seed+1)
 		if err != nil {
 			return err
 		}
-		most = max(most, math.Abs(got.Share()-want.Share()))
+		maxDifference = max(maxDifference, math.Abs(real.Share()-virtual.Share()))
 		fmt.Fprintf(out, "day %d: %.3f in time on sockets, %.3f in virtual time; reads %.0f and %.0f ms in the median, %.0f and %.0f at 99%%\n", seed+1,
-			got.Share(), want.Share(), float64(got.Latency[0].ValueAtQuantile(50))/1000, float64(want.Latency[0].ValueAtQuantile(50))/1000,
-			float64(got.Latency[0].ValueAtQuantile(99))/1000, float64(want.Latency[0].ValueAtQuantile(99))/1000)
-		if len(got.Breaks) > 0 || got.Fallen > 0 {
-			failed = fmt.Errorf("day %d on sockets: %d nodes pushed over, %v", seed+1, got.Fallen, got.Breaks)
+			real.Share(), virtual.Share(), float64(real.Latency[0].ValueAtQuantile(50))/1000, float64(virtual.Latency[0].ValueAtQuantile(50))/1000,
+			float64(real.Latency[0].ValueAtQuantile(99))/1000, float64(virtual.Latency[0].ValueAtQuantile(99))/1000)
+		if len(real.Breaks) > 0 || real.Fallen > 0 {
+			failed = fmt.Errorf("day %d on sockets: %d nodes pushed over, %v", seed+1, real.Fallen, real.Breaks)
 		}
 	}
-	fmt.Fprintf(out, "agree: %d days of %v, worth in time differs by %.3f at the most, %.3f is allowed\n", c.Days, c.Length, most, c.Tolerance)
-	if most > c.Tolerance {
-		failed = errors.Join(failed, fmt.Errorf("share served in time differs by %.3f between sockets and virtual time, more than --tolerance", most))
+	fmt.Fprintf(out, "agree: %d days of %v, worth in time differs by at most %.3f, %.3f is allowed\n",
+		c.Days, c.Length, maxDifference, c.Tolerance)
+	if maxDifference > c.Tolerance {
+		failed = errors.Join(failed, fmt.Errorf("worth in time differs by %.3f between sockets and virtual time", maxDifference))
 	}
 	return failed
 }
--- a/cmd/ottersoak/main.go
+++ b/cmd/ottersoak/main.go
@@ -17,19 +17,19 @@
 // Exit statuses of the program.
 const (
 	exitBroken  = 1 // a rule was broken, or a run failed to execute
-	exitMisused = 2
+	exitInvalid = 2
 )
 
 // options are the values of the command-line flags.
 type options struct {
-	seed, seeds, beside, crowd int
-	binary, folder             string
+	seed, seeds, concurrent, crowdEvery int
+	binary, folder                      string
 }
 
 // Bounds of the options.
 const (
-	mostSeeds  = 10_000
-	mostBeside = 8 // concurrent runs; they start a few hundred processes
+	maxSeeds      = 10_000
+	maxConcurrent = 8 // concurrent runs; they start a few hundred processes
 )
 
 func main() {
@@ -37,14 +37,14 @@
 	var o options
 	flag.IntVar(&o.seed, "seed", 1, "the first seed")
 	flag.IntVar(&o.seeds, "seeds", 5, "number of seeds to run")
-	flag.IntVar(&o.beside, "beside", 1, "number of concurrent runs")
-	flag.IntVar(&o.crowd, "crowd", 10, "seeds that are a multiple of this run 36 fronts; 0 for none")
+	flag.IntVar(&o.concurrent, "beside", 1, "number of concurrent runs")
+	flag.IntVar(&o.crowdEvery, "crowd", 10, "seeds that are a multiple of this run 36 fronts; 0 for none")
 	flag.StringVar(&o.binary, "binary", "bin/otterturn", "path of the otterturn program")
 	flag.StringVar(&o.folder, "logs", "", "folder in which the process logs are kept; a temporary folder by default")
 	flag.Parse()
 	if err := o.check(); err != nil {
 		fmt.Fprintln(os.Stderr, "ottersoak:", err)
-		os.Exit(exitMisused)
+		os.Exit(exitInvalid)
 	}
 	if err := o.play(); err != nil {
 		fmt.Fprintln(os.Stderr, "ottersoak:", err)
@@ -59,11 +59,11 @@
 		return fmt.Errorf("unexpected argument %q", flag.Arg(0))
 	case o.seed < 0:
 		return errors.New("-seed must not be below 0")
-	case o.seeds < 1 || o.seeds > mostSeeds:
-		return fmt.Errorf("-seeds must be from 1 to %d", mostSeeds)
-	case o.beside < 1 || o.beside > mostBeside:
-		return fmt.Errorf("-beside must be from 1 to %d", mostBeside)
-	case o.crowd < 0:
+	case o.seeds < 1 || o.seeds > maxSeeds:
+		return fmt.Errorf("-seeds must be from 1 to %d", maxSeeds)
+	case o.concurrent < 1 || o.concurrent > maxConcurrent:
+		return fmt.Errorf("-beside must be from 1 to %d", maxConcurrent)
+	case o.crowdEvery < 0:
 		return errors.New("-crowd must not be below 0")
 	case err != nil:
 		return fmt.Errorf("-binary: %w", err)
@@ -83,15 +83,15 @@
 		}
 		defer os.RemoveAll(folder)
 	}
-	room := make(chan struct{}, o.beside)
+	slots := make(chan struct{}, o.concurrent)
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	played, broken := 0, 0
 	var failed error
 	for i := range o.seeds {
-		room <- struct{}{}
+		slots <- struct{}{}
 		all.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			result, err := o.playSeed(o.seed+i, folder)
 			mu.Lock()
 			defer mu.Unlock()
@@ -112,14 +112,14 @@
 }
 
 func (o options) playSeed(seed int, folder string) (soak.Result, error) {
-	own := filepath.Join(folder, fmt.Sprintf("seed-%d", seed))
-	if err := os.MkdirAll(own, 0o700); err != nil {
+	seedFolder := filepath.Join(folder, fmt.Sprintf("seed-%d", seed))
+	if err := os.MkdirAll(seedFolder, 0o700); err != nil {
 		return soak.Result{}, err
 	}
 	binary, err := filepath.Abs(o.binary)
 	if err != nil {
 		return soak.Result{}, err
 	}
-	crowd := o.crowd > 0 && seed%o.crowd == 0
-	return soak.Play(soak.NewScenario(uint64(seed), crowd), binary, own)
+	crowd := o.crowdEvery > 0 && seed%o.crowdEvery == 0
+	return soak.Play(soak.NewScenario(uint64(seed), crowd), binary, seedFolder)
 }
--- a/cmd/otterturn/accept_test.go
+++ b/cmd/otterturn/accept_test.go
@@ -39,7 +39,7 @@
 
 // Guards against a transient accept error that ends the program: errors that net/http does not classify as temporary ended it
 // together with all requests that it had accepted.
-func TestAcceptThatFailsForAMomentEndsNothing(t *testing.T) {
+func TestTransientAcceptErrorsDoNotEndTheProgram(t *testing.T) {
 	s := newShutdownSite(t, 3*time.Second, 0)
 	p, injector := s.startUnderFaults(t, unix.SYS_ACCEPT4)
 	for _, errno := range acceptErrors {
@@ -47,7 +47,7 @@
 		injector.Inject(faults.Rule{Call: unix.SYS_ACCEPT4, Err: errno, Times: 3})
 		c := dialFront(t, s.addr)
 		c.SetDeadline(time.Now().Add(standin.Patience))
-		if _, err := c.Write([]byte(askText("GET", 0, 3*time.Second))); err != nil {
+		if _, err := c.Write([]byte(requestHead("GET", 0, 3*time.Second))); err != nil {
 			t.Fatal(err)
 		}
 		if status, err := readAnswer(c); err != nil || status != 200 {
@@ -66,24 +66,24 @@
 
 // Guards against answers that come after the client's deadline because accepting failed: the time that a connection waited in the
 // kernel's accept queue is subtracted from the time that its client has left.
-func TestRequestThatWaitedToBeAcceptedHasLessTime(t *testing.T) {
+func TestTimeInAcceptQueueReducesTimeLeft(t *testing.T) {
 	const failing, wait = 400 * time.Millisecond, 300 * time.Millisecond
 	s := newShutdownSite(t, 3*time.Second, 0)
 	p, injector := s.startUnderFaults(t, unix.SYS_ACCEPT4)
-	before := s.asked.Load()
+	before := s.received.Load()
 	injector.Inject(faults.Rule{Call: unix.SYS_ACCEPT4, Err: unix.ENFILE, Until: time.Now().Add(failing)})
 	c := dialFront(t, s.addr)
 	c.SetDeadline(time.Now().Add(standin.Patience))
-	c.Write([]byte(askText("GET", 0, wait)))
+	c.Write([]byte(requestHead("GET", 0, wait)))
 	status, err := readAnswer(c)
-	if asked := s.asked.Load() - before; err != nil || status != 503 || asked != 0 {
+	if asked := s.received.Load() - before; err != nil || status != 503 || asked != 0 {
 		t.Errorf("status %d, error %v, %d requests reached the node; want status 503 and no request", status, err, asked)
 	}
 	p.stop(t)
 }
 
 // Guards against a reset of connections in the kernel's accept queue: a stopping front closes its listener while accepting fails.
-func TestConnectionsOfTheKernelAreServedAsTheFrontCloses(t *testing.T) {
+func TestConnectionsInAcceptQueueAreServedDuringShutdown(t *testing.T) {
 	const deadline = time.Second
 	s := newShutdownSite(t, deadline, 0)
 	p, injector := s.startUnderFaults(t, unix.SYS_ACCEPT4)
@@ -94,7 +94,7 @@
 	time.Sleep(time.Until(began.Add(stop.Serve - 100*time.Millisecond))) // just before the front closes idle connections
 	c := dialFront(t, s.addr)
 	c.SetDeadline(began.Add(killAfter(deadline)))
-	c.Write([]byte(askText("GET", 0, deadline)))
+	c.Write([]byte(requestHead("GET", 0, deadline)))
 	if status, err := readAnswer(c); err != nil {
 		t.Errorf("status %d, error %v\n%s", status, err, p.output)
 	}
--- a/cmd/otterturn/appliance_test.go
+++ b/cmd/otterturn/appliance_test.go
@@ -106,15 +106,15 @@
 
 // Runs an appliance from start to shutdown: obtaining, renewing and revoking a certificate, SFTP, HTTP over TLS, console commands and
 // reload.
-func TestAppliance(t *testing.T) {
+func TestApplianceEndToEnd(t *testing.T) {
 	challenge := freeAddr(t)
 	ca := startAuthority(t, authority.Settings{Lifetime: 90 * 24 * time.Hour, HTTP: challenge})
 	files := standin.NewFileServer(t)
 	node := httpPeer(t, func(*http.Request) string { return "index data" })
 	dir := t.TempDir()
 	sftpAddr, httpAddr := freeAddr(t), freeAddr(t)
-	config := write(t, "appliance.toml", fmt.Sprintf(operatorFile, sftpAddr, httpAddr, ca.Directory(),
-		write(t, "roots.pem", string(ca.ServerRoots())), filepath.Join(dir, "acme"), challenge,
+	config := writeTemp(t, "appliance.toml", fmt.Sprintf(operatorFile, sftpAddr, httpAddr, ca.Directory(),
+		writeTemp(t, "roots.pem", string(ca.ServerRoots())), filepath.Join(dir, "acme"), challenge,
 		filepath.Join(dir, "console.sock"), files.Addr, node))
 	p := start(t, nil, "serve", "--config", config)
 	console := func(command ...string) (string, error) {
--- a/cmd/otterturn/crash_test.go
+++ b/cmd/otterturn/crash_test.go
@@ -25,40 +25,40 @@
 
 // Sizes of the uploads, and the limit of the limited project.
 const (
-	crashPart  = 32 << 10
-	crashUnits = 3.0 // per write of crashPart bytes
-	crashRate  = 12.0
-	crashBurst = 36.0
+	crashWriteBytes = 32 << 10
+	crashUnits      = 3.0 // per write of crashWriteBytes bytes
+	crashRate       = 12.0
+	crashBurst      = 36.0
 )
 
-// meter computes the level of a token bucket from the writes that reach a node.
-type meter struct {
-	mu    sync.Mutex
-	level float64
-	least float64
-	at    time.Time
-	units float64
+// bucketMeter computes the level of a token bucket from the writes that reach a node.
+type bucketMeter struct {
+	mu       sync.Mutex
+	level    float64
+	minLevel float64
+	at       time.Time
+	units    float64
 }
 
-func (m *meter) draw(units float64) {
+func (m *bucketMeter) draw(units float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	m.level = min(crashBurst, m.level+crashRate*now.Sub(m.at).Seconds()) - units
-	m.at, m.least, m.units = now, min(m.least, m.level), m.units+units
+	m.at, m.minLevel, m.units = now, min(m.minLevel, m.level), m.units+units
 }
 
-// crowd is a set of clients that upload until they are stopped. Each keeps a few writes in flight and reconnects after the front
+// uploadClients is a set of clients that upload until they are stopped. Each keeps a few writes in flight and reconnects after the front
 // was killed. They count answers that arrive twice or not at all.
-type crowd struct {
-	addr                       string
-	stop                       chan struct{}
-	all                        sync.WaitGroup
-	answered, broken, twice    atomic.Int64
-	silent, refused, succeeded atomic.Int64
+type uploadClients struct {
+	addr                           string
+	stop                           chan struct{}
+	all                            sync.WaitGroup
+	answered, broken, duplicate    atomic.Int64
+	unanswered, refused, succeeded atomic.Int64
 }
 
-func (c *crowd) client(path string) {
+func (c *uploadClients) client(path string) {
 	for {
 		select {
 		case <-c.stop:
@@ -76,8 +76,8 @@
 }
 
 // session writes on one connection until it breaks or an answer is missing.
-func (c *crowd) session(conn net.Conn, path string) {
-	const ahead = 4
+func (c *uploadClients) session(conn net.Conn, path string) {
+	const maxOpen = 4
 	reply := func() (kind byte, id uint32, rest []byte, err error) {
 		conn.SetReadDeadline(time.Now().Add(standin.Patience))
 		var head [9]byte
@@ -97,11 +97,11 @@
 	if err != nil || kind != 102 {
 		return
 	}
-	handle, data := rest[4:], make([]byte, crashPart)
+	handle, data := rest[4:], make([]byte, crashWriteBytes)
 	open := map[uint32]bool{}
 	for id := uint32(1); ; {
-		for len(open) < ahead {
-			if _, err := conn.Write(standin.Command(6, id, handle, uint64(id%64)*crashPart, data)); err != nil {
+		for len(open) < maxOpen {
+			if _, err := conn.Write(standin.Command(6, id, handle, uint64(id%64)*crashWriteBytes, data)); err != nil {
 				c.broken.Add(int64(len(open)))
 				return
 			}
@@ -113,19 +113,19 @@
 			return
 		default:
 		}
-		_, of, rest, err := reply()
-		if wait, ok := err.(net.Error); ok && wait.Timeout() {
-			c.silent.Add(1)
+		_, answeredID, rest, err := reply()
+		if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
+			c.unanswered.Add(1)
 			return
 		}
 		if err != nil {
 			c.broken.Add(int64(len(open)))
 			return
 		}
-		if !open[of] {
-			c.twice.Add(1)
+		if !open[answeredID] {
+			c.duplicate.Add(1)
 		}
-		delete(open, of)
+		delete(open, answeredID)
 		c.answered.Add(1)
 		if binary.BigEndian.Uint32(rest) != 0 { // the handle is unusable after a failed write: reconnect
 			c.refused.Add(1)
@@ -135,10 +135,10 @@
 	}
 }
 
-// sabotage replaces the current snapshot file with one that must not be used as current, and returns the kind of damage. The previous
-// generation stays. A kill between two steps of a save leaves the last snapshot under both names, so the previous generation may be
-// an intact copy of it; the front may use that.
-func sabotage(t *testing.T, folder string, n int) string {
+// replaceSnapshot replaces the current snapshot file with one that must not be used as current, and returns the kind of damage. The
+// previous generation stays. A kill between two steps of a save leaves the last snapshot under both names, so the previous generation
+// may be an intact copy of it; the front may use that.
+func replaceSnapshot(t *testing.T, folder string, n int) string {
 	name := filepath.Join(folder, "learned")
 	file, err := os.ReadFile(name)
 	if err != nil {
@@ -178,7 +178,7 @@
 	return kind
 }
 
-var recalled = regexp.MustCompile(`"msg":"learned state restored","snapshot":(\d+),"nodes":(\d+),"projects":(\d+),"age":"[^"]*","previous":(true|false)`)
+var restoredLine = regexp.MustCompile(`"msg":"learned state restored","snapshot":(\d+),"nodes":(\d+),"projects":(\d+),"age":"[^"]*","previous":(true|false)`)
 
 // The appliance is killed at random moments while clients upload to a project with a limit. Each start must restore the last
 // intact snapshot of the same front and no other file. The limit must hold across all restarts. Each command has exactly one
@@ -191,7 +191,7 @@
 			t.Fatal(err)
 		}
 	}
-	limit := &meter{level: crashBurst, least: crashBurst, at: time.Now()}
+	limit := &bucketMeter{level: crashBurst, minLevel: crashBurst, at: time.Now()}
 	node := standin.NewFileServer(t)
 	node.Before = func(op, path string) bool {
 		if op == "Write" && strings.HasPrefix(path, "/limited/") {
@@ -199,7 +199,7 @@
 		}
 		return false
 	}
-	config, folder, addr := keeping(t, node.Addr)
+	config, folder, addr := learningConfig(t, node.Addr)
 	text, err := os.ReadFile(config)
 	if err != nil {
 		t.Fatal(err)
@@ -215,37 +215,37 @@
 			t.Fatal(err)
 		}
 	}
-	c := &crowd{addr: addr, stop: make(chan struct{})}
+	clients := &uploadClients{addr: addr, stop: make(chan struct{})}
 	for i := range 4 {
-		c.all.Go(func() { c.client(fmt.Sprint([]string{"/limited/", "/riverside/"}[i%2], i)) })
+		clients.all.Go(func() { clients.client(fmt.Sprint([]string{"/limited/", "/riverside/"}[i%2], i)) })
 	}
 	var last uint64
-	loads, offered, wrong, fresh := 0, 0, 0, 0
-	offer, written := "", false
+	restored, sabotaged, accepted, emptyStarts := 0, 0, 0, 0
+	damage, written := "", false
 	for n := range kills {
 		p := start(t, nil, "serve", "--config", config)
-		until(t, p, serving)
+		awaitLog(t, p, servingMessage)
 		out := p.output.String()
-		found := recalled.FindStringSubmatch(out)
+		found := restoredLine.FindStringSubmatch(out)
 		switch {
-		case offer == "" && written && (found == nil || found[1] != fmt.Sprint(last) || strings.Contains(out, "not used")):
+		case damage == "" && written && (found == nil || found[1] != fmt.Sprint(last) || strings.Contains(out, "not used")):
 			t.Errorf("kill %d: snapshot %d was not restored, log:\n%s", n, last, out)
-		case offer == "hours old" && (found == nil || found[2] != "0" || found[3] != "0"),
-			offer != "" && offer != "hours old" && (!strings.Contains(out, "not used") || found != nil && found[4] == "false"):
-			wrong++
-			t.Errorf("kill %d: a snapshot file (%s) was not handled as such, log:\n%s", n, offer, out)
+		case damage == "hours old" && (found == nil || found[2] != "0" || found[3] != "0"),
+			damage != "" && damage != "hours old" && (!strings.Contains(out, "not used") || found != nil && found[4] == "false"):
+			accepted++
+			t.Errorf("kill %d: a snapshot file (%s) was not handled as such, log:\n%s", n, damage, out)
 		}
 		if found != nil {
-			loads++
+			restored++
 		} else {
-			fresh++
+			emptyStarts++
 		}
 		lives := []time.Duration{30 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond}
 		time.Sleep(time.Duration(rand.Int64N(int64(lives[n%len(lives)]))))
 		p.Process.Signal(syscall.SIGKILL)
 		standin.Await(t, "the exit of the program", p.done)
 		snap, err := store.Read(folder, false)
-		offer = ""
+		damage = ""
 		switch {
 		case err != nil && !written && os.IsNotExist(err): // killed before the first save
 			continue
@@ -256,27 +256,28 @@
 		}
 		last, written = snap.Count, true
 		if n%7 == 3 {
-			offer = sabotage(t, folder, offered)
-			offered++
+			damage = replaceSnapshot(t, folder, sabotaged)
+			sabotaged++
 		}
 	}
-	close(c.stop)
-	c.all.Wait()
+	close(clients.stop)
+	clients.all.Wait()
 	limit.mu.Lock()
 	defer limit.mu.Unlock()
 	// The platform's rule allows an excess of a tenth of the burst or one largest command, plus the refill of 150 ms.
 	slack := max(crashBurst/10, 8) + crashRate*0.15
-	if limit.least < -slack {
-		t.Errorf("the limit was exceeded by %.1f units, at most %.1f are allowed", -limit.least, slack)
+	if limit.minLevel < -slack {
+		t.Errorf("the limit was exceeded by %.1f units, at most %.1f are allowed", -limit.minLevel, slack)
 	}
-	if c.twice.Load()+c.silent.Load() > 0 {
-		t.Errorf("%d answers arrived twice, %d never", c.twice.Load(), c.silent.Load())
+	if clients.duplicate.Load()+clients.unanswered.Load() > 0 {
+		t.Errorf("%d answers arrived twice, %d never", clients.duplicate.Load(), clients.unanswered.Load())
 	}
-	if c.succeeded.Load() == 0 || limit.units == 0 {
+	if clients.succeeded.Load() == 0 || limit.units == 0 {
 		t.Error("no upload came through")
 	}
 	fmt.Printf("crash: %d kills, %d starts from a snapshot and %d from nothing, %d damaged or stale files offered and %d "+
 		"taken for current; limit's store %.1f at the least (bound -%.1f) over %.0f units; %d answers (%d refusals or "+
-		"failures), %d commands broken off, %d answered twice, %d never\n", kills, loads, fresh, offered, wrong, limit.least,
-		slack, limit.units, c.answered.Load(), c.refused.Load(), c.broken.Load(), c.twice.Load(), c.silent.Load())
+		"failures), %d commands broken off, %d answered twice, %d never\n", kills, restored, emptyStarts, sabotaged, accepted, limit.minLevel,
+		slack, limit.units, clients.answered.Load(), clients.refused.Load(), clients.broken.Load(), clients.duplicate.Load(),
+		clients.unanswered.Load())
 }
--- a/cmd/otterturn/crowd_test.go
+++ b/cmd/otterturn/crowd_test.go
@@ -17,7 +17,7 @@
 // Guards against idle clients that use up all file descriptors. Hundreds of clients connect while discovery is down, idle or with an
 // incomplete request, to a process with 160 descriptors. The descriptors reserved for nodes, discovery and active clients must
 // suffice to fetch the endpoint list, connect to the node and answer.
-func TestIdleClientsLeaveRoomForListAndNodes(t *testing.T) {
+func TestIdleClientsLeaveDescriptorsForDiscoveryAndNodes(t *testing.T) {
 	node := httpPeer(t, func(*http.Request) string { return "index data" })
 	list := fmt.Sprintf(`{"seq":42,"whole":true,"hosts":[{"host":"s","dial":%q,"site":"a","block":0,"health":"up","born_ms":0}]}`, node)
 	back := make(chan struct{})
@@ -39,8 +39,8 @@
 	config := strings.Replace(fmt.Sprintf(platformConfig, addr, discovery), `"sockets":1024`, `"sockets":160`, 1)
 	p := startWith(t, func(c *exec.Cmd) {
 		c.Path, c.Args = "/bin/sh", []string{"sh", "-c", `ulimit -n 160; exec "$0"`, os.Args[0]}
-	}, []string{"RELAY_CONFIG=" + write(t, "config.json", config)})
-	logged(t, p, "discovery unreadable, endpoint list unchanged")
+	}, []string{"RELAY_CONFIG=" + writeTemp(t, "config.json", config)})
+	awaitLogged(t, p, "discovery unreadable, endpoint list unchanged")
 	for i := range 400 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -53,7 +53,7 @@
 	}
 	close(back)
 	get := newGet(t, addr)
-	standin.Until(t, "a served request", func() bool { status, _, _ := get(piece, anID()); return status == 200 })
+	standin.Until(t, "a served request", func() bool { status, _, _ := get(readPath, newRequestID()); return status == 200 })
 	if text := p.output.String(); strings.Contains(text, "too many open files") {
 		t.Error(text)
 	}
--- a/cmd/otterturn/daily_test.go
+++ b/cmd/otterturn/daily_test.go
@@ -40,7 +40,7 @@
 	l.Close()
 	t.Cleanup(func() { file.Close() })
 	s := &site{addr: l.Addr().String(), control: freeAddr(t), socket: file, folder: t.TempDir()}
-	s.config = write(t, "config.json", fmt.Sprintf(platformConfig, s.addr, discovery))
+	s.config = writeTemp(t, "config.json", fmt.Sprintf(platformConfig, s.addr, discovery))
 	s.get = newGet(t, s.addr)
 	return s
 }
@@ -52,8 +52,8 @@
 		append([]string{"RELAY_CONFIG=" + s.config, "RELAY_CONTROL=" + control, "RELAY_ACCEPT_FD=3", "TMPDIR=" + s.folder}, env...))
 }
 
-// call sends one request to an operator address.
-func call(t *testing.T, method, addr, path string) (int, string) {
+// operatorCall sends one request to an operator address.
+func operatorCall(t *testing.T, method, addr, path string) (int, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+addr+path, nil)
 	if err != nil {
@@ -71,30 +71,30 @@
 	return resp.StatusCode, string(text)
 }
 
-func healthy(t *testing.T, control string) {
+func awaitHealthy(t *testing.T, control string) {
 	t.Helper()
-	standin.Until(t, "a successful health check", func() bool { status, _ := call(t, "GET", control, "/healthcheck"); return status == 200 })
+	standin.Until(t, "the health check", func() bool { status, _ := operatorCall(t, "GET", control, "/healthcheck"); return status == 200 })
 }
 
-func (s *site) figure(t *testing.T, line string) {
+func (s *site) awaitMetricLine(t *testing.T, line string) {
 	t.Helper()
 	var text string
 	standin.Until(t, line, func() bool {
-		_, text = call(t, "GET", s.control, "/stats")
+		_, text = operatorCall(t, "GET", s.control, "/stats")
 		return strings.Contains("\n"+text, "\n"+line+"\n")
 	})
 }
 
-const piece = "/read/00000000000000aa/00000000000000bb"
+const readPath = "/read/00000000000000aa/00000000000000bb"
 
-func anID() string { return fmt.Sprint("id-", time.Now().UnixNano()) }
+func newRequestID() string { return fmt.Sprint("id-", time.Now().UnixNano()) }
 
 // Operators exclude a node twice and readmit it once; the metrics match what clients saw. Operator connections with an incomplete
 // request must not block other operator calls.
-func TestOperators(t *testing.T) {
+func TestOperatorsExcludeAndReadmitNode(t *testing.T) {
 	s := newSite(t)
 	p := s.start(t, s.control)
-	healthy(t, s.control)
+	awaitHealthy(t, s.control)
 	for range 40 {
 		c, err := net.Dial("tcp", s.control)
 		if err != nil {
@@ -103,37 +103,37 @@
 		defer c.Close()
 		fmt.Fprint(c, "GET /stats HTTP/1.1\r\n")
 	}
-	standin.Until(t, "a served request", func() bool { status, _, _ := s.get(piece, anID()); return status == 200 })
-	s.figure(t, "svc.chunk_servers_known:1|g")
-	s.figure(t, "svc.chunk_servers_excluded:0|g")
+	standin.Until(t, "a served request", func() bool { status, _, _ := s.get(readPath, newRequestID()); return status == 200 })
+	s.awaitMetricLine(t, "svc.chunk_servers_known:1|g")
+	s.awaitMetricLine(t, "svc.chunk_servers_excluded:0|g")
 	for _, c := range []struct {
 		path string
 		want int
 	}{{"/chunk-servers/s/maint", 200}, {"/chunk-servers/s/maint", 200}, {"/chunk-servers/nobody/maint", 404}, {"/chunk-servers/nobody/ready", 404}} {
-		if status, text := call(t, "POST", s.control, c.path); status != c.want {
+		if status, text := operatorCall(t, "POST", s.control, c.path); status != c.want {
 			t.Errorf("%s: %d %s", c.path, status, text)
 		}
 	}
-	s.figure(t, "svc.chunk_servers_excluded:1|g")
-	if status, _, _ := s.get(piece, anID()); status == 200 {
+	s.awaitMetricLine(t, "svc.chunk_servers_excluded:1|g")
+	if status, _, _ := s.get(readPath, newRequestID()); status == 200 {
 		t.Error("a request was served while the only node was excluded")
 	}
-	if status, _ := call(t, "POST", s.control, "/chunk-servers/s/ready"); status != 200 {
+	if status, _ := operatorCall(t, "POST", s.control, "/chunk-servers/s/ready"); status != 200 {
 		t.Errorf("readmitting the node: status %d", status)
 	}
-	standin.Until(t, "a served request", func() bool { status, _, _ := s.get(piece, anID()); return status == 200 })
-	s.figure(t, "svc.served.read:2|c")
-	s.figure(t, "svc.attempts:2|c")
-	s.figure(t, "svc.in_flight:0|g")
+	standin.Until(t, "a served request", func() bool { status, _, _ := s.get(readPath, newRequestID()); return status == 200 })
+	s.awaitMetricLine(t, "svc.served.read:2|c")
+	s.awaitMetricLine(t, "svc.attempts:2|c")
+	s.awaitMetricLine(t, "svc.in_flight:0|g")
 	p.stop(t)
 }
 
 // A reload applies a configuration completely or not at all: classes are added and removed, and an invalid file changes nothing; the
 // error names the invalid field.
-func TestSettingsThatChange(t *testing.T) {
+func TestReloadAppliesOnlyValidSettings(t *testing.T) {
 	s := newSite(t)
 	p := s.start(t, s.control)
-	healthy(t, s.control)
+	awaitHealthy(t, s.control)
 	former, err := os.ReadFile(s.config)
 	if err != nil {
 		t.Fatal(err)
@@ -156,22 +156,22 @@
 		{`"semantics":"retryable"`, `"semantics":"odd"`, "semantics"},
 	} {
 		reload(strings.Replace(string(former), c.old, c.new, 1))
-		s.figure(t, fmt.Sprintf("svc.reloads_failed:%d|c", i+1))
-		logged(t, p, c.says) // logged after the metric is incremented
+		s.awaitMetricLine(t, fmt.Sprintf("svc.reloads_failed:%d|c", i+1))
+		awaitLogged(t, p, c.says) // logged after the metric is incremented
 	}
-	standin.Until(t, "a served request", func() bool { status, _, _ := s.get(piece, anID()); return status == 200 })
+	standin.Until(t, "a served request", func() bool { status, _, _ := s.get(readPath, newRequestID()); return status == 200 })
 	reload(strings.Replace(string(former), `"classes":[`, `"classes":[{"name":"index","aimUs":300000,"giveUpUs":5000000,"semantics":"retryable","credit":1},`, 1))
-	s.figure(t, "svc.reloads_ok:1|c")
-	s.figure(t, "svc.served.index:0|c")
-	s.figure(t, "svc.served.read:1|c")
+	s.awaitMetricLine(t, "svc.reloads_ok:1|c")
+	s.awaitMetricLine(t, "svc.served.index:0|c")
+	s.awaitMetricLine(t, "svc.served.read:1|c")
 	reload(strings.Replace(string(former), `"name":"read"`, `"name":"index"`, 1))
-	s.figure(t, "svc.reloads_ok:2|c")
-	standin.Until(t, "the removal of a class", func() bool { status, _, _ := s.get(piece, anID()); return status == 404 })
+	s.awaitMetricLine(t, "svc.reloads_ok:2|c")
+	standin.Until(t, "the removal of a class", func() bool { status, _, _ := s.get(readPath, newRequestID()); return status == 404 })
 	p.stop(t)
 }
 
 // An invalid accept descriptor ends the start with an error that names the variable.
-func TestWrongDescriptor(t *testing.T) {
+func TestInvalidAcceptDescriptorEndsTheStart(t *testing.T) {
 	s := newSite(t)
 	for _, fd := range []string{"x", "1", "77"} {
 		p := s.start(t, freeAddr(t), "RELAY_ACCEPT_FD="+fd)
--- a/cmd/otterturn/exit_test.go
+++ b/cmd/otterturn/exit_test.go
@@ -16,9 +16,9 @@
 	if err := os.WriteFile(bad, []byte("limits = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	config, _, _ := keeping(t, freeAddr(t))
+	config, _, _ := learningConfig(t, freeAddr(t))
 	p := start(t, nil, "serve", "--config", config)
-	until(t, p, serving)
+	awaitLog(t, p, servingMessage)
 	for _, c := range []struct {
 		want int
 		args []string
@@ -44,7 +44,7 @@
 	}
 	p.stop(t)
 	ended := start(t, nil, "console", "--config", config, "status")
-	if status := (*exec.ExitError)(nil); !errors.As(standin.Await(t, "the exit of the program", ended.done), &status) || status.ExitCode() != exitNotRunning {
+	if status := (*exec.ExitError)(nil); !errors.As(standin.Await(t, "the exit", ended.done), &status) || status.ExitCode() != exitNotRunning {
 		t.Errorf("console without an appliance: %s", ended.output)
 	}
 }
--- a/cmd/otterturn/fleet_input_test.go
+++ b/cmd/otterturn/fleet_input_test.go
@@ -17,7 +17,7 @@
 // the front keeps serving.
 func TestBadMessagesAreDroppedAndCounted(t *testing.T) {
 	const each = 20
-	s := newFleetSite(t, 3, 1, fleetText(t, fleetSettings, 3))
+	s := newFleetSite(t, 3, 1, writeFleetFile(t, fleetSettings, 3))
 	f := s.fronts[0]
 	stranger, err := net.Dial("udp4", f.listen.String())
 	if err != nil {
@@ -37,7 +37,7 @@
 		{text: strings.Repeat("\x00garbage\xff", 9), why: `"why":"of no kind"`},          // unknown kind of message
 		{text: head + strings.Repeat("\x01", 15), why: `"why":"no peer"`, foreign: true}, // the sender is not a peer
 	} {
-		before := f.figure("health.dropped")
+		before := f.metric("health.dropped")
 		for range each {
 			if c.foreign {
 				stranger.Write([]byte(c.text))
@@ -45,22 +45,22 @@
 				s.relay.Inject(1, 0, []byte(c.text))
 			}
 		}
-		standin.Until(t, fmt.Sprintf("the count of dropped messages of kind %d", kind), func() bool { return f.figure("health.dropped") >= before+each })
-		logged(t, f.process, c.why)
+		standin.Until(t, fmt.Sprintf("the dropped messages of kind %d", kind), func() bool { return f.metric("health.dropped") >= before+each })
+		awaitLogged(t, f.process, c.why)
 		if n := strings.Count(f.output.String(), c.why); n != 1 {
 			t.Errorf("%s was logged %d times", c.why, n)
 		}
 	}
-	f.serves(0)
-	s.nodes[0].silence(true)
+	f.awaitServed(0)
+	s.nodes[0].setSilent(true)
 	go f.ask(0)
-	figures(t, s.fronts, "health.condemned", 1)
+	awaitMetric(t, s.fronts, "health.condemned", 1)
 }
 
 // A reload with an invalid fleet file changes nothing, even if the configuration read with it is valid. A reload with a valid fleet
 // file applies both.
-func TestFleetFileThatChanges(t *testing.T) {
-	path := fleetText(t, fleetSettings, 3)
+func TestFleetFileReload(t *testing.T) {
+	path := writeFleetFile(t, fleetSettings, 3)
 	s := newFleetSite(t, 3, 1, path)
 	f := s.fronts[0]
 	good, err := os.ReadFile(path)
@@ -92,35 +92,35 @@
 		{`region = "north"`, `odd = 1`, "zones.odd: unknown"},
 	} {
 		reload(path, replace(string(good), c.old, c.with))
-		figures(t, []*fleetFront{f}, "reloads_failed", i+1)
-		logged(t, f.process, c.says)
+		awaitMetric(t, []*fleetFront{f}, "reloads_failed", i+1)
+		awaitLogged(t, f.process, c.says)
 	}
-	if f.figure("served.index") != -1 {
+	if f.metric("served.index") != -1 {
 		t.Error("a configuration was applied together with an invalid fleet file")
 	}
-	s.nodes[0].silence(true) // the old settings still apply
+	s.nodes[0].setSilent(true) // the old settings still apply
 	go f.ask(0)
-	figures(t, s.fronts, "health.condemned", 1)
-	s.nodes[0].silence(false)
-	figures(t, s.fronts, "health.condemned", 0)
+	awaitMetric(t, s.fronts, "health.condemned", 1)
+	s.nodes[0].setSilent(false)
+	awaitMetric(t, s.fronts, "health.condemned", 0)
 	reload(path, replace(string(good), `"8s"`, `"5s"`))
-	figures(t, []*fleetFront{f}, "reloads_ok", 1)
-	figures(t, []*fleetFront{f}, "served.index", 0)
+	awaitMetric(t, []*fleetFront{f}, "reloads_ok", 1)
+	awaitMetric(t, []*fleetFront{f}, "served.index", 0)
 }
 
 // An invalid fleet file ends the start with one line that names the field, and with the exit status for invalid configurations.
-func TestWrongFleetFileEndsTheStart(t *testing.T) {
+func TestInvalidFleetFileEndsTheStart(t *testing.T) {
 	platform := fmt.Sprintf(platformConfig, freeAddr(t), "127.0.0.1:1")
-	config := write(t, "config.json", platform)
+	config := writeTemp(t, "config.json", platform)
 	for _, c := range []struct{ fleet, says string }{
-		{write(t, "fleet.toml", fleetSettings+zonesOf(1)), "health.enabled: the configuration names no peers"},
-		{write(t, "fleet.toml", "[health]\nenabeld = true\n"), "health.enabeld: unknown"},
+		{writeTemp(t, "fleet.toml", fleetSettings+formatZones(1)), "health.enabled: the configuration names no peers"},
+		{writeTemp(t, "fleet.toml", "[health]\nenabeld = true\n"), "health.enabeld: unknown"},
 		{"/nowhere/fleet.toml", "RELAY_FLEET"},
 	} {
 		p := start(t, []string{"RELAY_CONFIG=" + config, "RELAY_FLEET=" + c.fleet})
 		err := standin.Await(t, "the exit of the program", p.done)
 		exit, text := new(exec.ExitError), p.output.String()
-		if !errors.As(err, &exit) || exit.ExitCode() != exitMisused || strings.Count(text, "\n") != 1 || !strings.Contains(text, c.says) {
+		if !errors.As(err, &exit) || exit.ExitCode() != exitInvalid || strings.Count(text, "\n") != 1 || !strings.Contains(text, c.says) {
 			t.Errorf("error %v, output %q, want %q", err, text, c.says)
 		}
 	}
--- a/cmd/otterturn/fleet_links_test.go
+++ b/cmd/otterturn/fleet_links_test.go
@@ -11,9 +11,9 @@
 // Messages are lost, duplicated and reordered, and one front receives nothing from another. The zone must still detect silent nodes
 // and their recovery, and must not condemn a node that answers. Each node is silent once, and each front sends it one request: a
 // front that cannot receive from a prober in the quorum may not learn the verdict, and detects the silence by that request.
-func TestVerdictsOverBadLinks(t *testing.T) {
+func TestVerdictsOverLossyLinks(t *testing.T) {
 	const fronts, healthy = 5, 2
-	s := newFleetSite(t, fronts, healthy+1, fleetText(t, fleetSettings, fronts))
+	s := newFleetSite(t, fronts, healthy+1, writeFleetFile(t, fleetSettings, fronts))
 	for i := range fronts {
 		for j := range fronts {
 			s.relay.Datagrams(i, j).Set(standin.Faults{Loss: 0.3, Repeat: 0.3, Jitter: 60 * time.Millisecond})
@@ -21,19 +21,19 @@
 	}
 	s.relay.Datagrams(1, 2).Set(standin.Faults{Cut: true})
 	for shard, node := range s.nodes[:healthy] {
-		node.silence(true)
+		node.setSilent(true)
 		for _, f := range s.fronts {
 			go f.ask(shard)
 		}
-		figures(t, s.fronts, "health.condemned", 1)
-		s.each(func(f *fleetFront) { f.serves(healthy) })
-		node.silence(false)
-		figures(t, s.fronts, "health.condemned", 0)
-		s.each(func(f *fleetFront) { f.serves(shard) })
+		awaitMetric(t, s.fronts, "health.condemned", 1)
+		s.forEachFront(func(f *fleetFront) { f.awaitServed(healthy) })
+		node.setSilent(false)
+		awaitMetric(t, s.fronts, "health.condemned", 0)
+		s.forEachFront(func(f *fleetFront) { f.awaitServed(shard) })
 	}
 	dropped := 0
 	for _, f := range s.fronts {
-		dropped += f.figure("health.dropped")
+		dropped += f.metric("health.dropped")
 		if text := f.output.String(); strings.Contains(text, `"node":"`+s.nodes[healthy].name+`"`) {
 			t.Errorf("front %d condemned a node that answers:\n%s", f.number, text)
 		}
--- a/cmd/otterturn/fleet_nodes_test.go
+++ b/cmd/otterturn/fleet_nodes_test.go
@@ -27,7 +27,7 @@
 
 func newAuditedNode(t *testing.T, name string, fronts int) *auditedNode {
 	n := &auditedNode{name: name}
-	n.forget()
+	n.resetCounts()
 	for front := range fronts {
 		n.addrs = append(n.addrs, standin.Peer(t, func(_ int, c net.Conn) { n.serve(front, c) }))
 	}
@@ -59,27 +59,27 @@
 	return !n.silent
 }
 
-// silence makes the node stop answering, or answer again.
-func (n *auditedNode) silence(on bool) {
+// setSilent makes the node stop answering, or answer again.
+func (n *auditedNode) setSilent(on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.silent = on
 }
 
-// forget resets the counts.
-func (n *auditedNode) forget() {
+// resetCounts resets the counts.
+func (n *auditedNode) resetCounts() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.probes, n.attempts = map[int]int{}, map[int]int{}
 }
 
-// audit holds the number of requests that a node received.
-type audit struct {
+// counts holds the number of requests that a node received.
+type requestCounts struct {
 	probes, attempts int
 	probing          []int // fronts that sent probes
 }
 
-func (n *auditedNode) audit() (a audit) {
+func (n *auditedNode) counts() (a requestCounts) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for front, count := range n.probes {
--- a/cmd/otterturn/fleet_site_test.go
+++ b/cmd/otterturn/fleet_site_test.go
@@ -56,8 +56,8 @@
 message_bytes = 8192
 `
 
-// zonesOf formats zones with the given numbers of fronts. The fronts are numbered consecutively.
-func zonesOf(sizes ...int) string {
+// formatZones formats zones with the given numbers of fronts. The fronts are numbered consecutively.
+func formatZones(sizes ...int) string {
 	var out strings.Builder
 	first := 0
 	for i, n := range sizes {
@@ -75,54 +75,54 @@
 	for i := range nodes {
 		s.nodes = append(s.nodes, newAuditedNode(t, fmt.Sprint("s-", i), fronts))
 	}
-	var held []io.Closer // reserve the fronts' addresses until all addresses are assigned
+	var reserved []io.Closer // reserve the fronts' addresses until all addresses are assigned
 	var listens []netip.AddrPort
 	for range fronts {
 		c, err := net.ListenPacket("udp4", freeAddr(t))
 		if err != nil {
 			t.Fatal(err)
 		}
-		held, listens = append(held, c), append(listens, netip.MustParseAddrPort(c.LocalAddr().String()))
+		reserved, listens = append(reserved, c), append(listens, netip.MustParseAddrPort(c.LocalAddr().String()))
 	}
 	peers := s.relay.Mesh(listens)
 	for i := range fronts {
 		clients, control := standin.Listen(t), standin.Listen(t)
-		held = append(held, clients, control)
+		reserved = append(reserved, clients, control)
 		f := &fleetFront{number: i, listen: listens[i], addr: clients.Addr().String(), control: control.Addr().String()}
 		s.configure(f, peers[i])
 		s.fronts = append(s.fronts, f)
 	}
-	for _, c := range held {
+	for _, c := range reserved {
 		c.Close()
 	}
 	for _, f := range s.fronts {
 		f.start(fleetFile)
 	}
-	t.Cleanup(s.report) // runs before the processes are stopped
-	s.each(func(f *fleetFront) {
+	t.Cleanup(s.logState) // runs before the processes are stopped
+	s.forEachFront(func(f *fleetFront) {
 		for shard := range s.nodes {
-			f.serves(shard)
+			f.awaitServed(shard)
 		}
 	})
 	return s
 }
 
-// report logs the fronts' metrics and output if the test failed.
-func (s *fleetSite) report() {
+// logState logs the fronts' metrics and output if the test failed.
+func (s *fleetSite) logState() {
 	if !s.t.Failed() {
 		return
 	}
 	for _, f := range s.fronts {
-		_, figures := call(s.t, "GET", f.control, "/stats")
+		_, figures := operatorCall(s.t, "GET", f.control, "/stats")
 		s.t.Logf("front %d:\n%s%s", f.number, figures, f.output)
 	}
 	for _, n := range s.nodes {
-		s.t.Logf("%s: %+v", n.name, n.audit())
+		s.t.Logf("%s: %+v", n.name, n.counts())
 	}
 }
 
-// each runs a function for all fronts concurrently.
-func (s *fleetSite) each(do func(f *fleetFront)) {
+// forEachFront runs a function for all fronts concurrently.
+func (s *fleetSite) forEachFront(do func(f *fleetFront)) {
 	var wait sync.WaitGroup
 	for _, f := range s.fronts {
 		wait.Go(func() { do(f) })
@@ -134,14 +134,14 @@
 func (s *fleetSite) configure(f *fleetFront, peers []netip.AddrPort) {
 	s.t.Helper()
 	f.t, f.client = s.t, &http.Client{Timeout: standin.Patience, Transport: &http.Transport{}}
-	var hosts, names []string
+	var hosts, peerNames []string
 	for shard, n := range s.nodes {
 		pipe := s.relay.Pipe(n.addrs[f.number])
 		f.pipes = append(f.pipes, pipe)
 		hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","block":%d,"health":"up","born_ms":0}`, n.name, pipe.Addr, shard))
 	}
 	for _, p := range peers {
-		names = append(names, strconv.Quote(p.String()))
+		peerNames = append(peerNames, strconv.Quote(p.String()))
 	}
 	list := fmt.Sprintf(`{"seq":42,"whole":true,"hosts":[%s]}`, strings.Join(hosts, ","))
 	discovery := httpPeer(s.t, func(r *http.Request) string {
@@ -150,11 +150,11 @@
 		}
 		return list
 	})
-	text := strings.NewReplacer(`"peers":[]`, fmt.Sprintf(`"control":%q,"peer_listen":%q,"peers":[%s]`, f.control, f.listen, strings.Join(names, ",")),
+	text := strings.NewReplacer(`"peers":[]`, fmt.Sprintf(`"control":%q,"peer_listen":%q,"peers":[%s]`, f.control, f.listen, strings.Join(peerNames, ",")),
 		`"balancers":1`, fmt.Sprintf(`"balancers":%d,"slotNo":%d`, len(peers), f.number), `"probing":true`, `"probing":true,"peers":true`,
 		`"connectTimeoutUs":250000`, `"connectTimeoutUs":500000`,
 		`"shards":1`, fmt.Sprintf(`"shards":%d`, len(s.nodes))).Replace(fmt.Sprintf(platformConfig, f.addr, discovery))
-	f.config = write(s.t, "config.json", text)
+	f.config = writeTemp(s.t, "config.json", text)
 }
 
 // start starts the front's process.
@@ -163,15 +163,15 @@
 	f.process = start(f.t, []string{"RELAY_CONFIG=" + f.config, "RELAY_FLEET=" + fleetFile})
 }
 
-// ask sends a request for a shard and returns the answer's status, 0 if there is no answer.
+// request sends a request for a shard and returns the answer's status, 0 if there is no answer.
 func (f *fleetFront) ask(shard int) int {
-	r, err := http.NewRequest(http.MethodGet, "http://"+f.addr+piece, nil)
+	r, err := http.NewRequest(http.MethodGet, "http://"+f.addr+readPath, nil)
 	if err != nil {
 		f.t.Error(err)
 		return 0
 	}
 	for k, v := range map[string]string{
-		"X-Correlation-Id": anID(), "X-Service-Class": "read", "X-Plan": "gold", "X-Time-Left": timeLeft,
+		"X-Correlation-Id": newRequestID(), "X-Service-Class": "read", "X-Plan": "gold", "X-Time-Left": timeLeft,
 		"X-IO": fmt.Sprintf("units=1,shard=%d,hosts=1", shard),
 	} {
 		r.Header.Set(k, v)
@@ -184,8 +184,8 @@
 	return resp.StatusCode
 }
 
-// serves waits until a request for a shard is served.
-func (f *fleetFront) serves(shard int) {
+// awaitServed waits until a request for a shard is served.
+func (f *fleetFront) awaitServed(shard int) {
 	f.t.Helper()
 	var statuses []int
 	defer func() {
@@ -199,9 +199,9 @@
 	})
 }
 
-// figure returns the value of a metric, -1 if the front does not report it.
-func (f *fleetFront) figure(name string) int {
-	_, text := call(f.t, "GET", f.control, "/stats")
+// awaitMetricLine returns the value of a metric, -1 if the front does not report it.
+func (f *fleetFront) metric(name string) int {
+	_, text := operatorCall(f.t, "GET", f.control, "/stats")
 	found := regexp.MustCompile(`(?m)^svc\.` + regexp.QuoteMeta(name) + `:(\d+)\|`).FindStringSubmatch(text)
 	if found == nil {
 		return -1
@@ -213,24 +213,24 @@
 	return n
 }
 
-// figures waits until a metric has the wanted value on each of the fronts.
-func figures(t *testing.T, fronts []*fleetFront, name string, want int) {
+// awaitMetric waits until a metric has the wanted value on each of the fronts.
+func awaitMetric(t *testing.T, fronts []*fleetFront, name string, want int) {
 	t.Helper()
 	for _, f := range fronts {
-		standin.Until(t, fmt.Sprintf("metric %s = %d on front %d", name, want, f.number), func() bool { return f.figure(name) == want })
+		standin.Until(t, fmt.Sprintf("metric %s = %d on front %d", name, want, f.number), func() bool { return f.metric(name) == want })
 	}
 }
 
-// verdicts counts how often the front logged that its zone found a node silent.
-func (f *fleetFront) verdicts() int {
+// verdictCount counts how often the front logged that its zone found a node silent.
+func (f *fleetFront) verdictCount() int {
 	return strings.Count(f.output.String(), "node silent in zone")
 }
 
-// fleetText writes a fleet file and returns its path.
-func fleetText(t *testing.T, settings string, zones ...int) string {
+// writeFleetFile writes a fleet file and returns its path.
+func writeFleetFile(t *testing.T, settings string, zones ...int) string {
 	t.Helper()
-	return write(t, "fleet.toml", settings+zonesOf(zones...))
+	return writeTemp(t, "fleet.toml", settings+formatZones(zones...))
 }
 
-// since returns the time since at in seconds.
-func since(at time.Time) float64 { return time.Since(at).Seconds() }
+// secondsSince returns the time since at in seconds.
+func secondsSince(at time.Time) float64 { return time.Since(at).Seconds() }
--- a/cmd/otterturn/learned_test.go
+++ b/cmd/otterturn/learned_test.go
@@ -11,28 +11,28 @@
 	"otterturn/internal/standin"
 )
 
-// keeping writes the operator's file of an appliance that saves its learned state. addr is the appliance's SFTP address.
-func keeping(t *testing.T, node string) (config, folder, addr string) {
+// learningConfig writes the operator's file of an appliance that saves its learned state. addr is the appliance's SFTP address.
+func learningConfig(t *testing.T, node string) (config, folder, addr string) {
 	dir := t.TempDir()
 	folder, addr = filepath.Join(dir, "learned"), freeAddr(t)
 	text := fmt.Sprintf(filesOnly, addr, filepath.Join(dir, "console.sock"), node) +
 		fmt.Sprintf("[learned]\nfolder = %q\nfront = \"files-1\"\ninterval = \"500ms\"\nlease = \"500ms\"\n", folder)
-	return write(t, "appliance.toml", text), folder, addr
+	return writeTemp(t, "appliance.toml", text), folder, addr
 }
 
-// serving is the log message of a program that has begun to serve.
-const serving = `"msg":"serving"`
+// servingMessage is the log message of a program that has begun to serve.
+const servingMessage = `"msg":"serving"`
 
-func until(t *testing.T, p *process, text string) {
+func awaitLog(t *testing.T, p *process, text string) {
 	t.Helper()
 	standin.Until(t, fmt.Sprintf("%q in the log", text), func() bool { return strings.Contains(p.output.String(), text) })
 }
 
 // Learned state survives SIGKILL and a graceful shutdown. It can be shown and removed on a running and on a stopped appliance. Only
 // one process at a time uses its folder.
-func TestLearnedSurvivesARestart(t *testing.T) {
+func TestLearnedStateSurvivesRestart(t *testing.T) {
 	node := standin.NewFileServer(t)
-	config, folder, addr := keeping(t, node.Addr)
+	config, folder, addr := learningConfig(t, node.Addr)
 	run := func(args ...string) (string, error) {
 		c := start(t, nil, append([]string{args[0], "--config", config}, args[1:]...)...)
 		err := standin.Await(t, "the exit of "+args[0], c.done)
@@ -42,7 +42,7 @@
 		t.Errorf("state show before the first save: %q", text)
 	}
 	p := start(t, nil, "serve", "--config", config)
-	until(t, p, serving)
+	awaitLog(t, p, servingMessage)
 	session := nodeSession(t, addr)
 	if err := session.Mkdir("/riverside"); err != nil {
 		t.Fatal(err)
@@ -74,7 +74,7 @@
 	p.Process.Signal(syscall.SIGKILL)
 	standin.Await(t, "the exit of the program", p.done)
 	p = start(t, nil, "serve", "--config", config)
-	until(t, p, serving)
+	awaitLog(t, p, servingMessage)
 	if text := p.output.String(); !strings.Contains(text, "learned state restored") || !strings.Contains(text, `"node drain restored","node":"node-a"`) {
 		t.Errorf("log after the kill: %q", text)
 	}
@@ -105,7 +105,7 @@
 		t.Errorf("state check of a damaged file: %q, %v", text, err)
 	}
 	p = start(t, nil, "serve", "--config", config)
-	until(t, p, serving)
+	awaitLog(t, p, servingMessage)
 	if text := p.output.String(); strings.Count(text, "snapshot rejected") != 1 || !strings.Contains(text, "it is kept as learned.aside.") {
 		t.Errorf("log after a start with a damaged file: %q", text)
 	}
@@ -114,14 +114,14 @@
 	if err := os.Rename(folder, folder+".away"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, p, "saving learned state failed")
+	awaitLog(t, p, "saving learned state failed")
 	if _, err := nodeSession(t, addr).ReadDir("/riverside"); err != nil {
 		t.Errorf("directory listing while the folder is missing: %v", err)
 	}
 	if err := os.Rename(folder+".away", folder); err != nil {
 		t.Fatal(err)
 	}
-	until(t, p, "saving learned state recovered")
+	awaitLog(t, p, "saving learned state recovered")
 	p.stop(t)
 	if n := strings.Count(p.output.String(), "saving learned state failed"); n != 1 {
 		t.Errorf("%d log lines for failed saves, want 1:\n%s", n, p.output)
--- a/cmd/otterturn/log_test.go
+++ b/cmd/otterturn/log_test.go
@@ -14,7 +14,7 @@
 )
 
 // Guards against requests lost while the log cannot be written: a log line written before the shutdown blocked the whole shutdown.
-func TestLogThatBlocksHoldsUpNoShutdown(t *testing.T) {
+func TestBlockedLogDoesNotDelayShutdown(t *testing.T) {
 	const deadline = 300 * time.Millisecond
 	s := newShutdownSite(t, deadline, nodeDelay/2)
 	unread, log, err := os.Pipe()
@@ -28,7 +28,7 @@
 	clients := &eagerClients{wait: deadline}
 	clients.start(t, s.addr, shutdownClients)
 	standin.Until(t, "answers", func() bool { clients.mu.Lock(); defer clients.mu.Unlock(); return clients.answered > 0 })
-	clients.stopUnder(t, p, deadline, syscall.SIGTERM)
+	clients.stopUnderLoad(t, p, deadline, syscall.SIGTERM)
 }
 
 // fillPipe fills a pipe. It opens the pipe anew, so that only its own file description is non-blocking and the other writer still
@@ -50,7 +50,7 @@
 }
 
 // Guards against an exit of the program when it writes to a log pipe whose reader is closed.
-func TestLogThatIsClosedEndsNothing(t *testing.T) {
+func TestClosedLogDoesNotEndTheProgram(t *testing.T) {
 	s := newShutdownSite(t, time.Second, 0)
 	read, log, err := os.Pipe()
 	if err != nil {
@@ -60,7 +60,7 @@
 	log.Close()
 	read.Close()
 	p.Process.Signal(syscall.SIGHUP) // the reload writes a log line
-	standin.Until(t, "the reload", func() bool { return figure(t, s.control, "svc.reloads_ok") == 1 })
-	standin.Until(t, "a dropped log line", func() bool { return figure(t, s.control, "svc.log_lines_dropped") > 0 })
+	standin.Until(t, "the reload", func() bool { return metricValue(t, s.control, "svc.reloads_ok") == 1 })
+	standin.Until(t, "a dropped log line", func() bool { return metricValue(t, s.control, "svc.log_lines_dropped") > 0 })
 	p.stop(t)
 }
--- a/cmd/otterturn/main.go
+++ b/cmd/otterturn/main.go
@@ -22,8 +22,8 @@
 // Exit statuses of the program.
 const (
 	exitFailed     = 1 // an operation failed
-	exitMisused    = 2 // the command line or a configuration is invalid
-	exitNotCarried = 3 // the appliance rejected a command
+	exitInvalid    = 2 // the command line or a configuration is invalid
+	exitRejected   = 3 // the appliance rejected a command
 	exitNotRunning = 4 // no appliance listens on the console socket
 )
 
@@ -31,34 +31,34 @@
 type commands struct {
 	Config string `help:"The operator's file." default:"deploy/appliance.toml" placeholder:"FILE"`
 
-	Serve   serve   `cmd:"" help:"Run an appliance until SIGTERM. SIGHUP reloads the nodes and certificates from the file."`
-	Check   check   `cmd:"" help:"Check the operator's file and name the first invalid field."`
-	Console console `cmd:"" help:"Send commands to a running appliance."`
+	Serve   serveCommand   `cmd:"" help:"Run an appliance until SIGTERM. SIGHUP reloads the nodes and certificates from the file."`
+	Check   checkCommand   `cmd:"" help:"Check the operator's file and name the first invalid field."`
+	Console consoleCommand `cmd:"" help:"Send commands to a running appliance."`
 	State   struct {
-		Show   show   `cmd:"" help:"Show the saved state."`
-		Check  whole  `cmd:"" help:"Check whether the next start would use the saved state."`
-		Forget forget `cmd:"" help:"Remove learned state."`
+		Show   showStateCommand  `cmd:"" help:"Show the saved state."`
+		Check  checkStateCommand `cmd:"" help:"Check whether the next start would use the saved state."`
+		Forget forgetCommand     `cmd:"" help:"Remove learned state."`
 	} `cmd:"" help:"Learned state that an appliance saves; works on a running and on a stopped appliance."`
 	Cert struct {
-		Show    certificates `cmd:"" help:"Show names, serial number, expiry, next renewal attempt with its reason, and last error."`
-		Renew   renew        `cmd:"" help:"Renew a certificate now."`
-		Revoke  revoke       `cmd:"" help:"Revoke a certificate and obtain a new one."`
-		Rollkey rollkey      `cmd:"" help:"Replace the account key at an authority."`
+		Show    showCertificatesCommand `cmd:"" help:"Show names, serial number, expiry, next renewal attempt with its reason, and last error."`
+		Renew   renewCommand            `cmd:"" help:"Renew a certificate now."`
+		Revoke  revokeCommand           `cmd:"" help:"Revoke a certificate and obtain a new one."`
+		Rollkey rollkeyCommand          `cmd:"" help:"Replace the account key at an authority."`
 	} `cmd:"" help:"Manage the certificates of a running appliance."`
-	Lab     lab     `cmd:"" help:"The laboratory: emulated nodes, load, rehearsals. 'otterturn lab --help' lists its commands."`
-	Demo    demo    `cmd:"" help:"Run a 20 s demonstration: emulated nodes, an appliance, load, console commands and a report."`
-	Version version `cmd:"" help:"Print the version of this build."`
+	Lab     labCommand     `cmd:"" help:"The laboratory: emulated nodes, load, rehearsals. 'otterturn lab --help' lists its commands."`
+	Demo    demoCommand    `cmd:"" help:"Run a 20 s demonstration: emulated nodes, an appliance, load, console commands and a report."`
+	Version versionCommand `cmd:"" help:"Print the version of this build."`
 
 	InstallCompletions kongplete.InstallCompletions `cmd:"" help:"Install shell completions."`
 }
 
-type serve struct{}
+type serveCommand struct{}
 
-func (serve) Run(c *commands) error { return program.Serve(c.Config) }
+func (serveCommand) Run(c *commands) error { return program.Serve(c.Config) }
 
-type check struct{}
+type checkCommand struct{}
 
-func (check) Run(c *commands) error {
+func (checkCommand) Run(c *commands) error {
 	_, err := program.LoadOperator(c.Config)
 	if err == nil {
 		fmt.Println(c.Config, "is in order")
@@ -66,114 +66,120 @@
 	return err
 }
 
-type console struct {
-	Command []string `arg:"" optional:"" help:"One command; if omitted, commands are read from standard input, one per line. 'help' lists them."`
+type consoleCommand struct {
+	Command []string `arg:"" optional:"" help:"One command; without it, commands are read from standard input. 'help' lists them."`
 }
 
-func (console) Help() string {
+func (consoleCommand) Help() string {
 	return "Examples:\n  otterturn console status\n  otterturn console drain node-a\n  otterturn console < commands.txt"
 }
 
-func (w console) Run(c *commands) error {
-	return program.Console(c.Config, w.Command, os.Stdin, os.Stdout)
+func (command consoleCommand) Run(c *commands) error {
+	return program.Console(c.Config, command.Command, os.Stdin, os.Stdout)
 }
 
-type show struct{}
+type showStateCommand struct{}
 
-func (show) Run(c *commands) error { return program.Kept(c.Config, []string{"show"}, os.Stdout) }
+func (showStateCommand) Run(c *commands) error {
+	return program.Kept(c.Config, []string{"show"}, os.Stdout)
+}
 
-type whole struct{}
+type checkStateCommand struct{}
 
-func (whole) Run(c *commands) error { return program.Kept(c.Config, []string{"check"}, os.Stdout) }
+func (checkStateCommand) Run(c *commands) error {
+	return program.Kept(c.Config, []string{"check"}, os.Stdout)
+}
 
-type forget struct {
+type forgetCommand struct {
 	What []string `arg:"" help:"'node NAME', 'project NAME' or 'all'."`
 }
 
-func (w forget) Run(c *commands) error {
-	return program.Kept(c.Config, append([]string{"forget"}, w.What...), os.Stdout)
+func (command forgetCommand) Run(c *commands) error {
+	return program.Kept(c.Config, append([]string{"forget"}, command.What...), os.Stdout)
 }
 
-// told sends one command to the appliance and prints its answer.
-func told(c *commands, words ...string) error {
+// sendCommand sends one command to the appliance and prints its answer.
+func sendCommand(c *commands, words ...string) error {
 	return program.Console(c.Config, words, nil, os.Stdout)
 }
 
-type certificates struct{}
+type showCertificatesCommand struct{}
 
-func (certificates) Run(c *commands) error { return told(c, "certificate") }
+func (showCertificatesCommand) Run(c *commands) error { return sendCommand(c, "certificate") }
 
-type renew struct {
+type renewCommand struct {
 	Name string `arg:"" help:"The certificate's name in the operator's file."`
 }
 
-func (w renew) Run(c *commands) error { return told(c, "renew", w.Name) }
+func (command renewCommand) Run(c *commands) error { return sendCommand(c, "renew", command.Name) }
 
-type revoke struct {
+type revokeCommand struct {
 	Name string `arg:"" help:"The certificate's name in the operator's file."`
 }
 
-func (w revoke) Run(c *commands) error { return told(c, "revoke", w.Name) }
+func (command revokeCommand) Run(c *commands) error { return sendCommand(c, "revoke", command.Name) }
 
-type rollkey struct {
+type rollkeyCommand struct {
 	Authority string `arg:"" help:"The authority's name in the operator's file."`
 }
 
-func (w rollkey) Run(c *commands) error { return told(c, "rollkey", w.Authority) }
+func (command rollkeyCommand) Run(c *commands) error {
+	return sendCommand(c, "rollkey", command.Authority)
+}
 
-type lab struct{}
+type labCommand struct{}
 
-func (lab) Run() error { return otterlab(nil) }
+func (labCommand) Run() error { return execOtterlab(nil) }
 
-type demo struct{}
+type demoCommand struct{}
 
-func (demo) Run() error { return otterlab([]string{"demo"}) }
+func (demoCommand) Run() error { return execOtterlab([]string{"demo"}) }
 
-// otterlab replaces this process with the otterlab program from the same folder. The laboratory is a separate program because
+// execOtterlab replaces this process with the otterlab program from the same folder. The laboratory is a separate program because
 // otherwise each start of the platform's front would load its fonts and plots.
-func otterlab(args []string) error {
-	own, err := os.Executable()
+func execOtterlab(args []string) error {
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(filepath.Dir(own), "otterlab")
+	path := filepath.Join(filepath.Dir(executable), "otterlab")
 	if _, err := exec.LookPath(path); err != nil {
 		return fmt.Errorf("%w; run 'make build' to build it", err)
 	}
 	return syscall.Exec(path, append([]string{path}, args...), os.Environ())
 }
 
-type version struct{}
+type versionCommand struct{}
 
-func (version) Run() error {
+func (versionCommand) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return errors.New("the binary contains no build information")
 	}
-	set := map[string]string{}
+	vcs := map[string]string{}
 	for _, s := range info.Settings {
-		set[s.Key] = s.Value
+		vcs[s.Key] = s.Value
 	}
-	_, err := fmt.Println("otterturn", cmp.Or(strings.TrimSpace(set["vcs.revision"]+" "+set["vcs.time"]), info.Main.Version), info.GoVersion)
+	_, err := fmt.Println("otterturn", cmp.Or(strings.TrimSpace(vcs["vcs.revision"]+" "+vcs["vcs.time"]), info.Main.Version), info.GoVersion)
 	return err
 }
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, "otterturn:", err)
-		os.Exit(exit(err))
+		os.Exit(exitStatus(err))
 	}
 }
 
-// exit returns the program's exit status for an error.
-func exit(err error) int {
+// exitStatus returns the program's exit status for an error.
+func exitStatus(err error) int {
 	switch {
 	case errors.Is(err, program.ErrNotRunning):
 		return exitNotRunning
 	case errors.Is(err, program.ErrCommand):
-		return exitNotCarried
+		return exitRejected
 	case errors.Is(err, program.ErrConfiguration):
-		return exitMisused
+		return exitInvalid
 	}
 	return exitFailed
 }
@@ -183,7 +189,7 @@
 		return program.Platform()
 	}
 	if args[0] == "lab" { // otterlab parses its own flags
-		return otterlab(args[1:])
+		return execOtterlab(args[1:])
 	}
 	var c commands
 	parser, err := kong.New(&c, kong.Name("otterturn"), kong.Description("A front for shared storage nodes. Without a "+
@@ -191,7 +197,7 @@
 		"the command line or a configuration is invalid, 3 if the appliance rejected a command, 4 if no appliance is running."),
 		kong.UsageOnError(), kong.Bind(&c), kong.Exit(func(code int) {
 			if code != 0 { // kong itself exits with an error only for an invalid command line
-				code = exitMisused
+				code = exitInvalid
 			}
 			os.Exit(code)
 		}))
--- a/cmd/otterturn/main_test.go
+++ b/cmd/otterturn/main_test.go
@@ -28,14 +28,14 @@
 		os.Exit(0)
 	}
 	if addr := os.Getenv("OTTERTURN_TEST_BRIDGE"); addr != "" {
-		bridge(addr)
+		bridgeToTCP(addr)
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// bridge replaces ssh as the transport of an SFTP client: it copies standard input and output to and from a TCP connection.
-func bridge(addr string) {
+// bridgeToTCP replaces ssh as the transport of an SFTP client: it copies standard input and output to and from a TCP connection.
+func bridgeToTCP(addr string) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -55,7 +55,7 @@
 	return l.Addr().String()
 }
 
-func write(t *testing.T, name, text string) (path string) {
+func writeTemp(t *testing.T, name, text string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestPlatformFront(t *testing.T) {
+func TestPlatformFrontServesAndStops(t *testing.T) {
 	node := httpPeer(t, func(*http.Request) string { return "index data" })
 	list := fmt.Sprintf(`{"seq":42,"whole":true,"hosts":[{"host":"s","dial":%q,"site":"a","block":0,"health":"up","born_ms":0}]}`, node)
 	discovery := httpPeer(t, func(r *http.Request) string {
@@ -137,7 +137,7 @@
 		return ""
 	})
 	addr := freeAddr(t)
-	p := start(t, []string{"RELAY_CONFIG=" + write(t, "config.json", fmt.Sprintf(platformConfig, addr, discovery))})
+	p := start(t, []string{"RELAY_CONFIG=" + writeTemp(t, "config.json", fmt.Sprintf(platformConfig, addr, discovery))})
 	get := newGet(t, addr)
 	standin.Until(t, "readiness", func() bool { status, _, _ := get("/ready", ""); return status == 200 })
 	standin.Until(t, "a served request", func() bool {
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestBadConfigurationIsOneLineThatNamesTheField(t *testing.T) {
+func TestInvalidConfigurationIsOneLineThatNamesTheField(t *testing.T) {
 	good := fmt.Sprintf(operatorFile, "127.0.0.1:1", "127.0.0.1:2", "https://127.0.0.1:3/directory", "", "/nowhere",
 		"127.0.0.1:4", "/nowhere.sock", "127.0.0.1:5", "127.0.0.1:6")
 	platform := fmt.Sprintf(platformConfig, "127.0.0.1:1", "127.0.0.1:2")
@@ -186,9 +186,9 @@
 	} {
 		var p *process
 		if c.kind == "serve" {
-			p = start(t, nil, "serve", "--config", write(t, "operator.toml", strings.Replace(good, c.old, c.with, 1)))
+			p = start(t, nil, "serve", "--config", writeTemp(t, "operator.toml", strings.Replace(good, c.old, c.with, 1)))
 		} else {
-			p = start(t, []string{"RELAY_CONFIG=" + write(t, "config.json", strings.Replace(platform, c.old, c.with, 1))})
+			p = start(t, []string{"RELAY_CONFIG=" + writeTemp(t, "config.json", strings.Replace(platform, c.old, c.with, 1))})
 		}
 		err := standin.Await(t, "the exit of the program", p.done)
 		text := p.output.String()
--- a/cmd/otterturn/openssh_test.go
+++ b/cmd/otterturn/openssh_test.go
@@ -22,7 +22,7 @@
 // Guards against incomplete uploads that the client takes for complete. OpenSSH's client has up to 64 writes open and keeps only
 // the status of the last answer. On a node with slow writes it uploaded four files and reported success for all of them, and all four
 // had holes.
-func TestUploadsByOpenSSH(t *testing.T) {
+func TestOpenSSHUploadsAreComplete(t *testing.T) {
 	if _, err := exec.LookPath("sftp"); err != nil {
 		t.Skip("no OpenSSH client on this machine")
 	}
@@ -37,7 +37,7 @@
 		return false
 	}
 	dir, addr := t.TempDir(), freeAddr(t)
-	config := write(t, "appliance.toml", strings.ReplaceAll(
+	config := writeTemp(t, "appliance.toml", strings.ReplaceAll(
 		fmt.Sprintf(filesOnly, addr, filepath.Join(dir, "console.sock"), node.Addr), `wait = "5s"`, `wait = "2s"`))
 	p := start(t, nil, "serve", "--config", config)
 	defer p.stop(t)
@@ -62,7 +62,7 @@
 	for _, clients := range []int{1, 4} {
 		data := make([]byte, 2<<20/clients)
 		rand.NewChaCha8([32]byte{1}).Read(data)
-		local := write(t, "local", string(data))
+		local := writeTemp(t, "local", string(data))
 		var all sync.WaitGroup
 		for i := range clients {
 			all.Go(func() {
--- a/cmd/otterturn/order_test.go
+++ b/cmd/otterturn/order_test.go
@@ -16,31 +16,31 @@
 
 // Signals arrive during a certificate order. SIGHUP does not affect the order, SIGTERM ends the program at once, and after SIGKILL
 // the next start continues the order: one account, one order and one certificate in total.
-func TestSignalsAmidAnOrder(t *testing.T) {
+func TestSignalsDuringCertificateOrder(t *testing.T) {
 	challenge, httpAddr, faults := freeAddr(t), freeAddr(t), &authority.Faults{}
 	stall := authority.Fault{Step: "finalize", Do: "stall"}
 	faults.Set(stall)
 	ca := startAuthority(t, authority.Settings{HTTP: challenge, Lifetime: 1 << 40, Faults: faults})
 	dir := t.TempDir()
-	text := fmt.Sprintf(operatorFile, freeAddr(t), httpAddr, ca.Directory(), write(t, "roots.pem", string(ca.ServerRoots())),
+	text := fmt.Sprintf(operatorFile, freeAddr(t), httpAddr, ca.Directory(), writeTemp(t, "roots.pem", string(ca.ServerRoots())),
 		filepath.Join(dir, "acme"), challenge, filepath.Join(dir, "console.sock"), standin.NewFileServer(t).Addr,
 		httpPeer(t, func(*http.Request) string { return "x" }))
 	text = strings.Replace(text, `try = "20s"`, `try = "1s"`, 1)
-	config := write(t, "appliance.toml", text)
+	config := writeTemp(t, "appliance.toml", text)
 	stalled := 0
-	amid := func() *process {
+	startUntilStalled := func() *process {
 		p := start(t, nil, "serve", "--config", config)
 		standin.Until(t, "the stalled step of the order", func() bool { return faults.Count() > stalled })
 		stalled = faults.Count()
 		return p
 	}
-	p := amid()
+	p := startUntilStalled()
 	p.Process.Signal(syscall.SIGHUP)
 	p.stop(t)
-	p = amid()
+	p = startUntilStalled()
 	p.Process.Signal(syscall.SIGKILL)
 	standin.Await(t, "the exit of the program", p.done)
-	p = amid()
+	p = startUntilStalled()
 	faults.Set()
 	standin.Until(t, "the certificate", func() bool {
 		c, err := tls.Dial("tcp", httpAddr, &tls.Config{RootCAs: ca.Roots(), ServerName: "search.example"})
@@ -55,17 +55,17 @@
 
 	// The running appliance uses the challenge port: a second appliance fails with an error that names the field.
 	other := strings.NewReplacer(httpAddr, freeAddr(t), "console.sock", "other.sock").Replace(text)
-	second := start(t, nil, "serve", "--config", write(t, "other.toml", other))
+	second := start(t, nil, "serve", "--config", writeTemp(t, "other.toml", other))
 	if err := standin.Await(t, "the exit of the second process", second.done); err == nil ||
 		!strings.Contains(second.output.String(), "acme.challenge: ") {
 		t.Errorf("second process: error %v, output %q", err, second.output)
 	}
 
 	// SIGHUP loads a certificate file that the operator provides; an invalid one changes nothing.
-	mine, key := filepath.Join(dir, "acme", "certificate-files.pem"), filepath.Join(dir, "acme", "account-main.pem")
-	for _, c := range []struct{ key, want string }{{key, "reload of certificates failed, certificates unchanged"}, {mine, ""}} {
-		anew := text + fmt.Sprintf("[[certificates]]\ncert = %q\nkey = %q\n", mine, c.key)
-		if err := os.WriteFile(config, []byte(anew), 0o600); err != nil {
+	certificate, key := filepath.Join(dir, "acme", "certificate-files.pem"), filepath.Join(dir, "acme", "account-main.pem")
+	for _, c := range []struct{ key, want string }{{key, "reload of certificates failed, certificates unchanged"}, {certificate, ""}} {
+		changed := text + fmt.Sprintf("[[certificates]]\ncert = %q\nkey = %q\n", certificate, c.key)
+		if err := os.WriteFile(config, []byte(changed), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		p.Process.Signal(syscall.SIGHUP)
--- a/cmd/otterturn/reload_test.go
+++ b/cmd/otterturn/reload_test.go
@@ -14,7 +14,7 @@
 
 // Guards against a program that SIGHUP ends. SIGHUP switches to the discovery address in the reloaded file, whose versions start
 // anew. An invalid file changes nothing, and SIGTERM immediately after SIGHUP still ends the program with status 0.
-func TestReload(t *testing.T) {
+func TestReloadSwitchesDiscovery(t *testing.T) {
 	list := `{"seq":%d,"whole":true,"hosts":[{"host":%q,"dial":%q,"site":"a","block":0,"health":"up","born_ms":0}]}`
 	discovery := func(seq int, host string) (addr string, calls chan string) {
 		node := httpPeer(t, func(*http.Request) string { return host })
@@ -30,7 +30,7 @@
 	first, _ := discovery(42, "old")
 	second, calls := discovery(7, "new")
 	addr := freeAddr(t)
-	config := write(t, "config.json", fmt.Sprintf(platformConfig, addr, first))
+	config := writeTemp(t, "config.json", fmt.Sprintf(platformConfig, addr, first))
 	p := start(t, []string{"RELAY_CONFIG=" + config})
 	get := newGet(t, addr)
 	served := func(by string) {
--- a/cmd/otterturn/renewals_test.go
+++ b/cmd/otterturn/renewals_test.go
@@ -24,17 +24,17 @@
 
 // renewalTally counts the results that clients saw.
 type renewalTally struct {
-	mu                                         sync.Mutex
-	broken, unanswered, expired, done, refused int
-	handshakes                                 []shake
+	mu                                             sync.Mutex
+	failed, unanswered, expired, answered, refused int
+	handshakes                                     []handshake
 }
 
-type shake struct {
+type handshake struct {
 	at   time.Time
 	took time.Duration
 }
 
-func (c *renewalTally) add(to *int) {
+func (c *renewalTally) increment(to *int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	*to++
@@ -52,26 +52,26 @@
 		}
 		transfers = 50
 	}
-	const life = 10 * time.Second
+	const lifetime = 10 * time.Second
 	challenge, faults := freeAddr(t), &authority.Faults{}
-	ca := startAuthority(t, authority.Settings{Lifetime: life, HTTP: challenge, Faults: faults})
+	ca := startAuthority(t, authority.Settings{Lifetime: lifetime, HTTP: challenge, Faults: faults})
 	node := standin.NewFileServer(t)
 	if err := nodeSession(t, node.Addr).Mkdir("/riverside"); err != nil {
 		t.Fatal(err)
 	}
-	web := httpPeer(t, func(*http.Request) string {
+	httpNode := httpPeer(t, func(*http.Request) string {
 		time.Sleep(50 * time.Millisecond)
 		return strings.Repeat("index data ", 5000)
 	})
 	dir, sftpAddr, httpAddr := t.TempDir(), freeAddr(t), freeAddr(t)
-	text := fmt.Sprintf(operatorFile, sftpAddr, httpAddr, ca.Directory(), write(t, "roots.pem", string(ca.ServerRoots())),
-		filepath.Join(dir, "acme"), challenge, filepath.Join(dir, "console.sock"), node.Addr, web)
+	text := fmt.Sprintf(operatorFile, sftpAddr, httpAddr, ca.Directory(), writeTemp(t, "roots.pem", string(ca.ServerRoots())),
+		filepath.Join(dir, "acme"), challenge, filepath.Join(dir, "console.sock"), node.Addr, httpNode)
 	text = strings.NewReplacer("open = 64", "open = 256", "unit_bytes", "tls = true\nunit_bytes", `least = "1s"`, `least = "100ms"`,
 		`try = "20s"`, `try = "500ms"`).Replace(text)
-	p := start(t, nil, "serve", "--config", write(t, "appliance.toml", text))
-	secure := &tls.Config{RootCAs: ca.Roots(), ServerName: "files.example"}
+	p := start(t, nil, "serve", "--config", writeTemp(t, "appliance.toml", text))
+	tlsConfig := &tls.Config{RootCAs: ca.Roots(), ServerName: "files.example"}
 	standin.Until(t, "the first certificate", func() bool {
-		c, err := tls.Dial("tcp", httpAddr, secure)
+		c, err := tls.Dial("tcp", httpAddr, tlsConfig)
 		if err == nil {
 			c.Close()
 		}
@@ -79,8 +79,8 @@
 	})
 
 	var all sync.WaitGroup
-	stop, seen := make(chan struct{}), &renewalTally{}
-	over := func() bool {
+	stop, tally := make(chan struct{}), &renewalTally{}
+	stopped := func() bool {
 		select {
 		case <-stop:
 			return true
@@ -90,19 +90,19 @@
 	}
 	for i := range transfers / 2 { // uploads, each on one connection for the whole test
 		all.Go(func() {
-			conn, err := tls.Dial("tcp", sftpAddr, secure)
+			conn, err := tls.Dial("tcp", sftpAddr, tlsConfig)
 			if err != nil {
-				seen.add(&seen.broken)
+				tally.increment(&tally.failed)
 				return
 			}
 			defer conn.Close()
 			session, err := sftp.NewClientPipe(conn, conn)
 			if err != nil {
-				seen.add(&seen.broken)
+				tally.increment(&tally.failed)
 				return
 			}
 			var f *sftp.File
-			for n := 0; !over(); n++ {
+			for n := 0; !stopped(); n++ {
 				if f == nil {
 					f, err = session.OpenFile(fmt.Sprint("/riverside/", i), os.O_WRONLY|os.O_CREATE)
 				} else {
@@ -111,16 +111,16 @@
 				var status *sftp.StatusError
 				switch {
 				case err == nil:
-					seen.add(&seen.done)
+					tally.increment(&tally.answered)
 				case errors.As(err, &status): // a rejection is an answer too: reopen the file on the same connection
-					seen.add(&seen.refused)
+					tally.increment(&tally.refused)
 					if f != nil {
 						f.Close()
 					}
 					f = nil
 				default:
 					t.Errorf("upload %d: %v", i, err)
-					seen.add(&seen.broken)
+					tally.increment(&tally.failed)
 					return
 				}
 			}
@@ -128,8 +128,8 @@
 	}
 	for i := range transfers - transfers/2 { // bulk reads, each on one connection for the whole test
 		all.Go(func() {
-			client := &http.Client{Timeout: standin.Patience, Transport: &http.Transport{TLSClientConfig: secure.Clone(), MaxConnsPerHost: 1}}
-			for n := 0; !over(); n++ {
+			client := &http.Client{Timeout: standin.Patience, Transport: &http.Transport{TLSClientConfig: tlsConfig.Clone(), MaxConnsPerHost: 1}}
+			for n := 0; !stopped(); n++ {
 				r, err := http.NewRequest(http.MethodGet, "https://"+httpAddr+"/bulk-read/00000000000000aa/00000000000000bb", nil)
 				if err != nil {
 					t.Error(err)
@@ -148,35 +148,35 @@
 				}
 				if err != nil {
 					t.Errorf("bulk read %d: %v", i, err)
-					seen.add(&seen.unanswered)
+					tally.increment(&tally.unanswered)
 					return
 				}
-				seen.add(&seen.done)
+				tally.increment(&tally.answered)
 			}
 		})
 	}
 	for i := range 3 { // new connections all the time, over HTTP or SFTP
 		all.Go(func() {
-			for !over() {
+			for !stopped() {
 				began := time.Now()
-				conn, err := tls.DialWithDialer(&net.Dialer{Timeout: standin.Patience}, "tcp", []string{httpAddr, sftpAddr}[i%2], secure)
+				conn, err := tls.DialWithDialer(&net.Dialer{Timeout: standin.Patience}, "tcp", []string{httpAddr, sftpAddr}[i%2], tlsConfig)
 				if err != nil {
 					var invalid *tls.CertificateVerificationError
 					if errors.As(err, &invalid) {
-						seen.add(&seen.expired)
+						tally.increment(&tally.expired)
 					}
 					t.Errorf("new connection: %v", err)
-					seen.add(&seen.broken)
+					tally.increment(&tally.failed)
 					return
 				}
 				took := time.Since(began)
 				if time.Now().After(conn.ConnectionState().PeerCertificates[0].NotAfter.Add(time.Second)) {
-					seen.add(&seen.expired)
+					tally.increment(&tally.expired)
 				}
 				conn.Close()
-				seen.mu.Lock()
-				seen.handshakes = append(seen.handshakes, shake{began, took})
-				seen.mu.Unlock()
+				tally.mu.Lock()
+				tally.handshakes = append(tally.handshakes, handshake{began, took})
+				tally.mu.Unlock()
 				time.Sleep(3 * time.Millisecond)
 			}
 		})
@@ -184,7 +184,7 @@
 	// In each lifetime the authority fails for a while in a different way, at the time when the renewal is due.
 	kinds := []string{"refuse", "stall", "nonsense", "limit", "cut", "wrong key"}
 	served := func() string {
-		c, err := tls.Dial("tcp", httpAddr, secure)
+		c, err := tls.Dial("tcp", httpAddr, tlsConfig)
 		if err != nil {
 			return ""
 		}
@@ -195,7 +195,7 @@
 	began := time.Now()
 	for n := 0; n < renewals && !t.Failed(); n++ {
 		// Renewal is due when a third of the lifetime is left. The authority begins to fail before that.
-		fault := authority.Fault{Do: kinds[n%len(kinds)], After: life * 55 / 100, For: life * 2 / 10, Retry: time.Second}
+		fault := authority.Fault{Do: kinds[n%len(kinds)], After: lifetime * 55 / 100, For: lifetime * 2 / 10, Retry: time.Second}
 		if fault.Do == "wrong key" {
 			fault.Step = "finalize"
 		}
@@ -211,17 +211,17 @@
 	close(stop)
 	all.Wait()
 	p.stop(t)
-	var with, without []time.Duration
-	for _, s := range seen.handshakes {
+	var nearRenewal, otherwise []time.Duration
+	for _, s := range tally.handshakes {
 		near := slices.ContainsFunc(renewed, func(r time.Time) bool { return s.at.Sub(r).Abs() < 300*time.Millisecond })
 		if near {
-			with = append(with, s.took)
+			nearRenewal = append(nearRenewal, s.took)
 		} else {
-			without = append(without, s.took)
+			otherwise = append(otherwise, s.took)
 		}
 	}
-	slices.Sort(with)
-	slices.Sort(without)
+	slices.Sort(nearRenewal)
+	slices.Sort(otherwise)
 	median := func(all []time.Duration) time.Duration {
 		if len(all) == 0 {
 			return 0
@@ -230,9 +230,9 @@
 	}
 	fmt.Printf("renewals: %d in %v, %d transfers open throughout, %d requests answered and %d refused, %d without an answer; %d new connections "+
 		"(%.0f a second), %d connections failed, %d expired certificates served; a handshake %v in the median around a renewal, %v else; "+
-		"accounts %d\n", len(renewed), took.Round(time.Second), transfers, seen.done, seen.refused, seen.unanswered, len(seen.handshakes),
-		float64(len(seen.handshakes))/took.Seconds(), seen.broken, seen.expired, median(with), median(without), ca.Counts().Accounts)
-	if seen.broken+seen.unanswered+seen.expired > 0 || seen.done == 0 || ca.Counts().Accounts != 1 {
+		"accounts %d\n", len(renewed), took.Round(time.Second), transfers, tally.answered, tally.refused, tally.unanswered, len(tally.handshakes),
+		float64(len(tally.handshakes))/took.Seconds(), tally.failed, tally.expired, median(nearRenewal), median(otherwise), ca.Counts().Accounts)
+	if tally.failed+tally.unanswered+tally.expired > 0 || tally.answered == 0 || ca.Counts().Accounts != 1 {
 		t.Error("a connection failed, a request went without an answer, or an expired certificate was served")
 	}
 }
--- a/cmd/otterturn/shutdown_test.go
+++ b/cmd/otterturn/shutdown_test.go
@@ -32,14 +32,14 @@
 type shutdownSite struct {
 	addr, control, config string
 	node, discovery       string
-	asked                 atomic.Int64 // requests that reached the node
+	received              atomic.Int64 // requests that reached the node
 }
 
 func newShutdownSite(t *testing.T, deadline, delay time.Duration) *shutdownSite {
 	t.Helper()
 	s := &shutdownSite{addr: freeAddr(t), control: freeAddr(t)}
 	s.node = httpPeer(t, func(*http.Request) string {
-		s.asked.Add(1)
+		s.received.Add(1)
 		if delay < 0 {
 			return ""
 		}
@@ -53,12 +53,12 @@
 		}
 		return list
 	})
-	s.config = write(t, "config.json", s.text(deadline))
+	s.config = writeTemp(t, "config.json", s.configText(deadline))
 	return s
 }
 
-// text returns the configuration with the given longest deadline.
-func (s *shutdownSite) text(deadline time.Duration) string {
+// configText returns the configuration with the given longest deadline.
+func (s *shutdownSite) configText(deadline time.Duration) string {
 	return strings.Replace(fmt.Sprintf(platformConfig, s.addr, s.discovery), `"giveUpUs":5000000`, fmt.Sprintf(`"giveUpUs":%d`, deadline.Microseconds()), 1)
 }
 
@@ -72,17 +72,17 @@
 
 func (s *shutdownSite) awaitServing(t *testing.T) {
 	t.Helper()
-	healthy(t, s.control)
+	awaitHealthy(t, s.control)
 	standin.Until(t, "the node on the endpoint list", func() bool {
-		_, text := call(t, "GET", s.control, "/stats")
+		_, text := operatorCall(t, "GET", s.control, "/stats")
 		return strings.Contains(text, "svc.chunk_servers_known:1|g")
 	})
 }
 
-// askText returns the head of a request whose client waits for the given time.
-func askText(method string, body int, wait time.Duration) (head string) {
+// requestHead returns the head of a request whose client waits for the given time.
+func requestHead(method string, body int, wait time.Duration) (head string) {
 	head = fmt.Sprintf("%s %s HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: %s\r\nX-Service-Class: read\r\nX-Plan: gold\r\nX-Time-Left: %dm\r\nX-IO: units=1,shard=0,hosts=1\r\n",
-		method, piece, anID(), wait.Milliseconds())
+		method, readPath, newRequestID(), wait.Milliseconds())
 	if body > 0 {
 		head += fmt.Sprintf("Content-Length: %d\r\n", body)
 	}
@@ -101,18 +101,18 @@
 
 // Guards against requests that have no answer at SIGKILL because their body ends late in the shutdown: the time until SIGKILL was
 // read when the head arrived, and the request was forwarded for longer than the time that was left when the body ended.
-func TestBodyThatEndsDuringAShutdownIsAnsweredBeforeTheKill(t *testing.T) {
+func TestBodyCompletedDuringShutdownIsAnsweredBeforeKill(t *testing.T) {
 	const deadline = time.Second
 	s := newShutdownSite(t, deadline, -1)
 	p := s.start(t, func(*exec.Cmd) {})
 	before, after := dialFront(t, s.addr), dialFront(t, s.addr)
-	put := askText("PUT", 10, deadline)
+	put := requestHead("PUT", 10, deadline)
 	io.WriteString(before, put+"12345")
-	standin.Until(t, "the beginning of a request", func() bool { return figure(t, s.control, "svc.in_flight") >= 0 })
+	standin.Until(t, "the beginning of a request", func() bool { return metricValue(t, s.control, "svc.in_flight") >= 0 })
 	began := time.Now()
 	p.Process.Signal(syscall.SIGTERM)
 	time.Sleep(100 * time.Millisecond) // the test needs a fixed time within the shutdown
-	io.WriteString(after, askText("PUT", 10, deadline)+"12345")
+	io.WriteString(after, requestHead("PUT", 10, deadline)+"12345")
 	time.Sleep(time.Until(began.Add(1100 * time.Millisecond)))
 	kill := began.Add(killAfter(deadline))
 	for name, c := range map[string]net.Conn{"head before SIGTERM": before, "head after SIGTERM": after} {
@@ -136,10 +136,10 @@
 	return resp.StatusCode, err
 }
 
-// figure returns the value of a metric, -1 if the front does not report it.
-func figure(t *testing.T, control, name string) (value int64) {
+// awaitMetricLine returns the value of a metric, -1 if the front does not report it.
+func metricValue(t *testing.T, control, name string) (value int64) {
 	t.Helper()
-	_, text := call(t, "GET", control, "/stats")
+	_, text := operatorCall(t, "GET", control, "/stats")
 	for _, line := range strings.Split(text, "\n") {
 		if rest, ok := strings.CutPrefix(line, name+":"); ok {
 			fmt.Sscanf(rest, "%d|", &value)
@@ -175,7 +175,7 @@
 func (e *eagerClients) ask(c net.Conn) {
 	in := bufio.NewReader(c)
 	for {
-		if _, err := io.WriteString(c, askText("GET", 0, e.wait)); err != nil {
+		if _, err := io.WriteString(c, requestHead("GET", 0, e.wait)); err != nil {
 			return
 		}
 		for {
@@ -208,8 +208,8 @@
 	*n++
 }
 
-// stopUnder sends the signals under load, kills the front when the platform would, and expects that all requests have an answer then.
-func (e *eagerClients) stopUnder(t *testing.T, p *process, longest time.Duration, signals ...os.Signal) {
+// stopUnderLoad sends the signals under load, kills the front when the platform would, and expects that all requests have an answer then.
+func (e *eagerClients) stopUnderLoad(t *testing.T, p *process, longest time.Duration, signals ...os.Signal) {
 	t.Helper()
 	kill := time.Now().Add(killAfter(longest))
 	for _, s := range signals {
@@ -234,17 +234,17 @@
 
 // Guards against requests lost after a reload that shortens the longest deadline, and with it the time until SIGKILL: the shutdown
 // used the settings of the start.
-func TestShutdownGoesByTheReloadedDeadline(t *testing.T) {
+func TestShutdownUsesReloadedDeadline(t *testing.T) {
 	const reloaded = 500 * time.Millisecond
 	s := newShutdownSite(t, 3*time.Second, nodeDelay)
 	p := s.start(t, func(*exec.Cmd) {})
-	if err := os.WriteFile(s.config, []byte(s.text(reloaded)), 0o600); err != nil {
+	if err := os.WriteFile(s.config, []byte(s.configText(reloaded)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.Process.Signal(syscall.SIGHUP)
-	standin.Until(t, "the reload", func() bool { return figure(t, s.control, "svc.reloads_ok") == 1 })
+	standin.Until(t, "the reload", func() bool { return metricValue(t, s.control, "svc.reloads_ok") == 1 })
 	clients := &eagerClients{wait: reloaded}
 	clients.start(t, s.addr, shutdownClients)
 	standin.Until(t, "answers", func() bool { clients.mu.Lock(); defer clients.mu.Unlock(); return clients.answered > 0 })
-	clients.stopUnder(t, p, reloaded, syscall.SIGTERM)
+	clients.stopUnderLoad(t, p, reloaded, syscall.SIGTERM)
 }
