--- a/cmd/otterlab/main.go
+++ b/cmd/otterlab/main.go
@@ -22,14 +22,14 @@
 // commands defines the command line.
 type commands struct {
 	Restart   restartCommand   `cmd:"" help:"Measure what a restart costs, with and without saved learned state."`
-	Rehearse  rehearseCommand  `cmd:"" help:"Simulate scenarios with the scheduler, the baselines and other builds. Fails if a rule is broken or a node overloaded."`
-	Repeat    repeatCommand    `cmd:"" help:"Simulate scenarios twice. Fails if the digests differ, a rule is broken or a node overloaded."`
+	Rehearse  rehearseCommand  `cmd:"" help:"Simulate scenarios in virtual time with the scheduler, the baselines and other builds. Fails if a rule is broken or a node is overloaded."`
+	Repeat    repeatCommand    `cmd:"" help:"Simulate scenarios twice. Fails if the digests differ, a rule is broken or a node is overloaded."`
 	Agree     agreeCommand     `cmd:"" help:"Run a load on sockets and in virtual time. Fails if they differ by more than the tolerance."`
 	Node      nodeCommand      `cmd:"" help:"Emulate an appliance's nodes until interrupted."`
 	Load      loadCommand      `cmd:"" help:"Send client requests to a running appliance. Fails if a request has no valid answer."`
 	Demo      demoCommand      `cmd:"" help:"Show emulated nodes, an appliance, load, console commands and a report in under a minute."`
 	Speed     speedCommand     `cmd:"" help:"Measure the speed of virtual time by number of nodes."`
-	Processes processesCommand `cmd:"" help:"Measure fronts that run as processes, in under four minutes."`
+	Processes processesCommand `cmd:"" help:"Measure fronts that run as processes: processor time, memory, changes, probes; under four minutes."`
 	Histories historiesCommand `cmd:"" help:"Simulate years of certificate renewals against failing authorities, in virtual time."`
 	Capacity  capacityCommand  `cmd:"" help:"Measure the cost of a fleet of hollow fronts by size and event, as a table."`
 	Authority authorityCommand `cmd:"" help:"Run an ACME certificate authority on loopback until interrupted."`
--- a/cmd/otterlab/rehearse.go
+++ b/cmd/otterlab/rehearse.go
@@ -52,7 +52,7 @@
 			return err
 		}
 		if passed, _ := compared.Kept(); !passed {
-			failed = errors.Join(failed, fmt.Errorf("%s: a rule was broken or a node overloaded", name))
+			failed = errors.Join(failed, fmt.Errorf("%s: a rule was broken or a node was overloaded", name))
 		}
 		comparisons = append(comparisons, compared)
 	}
@@ -106,7 +106,7 @@
 			fmt.Fprintln(out, "broken:", line)
 		}
 		if digests[0] != digests[1] || result.Fallen > 0 || len(result.Breaks) > 0 {
-			failed = errors.Join(failed, fmt.Errorf("%s: the digests differ, a rule was broken or a node overloaded", name))
+			failed = errors.Join(failed, fmt.Errorf("%s: the digests differ, a rule was broken or a node was overloaded", name))
 		}
 		summary = append(summary, fmt.Sprintf("%s twice %s, %.3f in time, %d pushed over, %d rules broken", strings.TrimSuffix(filepath.Base(name), ".toml"),
 			digests[0], result.Share(), result.Fallen, len(result.Breaks)))
@@ -158,20 +158,21 @@
 	maxDifference := 0.0
 	var failed error
 	for seed := range uint64(c.Days) {
-		virtual, err := s.Play(seed+1, scenario.Ours)
+		simulated, err := s.Play(seed+1, scenario.Ours)
 		if err != nil {
 			return err
 		}
-		real, err := sockets.Play(s, seed+1)
+		measured, err := sockets.Play(s, seed+1)
 		if err != nil {
 			return err
 		}
-		maxDifference = max(maxDifference, math.Abs(real.Share()-virtual.Share()))
+		maxDifference = max(maxDifference, math.Abs(measured.Share()-simulated.Share()))
 		fmt.Fprintf(out, "day %d: %.3f in time on sockets, %.3f in virtual time; reads %.0f and %.0f ms in the median, %.0f and %.0f at 99%%\n", seed+1,
-			real.Share(), virtual.Share(), float64(real.Latency[0].ValueAtQuantile(50))/1000, float64(virtual.Latency[0].ValueAtQuantile(50))/1000,
-			float64(real.Latency[0].ValueAtQuantile(99))/1000, float64(virtual.Latency[0].ValueAtQuantile(99))/1000)
-		if len(real.Breaks) > 0 || real.Fallen > 0 {
-			failed = fmt.Errorf("day %d on sockets: %d nodes pushed over, %v", seed+1, real.Fallen, real.Breaks)
+			measured.Share(), simulated.Share(),
+			float64(measured.Latency[0].ValueAtQuantile(50))/1000, float64(simulated.Latency[0].ValueAtQuantile(50))/1000,
+			float64(measured.Latency[0].ValueAtQuantile(99))/1000, float64(simulated.Latency[0].ValueAtQuantile(99))/1000)
+		if len(measured.Breaks) > 0 || measured.Fallen > 0 {
+			failed = fmt.Errorf("day %d on sockets: %d nodes pushed over, %v", seed+1, measured.Fallen, measured.Breaks)
 		}
 	}
 	fmt.Fprintf(out, "agree: %d days of %v, worth in time differs by at most %.3f, %.3f is allowed\n",
--- a/cmd/otterturn/accept_test.go
+++ b/cmd/otterturn/accept_test.go
@@ -76,8 +76,8 @@
 	c.SetDeadline(time.Now().Add(standin.Patience))
 	c.Write([]byte(requestHead("GET", 0, wait)))
 	status, err := readAnswer(c)
-	if asked := s.received.Load() - before; err != nil || status != 503 || asked != 0 {
-		t.Errorf("status %d, error %v, %d requests reached the node; want status 503 and no request", status, err, asked)
+	if received := s.received.Load() - before; err != nil || status != 503 || received != 0 {
+		t.Errorf("status %d, error %v, %d requests reached the node; want status 503 and no request", status, err, received)
 	}
 	p.stop(t)
 }
--- a/cmd/otterturn/crash_test.go
+++ b/cmd/otterturn/crash_test.go
@@ -224,7 +224,7 @@
 	damage, written := "", false
 	for n := range kills {
 		p := start(t, nil, "serve", "--config", config)
-		awaitLog(t, p, servingMessage)
+		awaitOutput(t, p, servingMessage)
 		out := p.output.String()
 		found := restoredLine.FindStringSubmatch(out)
 		switch {
--- a/cmd/otterturn/crowd_test.go
+++ b/cmd/otterturn/descriptors_test.go
@@ -40,7 +40,7 @@
 	p := startWith(t, func(c *exec.Cmd) {
 		c.Path, c.Args = "/bin/sh", []string{"sh", "-c", `ulimit -n 160; exec "$0"`, os.Args[0]}
 	}, []string{"RELAY_CONFIG=" + writeTemp(t, "config.json", config)})
-	awaitLogged(t, p, "discovery unreadable, endpoint list unchanged")
+	awaitLogLine(t, p, "discovery unreadable, endpoint list unchanged")
 	for i := range 400 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
--- a/cmd/otterturn/exit_test.go
+++ b/cmd/otterturn/exit_test.go
@@ -18,7 +18,7 @@
 	}
 	config, _, _ := learningConfig(t, freeAddr(t))
 	p := start(t, nil, "serve", "--config", config)
-	awaitLog(t, p, servingMessage)
+	awaitOutput(t, p, servingMessage)
 	for _, c := range []struct {
 		want int
 		args []string
--- a/cmd/otterturn/fleet_input_test.go
+++ b/cmd/otterturn/fleet_input_test.go
@@ -46,7 +46,7 @@
 			}
 		}
 		standin.Until(t, fmt.Sprintf("the dropped messages of kind %d", kind), func() bool { return f.metric("health.dropped") >= before+each })
-		awaitLogged(t, f.process, c.why)
+		awaitLogLine(t, f.process, c.why)
 		if n := strings.Count(f.output.String(), c.why); n != 1 {
 			t.Errorf("%s was logged %d times", c.why, n)
 		}
@@ -93,7 +93,7 @@
 	} {
 		reload(path, replace(string(good), c.old, c.with))
 		awaitMetric(t, []*fleetFront{f}, "reloads_failed", i+1)
-		awaitLogged(t, f.process, c.says)
+		awaitLogLine(t, f.process, c.says)
 	}
 	if f.metric("served.index") != -1 {
 		t.Error("a configuration was applied together with an invalid fleet file")
--- a/cmd/otterturn/fleet_nodes_test.go
+++ b/cmd/otterturn/fleet_nodes_test.go
@@ -73,7 +73,7 @@
 	n.probes, n.attempts = map[int]int{}, map[int]int{}
 }
 
-// counts holds the number of requests that a node received.
+// requestCounts holds the number of requests that a node received.
 type requestCounts struct {
 	probes, attempts int
 	probing          []int // fronts that sent probes
--- a/cmd/otterturn/fleet_site_test.go
+++ b/cmd/otterturn/fleet_site_test.go
@@ -163,7 +163,7 @@
 	f.process = start(f.t, []string{"RELAY_CONFIG=" + f.config, "RELAY_FLEET=" + fleetFile})
 }
 
-// request sends a request for a shard and returns the answer's status, 0 if there is no answer.
+// ask sends a request for a shard and returns the answer's status, 0 if there is no answer.
 func (f *fleetFront) ask(shard int) int {
 	r, err := http.NewRequest(http.MethodGet, "http://"+f.addr+readPath, nil)
 	if err != nil {
@@ -199,7 +199,7 @@
 	})
 }
 
-// awaitMetricLine returns the value of a metric, -1 if the front does not report it.
+// metric returns the value of a metric, -1 if the front does not report it.
 func (f *fleetFront) metric(name string) int {
 	_, text := operatorCall(f.t, "GET", f.control, "/stats")
 	found := regexp.MustCompile(`(?m)^svc\.` + regexp.QuoteMeta(name) + `:(\d+)\|`).FindStringSubmatch(text)
--- a/cmd/otterturn/learned_test.go
+++ b/cmd/otterturn/learned_test.go
@@ -23,7 +23,7 @@
 // servingMessage is the log message of a program that has begun to serve.
 const servingMessage = `"msg":"serving"`
 
-func awaitLog(t *testing.T, p *process, text string) {
+func awaitOutput(t *testing.T, p *process, text string) {
 	t.Helper()
 	standin.Until(t, fmt.Sprintf("%q in the log", text), func() bool { return strings.Contains(p.output.String(), text) })
 }
@@ -42,7 +42,7 @@
 		t.Errorf("state show before the first save: %q", text)
 	}
 	p := start(t, nil, "serve", "--config", config)
-	awaitLog(t, p, servingMessage)
+	awaitOutput(t, p, servingMessage)
 	session := nodeSession(t, addr)
 	if err := session.Mkdir("/riverside"); err != nil {
 		t.Fatal(err)
@@ -74,7 +74,7 @@
 	p.Process.Signal(syscall.SIGKILL)
 	standin.Await(t, "the exit of the program", p.done)
 	p = start(t, nil, "serve", "--config", config)
-	awaitLog(t, p, servingMessage)
+	awaitOutput(t, p, servingMessage)
 	if text := p.output.String(); !strings.Contains(text, "learned state restored") || !strings.Contains(text, `"node drain restored","node":"node-a"`) {
 		t.Errorf("log after the kill: %q", text)
 	}
@@ -105,7 +105,7 @@
 		t.Errorf("state check of a damaged file: %q, %v", text, err)
 	}
 	p = start(t, nil, "serve", "--config", config)
-	awaitLog(t, p, servingMessage)
+	awaitOutput(t, p, servingMessage)
 	if text := p.output.String(); strings.Count(text, "snapshot rejected") != 1 || !strings.Contains(text, "it is kept as learned.aside.") {
 		t.Errorf("log after a start with a damaged file: %q", text)
 	}
@@ -114,14 +114,14 @@
 	if err := os.Rename(folder, folder+".away"); err != nil {
 		t.Fatal(err)
 	}
-	awaitLog(t, p, "saving learned state failed")
+	awaitOutput(t, p, "saving learned state failed")
 	if _, err := nodeSession(t, addr).ReadDir("/riverside"); err != nil {
 		t.Errorf("directory listing while the folder is missing: %v", err)
 	}
 	if err := os.Rename(folder+".away", folder); err != nil {
 		t.Fatal(err)
 	}
-	awaitLog(t, p, "saving learned state recovered")
+	awaitOutput(t, p, "saving learned state recovered")
 	p.stop(t)
 	if n := strings.Count(p.output.String(), "saving learned state failed"); n != 1 {
 		t.Errorf("%d log lines for failed saves, want 1:\n%s", n, p.output)
--- a/cmd/otterturn/main.go
+++ b/cmd/otterturn/main.go
@@ -32,7 +32,7 @@
 	Config string `help:"The operator's file." default:"deploy/appliance.toml" placeholder:"FILE"`
 
 	Serve   serveCommand   `cmd:"" help:"Run an appliance until SIGTERM. SIGHUP reloads the nodes and certificates from the file."`
-	Check   checkCommand   `cmd:"" help:"Check the operator's file and name the first invalid field."`
+	Check   checkCommand   `cmd:"" help:"Check the operator's file and name the invalid field."`
 	Console consoleCommand `cmd:"" help:"Send commands to a running appliance."`
 	State   struct {
 		Show   showStateCommand  `cmd:"" help:"Show the saved state."`
--- a/cmd/otterturn/daily_test.go
+++ b/cmd/otterturn/operators_test.go
@@ -157,7 +157,7 @@
 	} {
 		reload(strings.Replace(string(former), c.old, c.new, 1))
 		s.awaitMetricLine(t, fmt.Sprintf("svc.reloads_failed:%d|c", i+1))
-		awaitLogged(t, p, c.says) // logged after the metric is incremented
+		awaitLogLine(t, p, c.says) // logged after the metric is incremented
 	}
 	standin.Until(t, "a served request", func() bool { status, _, _ := s.get(readPath, newRequestID()); return status == 200 })
 	reload(strings.Replace(string(former), `"classes":[`, `"classes":[{"name":"index","aimUs":300000,"giveUpUs":5000000,"semantics":"retryable","credit":1},`, 1))
--- a/cmd/otterturn/shutdown_test.go
+++ b/cmd/otterturn/shutdown_test.go
@@ -136,7 +136,7 @@
 	return resp.StatusCode, err
 }
 
-// awaitMetricLine returns the value of a metric, -1 if the front does not report it.
+// metricValue returns the value of a metric, -1 if the front does not report it.
 func metricValue(t *testing.T, control, name string) (value int64) {
 	t.Helper()
 	_, text := operatorCall(t, "GET", control, "/stats")
--- a/cmd/otterturn/upgrade_test.go
+++ b/cmd/otterturn/upgrade_test.go
@@ -30,7 +30,7 @@
 	return &clientConn{c, bufio.NewReader(c)}
 }
 
-// requestStart returns the first part of a request; rest is the remaining part.
+// requestStart returns the first part of a request; requestRest is the remaining part.
 func requestStart(id string) string {
 	return "GET " + readPath + " HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: " + id + "\r\nX-Service-Class: read\r\nX-Plan: gold\r\n"
 }
@@ -60,7 +60,7 @@
 	return k.readStatus(t)
 }
 
-func awaitLogged(t *testing.T, p *process, what string) {
+func awaitLogLine(t *testing.T, p *process, what string) {
 	t.Helper()
 	defer func() {
 		if t.Failed() {
@@ -90,7 +90,7 @@
 		control := freeAddr(t)
 		successor := s.start(t, control)
 		awaitHealthy(t, control)
-		awaitLogged(t, predecessor, "handover sent")
+		awaitLogLine(t, predecessor, "handover sent")
 		split.send(t, requestRest)
 		if got := split.readStatus(t); got != 200 {
 			t.Errorf("round %d: status %d for the request sent in two halves", round, got)
@@ -144,13 +144,13 @@
 		t.Fatal(err)
 	}
 	fmt.Fprint(bad, "nonsense")
-	awaitLogged(t, predecessor, "upgrade rejected, predecessor continues serving")
+	awaitLogLine(t, predecessor, "upgrade rejected, predecessor continues serving")
 	bad.Close()
 	for range 2 {
 		control := freeAddr(t)
 		successor := s.start(t, control)
 		awaitHealthy(t, control)
-		awaitLogged(t, predecessor, "handover sent")
+		awaitLogLine(t, predecessor, "handover sent")
 		newClient := s.connect(t)
 		if got := newClient.request(t, newRequestID()); got != 200 {
 			t.Errorf("new client of the successor: status %d", got)
@@ -182,9 +182,9 @@
 	control := freeAddr(t)
 	successor := s.start(t, control)
 	awaitHealthy(t, control)
-	awaitLogged(t, successor, "predecessor silent, limits suspended until it ends")
+	awaitLogLine(t, successor, "predecessor silent, limits suspended until it ends")
 	predecessor.Process.Kill()
-	awaitLogged(t, successor, "predecessor ended, limits resumed")
+	awaitLogLine(t, successor, "predecessor ended, limits resumed")
 	standin.Until(t, "a served request", func() bool { return s.connect(t).request(t, newRequestID()) == 200 })
 	successor.stop(t)
 }
