--- a/cmd/otterturn/fleet_nodes_test.go
+++ b/cmd/otterturn/fleet_nodes_test.go
@@ -14,8 +14,7 @@
 	"otterturn/internal/standin"
 )
 
-// auditedNode is a storage node that counts what comes to it, by the front from which it comes. Each front has an
-// address of its own for it.
+// auditedNode is a storage node that counts the requests it receives per front. It has a separate address for each front.
 type auditedNode struct {
 	name  string
 	addrs []string // by front
@@ -28,7 +27,7 @@
 
 func newAuditedNode(t *testing.T, name string, fronts int) *auditedNode {
 	n := &auditedNode{name: name}
-	n.forget()
+	n.resetCounts()
 	for front := range fronts {
 		n.addrs = append(n.addrs, standin.Peer(t, func(_ int, c net.Conn) { n.serve(front, c) }))
 	}
@@ -48,7 +47,7 @@
 	}
 }
 
-// count tells whether the request is to be answered.
+// count counts the request and reports whether the node answers it.
 func (n *auditedNode) count(front int, r *http.Request) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -60,27 +59,27 @@
 	return !n.silent
 }
 
-// silence has the node answer nothing from now on, or again.
-func (n *auditedNode) silence(on bool) {
+// setSilent makes the node stop answering, or answer again.
+func (n *auditedNode) setSilent(on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.silent = on
 }
 
-// forget begins the count anew.
-func (n *auditedNode) forget() {
+// resetCounts resets the counts.
+func (n *auditedNode) resetCounts() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.probes, n.attempts = map[int]int{}, map[int]int{}
 }
 
-// audit is what came to a node.
-type audit struct {
+// requestCounts holds the number of requests that a node received.
+type requestCounts struct {
 	probes, attempts int
-	probing          []int // fronts
+	probing          []int // fronts that sent probes
 }
 
-func (n *auditedNode) audit() (a audit) {
+func (n *auditedNode) counts() (a requestCounts) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for front, count := range n.probes {
--- a/cmd/otterturn/main.go
+++ b/cmd/otterturn/main.go
@@ -1,5 +1,5 @@
-// Command otterturn is a front for storage nodes. Without arguments it is the platform's front and takes its
-// configuration from the RELAY_ variables; the commands are those of an appliance, by an operator's file.
+// Command otterturn is a front for storage nodes. Without arguments it runs as the platform's front, configured by the
+// RELAY_ environment variables. Its commands run and control an appliance, which is configured by an operator's file.
 package main
 
 import (
@@ -19,46 +19,46 @@
 	"otterturn/internal/program"
 )
 
-// How the program ends.
+// Exit statuses of the program.
 const (
-	exitFailed     = 1 // something failed at work
-	exitMisused    = 2 // the command line or a configuration is wrong
-	exitNotCarried = 3 // the appliance did not carry out a command
-	exitNotRunning = 4 // no appliance answers on the console's socket
+	exitFailed     = 1 // an operation failed
+	exitInvalid    = 2 // the command line or a configuration is invalid
+	exitRejected   = 3 // the appliance rejected a command
+	exitNotRunning = 4 // no appliance listens on the console socket
 )
 
-// commands are the words of the command line.
+// commands defines the command line.
 type commands struct {
 	Config string `help:"The operator's file." default:"deploy/appliance.toml" placeholder:"FILE"`
 
-	Serve   serve   `cmd:"" help:"Run an appliance until SIGTERM. SIGHUP takes over the file's nodes and certificates."`
-	Check   check   `cmd:"" help:"Check the operator's file, and say which field is wrong."`
-	Console console `cmd:"" help:"Send commands to a running appliance."`
+	Serve   serveCommand   `cmd:"" help:"Run an appliance until SIGTERM. SIGHUP reloads the nodes and certificates from the file."`
+	Check   checkCommand   `cmd:"" help:"Check the operator's file and name the invalid field."`
+	Console consoleCommand `cmd:"" help:"Send commands to a running appliance."`
 	State   struct {
-		Show   show   `cmd:"" help:"Show what is kept."`
-		Check  whole  `cmd:"" help:"Tell whether the next start would use it."`
-		Forget forget `cmd:"" help:"Drop what was learned."`
-	} `cmd:"" help:"What an appliance keeps of what it learned, whether it runs or not."`
+		Show   showStateCommand  `cmd:"" help:"Show the saved state."`
+		Check  checkStateCommand `cmd:"" help:"Check whether the next start would use the saved state."`
+		Forget forgetCommand     `cmd:"" help:"Remove learned state."`
+	} `cmd:"" help:"Learned state that an appliance saves; works on a running and on a stopped appliance."`
 	Cert struct {
-		Show    certificates `cmd:"" help:"Names, serial, end, next try and why then, last error."`
-		Renew   renew        `cmd:"" help:"Renew a certificate now."`
-		Revoke  revoke       `cmd:"" help:"Have a certificate revoked, and another one made."`
-		Rollkey rollkey      `cmd:"" help:"Give the account at an authority a new key."`
-	} `cmd:"" help:"The certificates of a running appliance."`
-	Lab     lab     `cmd:"" help:"The laboratory: emulated nodes, load, rehearsals. 'otterturn lab --help' lists its commands."`
-	Demo    demo    `cmd:"" help:"See it all in 20 s: emulated nodes, an appliance, load, console, a report."`
-	Version version `cmd:"" help:"Tell which build this is."`
+		Show    showCertificatesCommand `cmd:"" help:"Show names, serial number, expiry, next renewal attempt with its reason, and last error."`
+		Renew   renewCommand            `cmd:"" help:"Renew a certificate now."`
+		Revoke  revokeCommand           `cmd:"" help:"Revoke a certificate and obtain a new one."`
+		Rollkey rollkeyCommand          `cmd:"" help:"Replace the account key at an authority."`
+	} `cmd:"" help:"Manage the certificates of a running appliance."`
+	Lab     labCommand     `cmd:"" help:"The laboratory: emulated nodes, load, rehearsals. 'otterturn lab --help' lists its commands."`
+	Demo    demoCommand    `cmd:"" help:"Run a 20 s demonstration: emulated nodes, an appliance, load, console commands and a report."`
+	Version versionCommand `cmd:"" help:"Print the version of this build."`
 
-	InstallCompletions kongplete.InstallCompletions `cmd:"" help:"Have the shell complete commands."`
+	InstallCompletions kongplete.InstallCompletions `cmd:"" help:"Install shell completions."`
 }
 
-type serve struct{}
+type serveCommand struct{}
 
-func (serve) Run(c *commands) error { return program.Serve(c.Config) }
+func (serveCommand) Run(c *commands) error { return program.Serve(c.Config) }
 
-type check struct{}
+type checkCommand struct{}
 
-func (check) Run(c *commands) error {
+func (checkCommand) Run(c *commands) error {
 	_, err := program.LoadOperator(c.Config)
 	if err == nil {
 		fmt.Println(c.Config, "is in order")
@@ -66,114 +66,120 @@
 	return err
 }
 
-type console struct {
-	Command []string `arg:"" optional:"" help:"One command; without it, lines from standard input. 'help' lists them."`
+type consoleCommand struct {
+	Command []string `arg:"" optional:"" help:"One command; without it, commands are read from standard input. 'help' lists them."`
 }
 
-func (console) Help() string {
+func (consoleCommand) Help() string {
 	return "Examples:\n  otterturn console status\n  otterturn console drain node-a\n  otterturn console < commands.txt"
 }
 
-func (w console) Run(c *commands) error {
-	return program.Console(c.Config, w.Command, os.Stdin, os.Stdout)
+func (command consoleCommand) Run(c *commands) error {
+	return program.Console(c.Config, command.Command, os.Stdin, os.Stdout)
 }
 
-type show struct{}
+type showStateCommand struct{}
 
-func (show) Run(c *commands) error { return program.Kept(c.Config, []string{"show"}, os.Stdout) }
+func (showStateCommand) Run(c *commands) error {
+	return program.Kept(c.Config, []string{"show"}, os.Stdout)
+}
 
-type whole struct{}
+type checkStateCommand struct{}
 
-func (whole) Run(c *commands) error { return program.Kept(c.Config, []string{"check"}, os.Stdout) }
+func (checkStateCommand) Run(c *commands) error {
+	return program.Kept(c.Config, []string{"check"}, os.Stdout)
+}
 
-type forget struct {
+type forgetCommand struct {
 	What []string `arg:"" help:"'node NAME', 'project NAME' or 'all'."`
 }
 
-func (w forget) Run(c *commands) error {
-	return program.Kept(c.Config, append([]string{"forget"}, w.What...), os.Stdout)
+func (command forgetCommand) Run(c *commands) error {
+	return program.Kept(c.Config, append([]string{"forget"}, command.What...), os.Stdout)
 }
 
-// told sends one command to the appliance.
-func told(c *commands, words ...string) error {
+// sendCommand sends one command to the appliance and prints its answer.
+func sendCommand(c *commands, words ...string) error {
 	return program.Console(c.Config, words, nil, os.Stdout)
 }
 
-type certificates struct{}
+type showCertificatesCommand struct{}
 
-func (certificates) Run(c *commands) error { return told(c, "certificate") }
+func (showCertificatesCommand) Run(c *commands) error { return sendCommand(c, "certificate") }
 
-type renew struct {
+type renewCommand struct {
 	Name string `arg:"" help:"The certificate's name in the operator's file."`
 }
 
-func (w renew) Run(c *commands) error { return told(c, "renew", w.Name) }
+func (command renewCommand) Run(c *commands) error { return sendCommand(c, "renew", command.Name) }
 
-type revoke struct {
+type revokeCommand struct {
 	Name string `arg:"" help:"The certificate's name in the operator's file."`
 }
 
-func (w revoke) Run(c *commands) error { return told(c, "revoke", w.Name) }
+func (command revokeCommand) Run(c *commands) error { return sendCommand(c, "revoke", command.Name) }
 
-type rollkey struct {
+type rollkeyCommand struct {
 	Authority string `arg:"" help:"The authority's name in the operator's file."`
 }
 
-func (w rollkey) Run(c *commands) error { return told(c, "rollkey", w.Authority) }
+func (command rollkeyCommand) Run(c *commands) error {
+	return sendCommand(c, "rollkey", command.Authority)
+}
 
-type lab struct{}
+type labCommand struct{}
 
-func (lab) Run() error { return otterlab(nil) }
+func (labCommand) Run() error { return execOtterlab(nil) }
 
-type demo struct{}
+type demoCommand struct{}
 
-func (demo) Run() error { return otterlab([]string{"demo"}) }
+func (demoCommand) Run() error { return execOtterlab([]string{"demo"}) }
 
-// otterlab becomes the laboratory's program, which stands beside this one: it is one of its own because fonts and plots
-// would be loaded at each start of the platform's front.
-func otterlab(args []string) error {
-	own, err := os.Executable()
+// execOtterlab replaces this process with the otterlab program from the same folder. The laboratory is a separate program because
+// otherwise each start of the platform's front would load its fonts and plots.
+func execOtterlab(args []string) error {
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(filepath.Dir(own), "otterlab")
+	path := filepath.Join(filepath.Dir(executable), "otterlab")
 	if _, err := exec.LookPath(path); err != nil {
-		return fmt.Errorf("%w; 'make build' makes it", err)
+		return fmt.Errorf("%w; run 'make build' to build it", err)
 	}
 	return syscall.Exec(path, append([]string{path}, args...), os.Environ())
 }
 
-type version struct{}
+type versionCommand struct{}
 
-func (version) Run() error {
+func (versionCommand) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("the build says nothing of itself")
+		return errors.New("the binary contains no build information")
 	}
-	set := map[string]string{}
+	vcs := map[string]string{}
 	for _, s := range info.Settings {
-		set[s.Key] = s.Value
+		vcs[s.Key] = s.Value
 	}
-	_, err := fmt.Println("otterturn", cmp.Or(strings.TrimSpace(set["vcs.revision"]+" "+set["vcs.time"]), info.Main.Version), info.GoVersion)
+	_, err := fmt.Println("otterturn", cmp.Or(strings.TrimSpace(vcs["vcs.revision"]+" "+vcs["vcs.time"]), info.Main.Version), info.GoVersion)
 	return err
 }
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, "otterturn:", err)
-		os.Exit(exit(err))
+		os.Exit(exitStatus(err))
 	}
 }
 
-// exit is the program's status after an error.
-func exit(err error) int {
+// exitStatus returns the program's exit status for an error.
+func exitStatus(err error) int {
 	switch {
 	case errors.Is(err, program.ErrNotRunning):
 		return exitNotRunning
 	case errors.Is(err, program.ErrCommand):
-		return exitNotCarried
+		return exitRejected
 	case errors.Is(err, program.ErrConfiguration):
-		return exitMisused
+		return exitInvalid
 	}
 	return exitFailed
 }
@@ -182,16 +188,16 @@
 	if len(args) == 0 {
 		return program.Platform()
 	}
-	if args[0] == "lab" { // its flags are its own
-		return otterlab(args[1:])
+	if args[0] == "lab" { // otterlab parses its own flags
+		return execOtterlab(args[1:])
 	}
 	var c commands
 	parser, err := kong.New(&c, kong.Name("otterturn"), kong.Description("A front for shared storage nodes. Without a "+
-		"command it is the platform's front, by the RELAY_ variables. It ends with 0, or with 1 where something failed, 2 where "+
-		"the command line or a configuration is wrong, 3 where an appliance did not carry out a command, 4 where none answers."),
+		"command it runs as the platform's front, configured by the RELAY_ variables. Exit status: 0 on success, 1 on failure, 2 if "+
+		"the command line or a configuration is invalid, 3 if the appliance rejected a command, 4 if no appliance is running."),
 		kong.UsageOnError(), kong.Bind(&c), kong.Exit(func(code int) {
-			if code != 0 { // of kong's own there are only those of a wrong command line
-				code = exitMisused
+			if code != 0 { // kong itself exits with an error only for an invalid command line
+				code = exitInvalid
 			}
 			os.Exit(code)
 		}))
