--- a/internal/certs/manager/manager.go
+++ b/internal/certs/manager/manager.go
@@ -29,9 +29,9 @@
 type Settings struct {
 	Certificates []Certificate
 	Authorities  []order.Authority
-	Policy       plan.Policy   // its authorities are in the same order as Authorities
-	Try          time.Duration // time limit of one try
-	HTTP, ALPN   bool          // whether HTTP-01 and TLS-ALPN-01 can be answered
+	Policy       plan.Policy // its authorities are in the same order as Authorities
+	Try          time.Duration
+	HTTP, ALPN   bool // whether HTTP-01 and TLS-ALPN-01 can be answered
 	Log          *slog.Logger
 }
 
--- a/internal/certs/manager/manager_test.go
+++ b/internal/certs/manager/manager_test.go
@@ -30,7 +30,7 @@
 	authorities []*authority.Authority
 	settings    Settings
 	mu          sync.Mutex
-	serving     *Manager // answers challenges on the ports
+	current     *Manager // answers challenges on the ports
 	log         []string
 }
 
@@ -85,7 +85,7 @@
 func (s *fixture) manager() *Manager {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.serving
+	return s.current
 }
 
 // start starts a manager as a new process would. end stops it, at any time.
@@ -97,7 +97,7 @@
 	}
 	m = New(s.settings, v)
 	s.mu.Lock()
-	s.serving = m
+	s.current = m
 	s.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -124,8 +124,8 @@
 	return cert
 }
 
-// At each step of an order the authority fails twice in one way: it refuses connections, rejects, limits or stalls
-// requests, or answers wrongly. Then it recovers. The certificate must be issued for both names, with one account.
+// At each step of an order the authority fails twice in one way: it refuses or cuts connections, rejects, limits or
+// stalls requests, or answers wrongly. Then it recovers. The certificate must be issued for both names, with one account.
 func TestAuthorityFailsAtEachStep(t *testing.T) {
 	for _, step := range []string{"directory", "nonce", "account", "order", "authz", "challenge", "finalize", "cert"} {
 		for _, do := range []string{
@@ -226,14 +226,14 @@
 	}
 	m := New(s.settings, v)
 	s.mu.Lock()
-	s.serving = m
+	s.current = m
 	s.mu.Unlock()
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	go m.Run(ctx)
 	standin.Until(t, "a failed try", func() bool { _, at := m.managed[0].last(); return !at.IsZero() })
 	if n := s.authorities[0].Counts(); n.Orders+n.Accounts != 0 {
-		t.Errorf("counted %+v", n)
+		t.Errorf("counted %+v, want no orders and no accounts", n)
 	}
 	if err := os.Mkdir(s.folder, 0o700); err != nil {
 		t.Fatal(err)
@@ -267,7 +267,7 @@
 		t.Error("the processes serve different certificates")
 	}
 	if n := s.authorities[0].Counts(); n.Issued != 1 || n.Accounts != 1 {
-		t.Errorf("counted %+v", n)
+		t.Errorf("counted %+v, want one certificate and one account", n)
 	}
 }
 
--- a/internal/certs/plan/plan.go
+++ b/internal/certs/plan/plan.go
@@ -52,8 +52,8 @@
 // Authority describes a certificate authority. The first one in a Policy is preferred.
 type Authority struct {
 	Name   string
-	Tries  int // limit on the tries within Window, 0 for no limit
-	Window time.Duration
+	Tries  int           // limit on the tries within Window, 0 for no limit
+	Window time.Duration // length of the rate limit's window
 }
 
 // Policy holds the operator's settings.
@@ -246,13 +246,13 @@
 // outcome had a Retry-After.
 func (p *Plan) dropOldTries(i int, now time.Time) {
 	s, a := &p.authorityStates[i], p.policy.Authorities[i]
-	kept := s.tryTimes[:0]
+	remaining := s.tryTimes[:0]
 	for _, t := range s.tryTimes {
 		if now.Sub(t) < a.Window && !t.After(now) {
-			kept = append(kept, t)
+			remaining = append(remaining, t)
 		}
 	}
-	s.tryTimes = kept
+	s.tryTimes = remaining
 	if horizon := now.Add(p.policy.Most + a.Window); p.lastOutcome.RetryAfter == 0 && s.retryAt.After(horizon) {
 		s.retryAt = now
 	}
--- a/internal/certs/plan/plan_test.go
+++ b/internal/certs/plan/plan_test.go
@@ -21,9 +21,9 @@
 
 func TestDueWithThirdOfLifetimeLeftAndJitter(t *testing.T) {
 	c := Cert{t0, t0.Add(90 * day)}
-	for draw, want := range map[float64]time.Duration{0: 60 * day, 0.5: 60*day - 36*time.Hour} {
-		if got := New(newPolicy(1), c, draw).Due().Sub(t0); got != want {
-			t.Errorf("draw %v: due after %v, want %v", draw, got, want)
+	for jitter, want := range map[float64]time.Duration{0: 60 * day, 0.5: 60*day - 36*time.Hour} {
+		if got := New(newPolicy(1), c, jitter).Due().Sub(t0); got != want {
+			t.Errorf("jitter %v: due after %v, want %v", jitter, got, want)
 		}
 	}
 	p := New(newPolicy(1), c, 0.5)
@@ -69,7 +69,7 @@
 	for _, c := range []struct {
 		outcome   Outcome
 		authority int
-		after     time.Duration
+		after     time.Duration // from now
 	}{
 		{Outcome{Kind: ServerError}, 0, 12 * time.Hour},
 		{Outcome{Kind: RateLimited, RetryAfter: 20 * time.Hour}, 0, 20 * time.Hour},
--- a/internal/certs/vault/vault_test.go
+++ b/internal/certs/vault/vault_test.go
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	if _, err := v.Lock(); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second lock: %v, want ErrBusy", err)
+		t.Errorf("a second lock: %v, want ErrLocked", err)
 	}
 	release()
 	if release, err = v.Lock(); err != nil {
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -66,7 +66,7 @@
 	for _, name := range slices.Sorted(maps.Keys(known)) {
 		switch {
 		case !ran[name]:
-			problems = append(problems, name+" is on the list but is no test that ran")
+			problems = append(problems, name+" is on the list, but no test that ran has this name")
 		case !failed[name]:
 			fmt.Fprintf(out, "no longer fails, take it off the list: %s\n", name)
 		}
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -9,17 +9,17 @@
 // testEvents returns the events of one package's tests. A "!" after a name marks a test that fails.
 func testEvents(tests ...string) string {
 	var out strings.Builder
-	end := "pass"
+	packageAction := "pass"
 	for _, t := range tests {
-		name, red := strings.CutSuffix(t, "!")
+		name, fails := strings.CutSuffix(t, "!")
 		action := "pass"
-		if red {
-			action, end = "fail", "fail"
+		if fails {
+			action, packageAction = "fail", "fail"
 		}
 		fmt.Fprintf(&out, `{"Action":"run","Package":"p","Test":%q}{"Action":"output","Package":"p","Test":%q,"Output":"said %s\n"}`, name, name, name)
 		fmt.Fprintf(&out, `{"Action":%q,"Package":"p","Test":%q}`, action, name)
 	}
-	fmt.Fprintf(&out, `{"Action":%q,"Package":"p"}`, end)
+	fmt.Fprintf(&out, `{"Action":%q,"Package":"p"}`, packageAction)
 	return out.String()
 }
 
--- a/internal/standin/fileserver.go
+++ b/internal/standin/fileserver.go
@@ -9,8 +9,8 @@
 	"github.com/pkg/sftp"
 )
 
-// FileServer is an SFTP storage node that keeps its files in memory. Before is called ahead of each operation and After
-// when it is done; if either returns true, the connection is closed.
+// FileServer is an SFTP storage node that keeps its files in memory. Before is called at the start of each operation
+// and After at its end; if either returns true, the connection is closed.
 type FileServer struct {
 	Addr          string
 	Before, After func(op, path string) (cut bool)
--- a/internal/standin/relay_test.go
+++ b/internal/standin/relay_test.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// Datagrams meet with faults as often as was set, each with a delay of its own, and the same ones by the same seed.
+// Checks that faults occur at the configured rates, that delays vary per datagram, and that the same seed gives the same
+// faults.
 func TestRelayFaultsAreDeterminedBySeed(t *testing.T) {
 	const datagrams = 10_000
 	countFaults := func() (lost, repeated int, delays []time.Duration) {
@@ -82,14 +83,14 @@
 		l := r.newLink()
 		l.Set(Faults{Loss: 0.3, Repeat: 0.2, Delay: time.Second, Jitter: time.Second})
 		for range datagrams {
-			deliveries := r.deliveryDelays(l)
-			switch len(deliveries) {
+			deliveryDelays := r.deliveryDelays(l)
+			switch len(deliveryDelays) {
 			case 0:
 				lost++
 			case 2:
 				repeated++
 			}
-			delays = append(delays, deliveries...)
+			delays = append(delays, deliveryDelays...)
 		}
 		return lost, repeated, delays
 	}
