--- a/internal/certs/manager/serving.go
+++ b/internal/certs/manager/serving.go
@@ -74,10 +74,10 @@
 	for _, f := range files {
 		c, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 		if err != nil {
-			return fmt.Errorf("load certificate %s with key %s: %w", f.Cert, f.Key, err)
+			return fmt.Errorf("%s with %s: %w", f.Cert, f.Key, err)
 		}
 		if time.Now().After(c.Leaf.NotAfter) {
-			return fmt.Errorf("certificate %s expired at %s", f.Cert, formatTime(c.Leaf.NotAfter))
+			return fmt.Errorf("%s ran out on %s", f.Cert, formatTime(c.Leaf.NotAfter))
 		}
 		out = append(out, &c)
 	}
--- a/internal/certs/manager/status.go
+++ b/internal/certs/manager/status.go
@@ -51,7 +51,7 @@
 			return k, nil
 		}
 	}
-	return nil, fmt.Errorf("unknown certificate %q", name)
+	return nil, fmt.Errorf("no certificate %q", name)
 }
 
 // Renew requests immediate renewal of a certificate.
@@ -76,7 +76,7 @@
 	defer m.tryMutex.Unlock()
 	i := slices.IndexFunc(m.settings.Authorities, func(a order.Authority) bool { return a.Name == authority })
 	if i < 0 {
-		return fmt.Errorf("unknown authority %q", authority)
+		return fmt.Errorf("no authority %q", authority)
 	}
 	release, err := m.vault.Lock()
 	if err != nil {
@@ -94,7 +94,7 @@
 	}
 	cert := k.current.Load()
 	if cert == nil {
-		return fmt.Errorf("certificate %s has not been issued yet", name)
+		return fmt.Errorf("certificate %s: there is none", name)
 	}
 	m.tryMutex.Lock()
 	var revokeErr error
--- a/internal/certs/order/account.go
+++ b/internal/certs/order/account.go
@@ -91,11 +91,11 @@
 		return err
 	}
 	if err := c.acme.AccountKeyRollover(ctx, next); err != nil {
-		return fmt.Errorf("the authority did not accept the new account key: %w", err)
+		return fmt.Errorf("the authority did not take the new key: %w", err)
 	}
 	c.acme.Key = next
 	if err := c.vault.SaveAccount(c.authority.Name, next); err != nil {
-		return fmt.Errorf("the authority accepted the new account key, which is stored only under the name %s: %w", nextName, err)
+		return fmt.Errorf("the new key is taken, and kept as %s alone: %w", nextName, err)
 	}
 	return nil
 }
--- a/internal/certs/plan/plan.go
+++ b/internal/certs/plan/plan.go
@@ -35,8 +35,8 @@
 )
 
 var kindNames = []string{
-	"obtained", "nonces rejected", "limit reached", "server error", "no answer in time",
-	"the order became invalid", "the challenge could not be fetched", "rejected", "the account is not known",
+	"obtained", "its nonces are not taken", "limit reached", "server error", "no answer in time",
+	"the order turned invalid", "the challenge could not be fetched", "rejected", "the account is not known",
 	"a chain that does not fit", "an answer that is none", "on this side", "another process renews",
 }
 
@@ -189,7 +189,7 @@
 	case p.cert.NotAfter.IsZero():
 		due, why = now, "there is no certificate"
 	case !now.Before(p.cert.NotAfter):
-		due, why = now, "the certificate has expired"
+		due, why = now, "the certificate has run out"
 	case p.renewNow:
 		due, why = now, "an operator asked for it"
 	case p.window != nil:
--- a/internal/certs/vault/vault.go
+++ b/internal/certs/vault/vault.go
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("folder %s holds private keys and is accessible to other users: chmod 700 it", folder)
+		return nil, fmt.Errorf("%s holds keys and others may read it: chmod 700 it", folder)
 	}
 	return &Vault{folder: folder, writeFault: func(string) error { return nil }}, nil
 }
@@ -95,13 +95,13 @@
 func (v *Vault) renameDamaged(name string, cause error) error {
 	newName := name + ".aside." + time.Now().UTC().Format("20060102T150405.000000000")
 	if err := os.Rename(v.path(name), v.path(newName)); err != nil {
-		return fmt.Errorf("%s is %w: %w; renaming it failed: %w", v.path(name), ErrDamaged, cause, err)
+		return fmt.Errorf("%s is %w: %w; it can't be set aside: %w", v.path(name), ErrDamaged, cause, err)
 	}
-	return fmt.Errorf("%s is %w: %w; renamed to %s", v.path(name), ErrDamaged, cause, newName)
+	return fmt.Errorf("%s is %w: %w; it is kept as %s", v.path(name), ErrDamaged, cause, newName)
 }
 
-// File names. The names of authorities and certificates contain only letters, digits, dots and dashes, which is checked
-// when the operator's settings are read.
+// accountName, certName and orderName return file names. The names of authorities and certificates contain only letters,
+// digits, dots and dashes, which is checked when the operator's settings are read.
 func accountName(authority string) string { return "account-" + authority + ".pem" }
 func certName(name string) string         { return "certificate-" + name + ".pem" }
 func orderName(name string) string        { return "order-" + name + ".json" }
@@ -115,7 +115,7 @@
 	}
 	block, _ := pem.Decode(content)
 	if block == nil {
-		return nil, v.renameDamaged(name, errors.New("no PEM block found"))
+		return nil, v.renameDamaged(name, errors.New("it holds no key"))
 	}
 	key, err := ParseKey(block.Bytes)
 	if err != nil {
