--- a/internal/certs/order/account.go
+++ b/internal/certs/order/account.go
@@ -33,7 +33,7 @@
 	c.acme.Key, c.acme.KID = key, ""
 	if err := c.findOrRegister(ctx); err != nil {
 		c.acme.Key = nil
-		return fmt.Errorf("see to an account: %w", err)
+		return fmt.Errorf("find or register the account: %w", err)
 	}
 	return nil
 }
--- a/internal/certs/order/challenge.go
+++ b/internal/certs/order/challenge.go
@@ -15,7 +15,7 @@
 func (c *Client) authorize(ctx context.Context, url string, firstChallenge int, s Solver) error {
 	authorization, err := c.acme.GetAuthorization(ctx, url)
 	if err != nil {
-		return fmt.Errorf("ask what is to be proven: %w", err)
+		return fmt.Errorf("fetch the authorization: %w", err)
 	}
 	if authorization.Status == acme.StatusValid {
 		return nil
@@ -38,7 +38,7 @@
 		}
 		defer withdraw()
 		if _, err := c.acme.Accept(ctx, authorization.Challenges[index]); err != nil {
-			return fmt.Errorf("have the challenge looked at: %w", err)
+			return fmt.Errorf("accept the challenge: %w", err)
 		}
 		return c.waitForValidation(ctx, url, authorization.Identifier.Value)
 	}
@@ -63,7 +63,7 @@
 	return c.poll(ctx, func() (bool, error) {
 		authorization, err := c.acme.GetAuthorization(ctx, url)
 		if err != nil {
-			return false, fmt.Errorf("ask for the verdict: %w", err)
+			return false, fmt.Errorf("fetch the state of the authorization: %w", err)
 		}
 		switch authorization.Status {
 		case acme.StatusValid:
@@ -73,9 +73,9 @@
 		}
 		for _, ch := range authorization.Challenges {
 			if ch.Error != nil {
-				return false, withKind(plan.Unreachable, fmt.Errorf("%s by %s: %w", name, ch.Type, ch.Error))
+				return false, withKind(plan.Unreachable, fmt.Errorf("validating %s by %s failed: %w", name, ch.Type, ch.Error))
 			}
 		}
-		return false, withKind(plan.Invalid, fmt.Errorf("%s: the authorization is %s", name, authorization.Status))
+		return false, withKind(plan.Invalid, fmt.Errorf("authorization for %s is %s", name, authorization.Status))
 	})
 }
--- a/internal/certs/order/order.go
+++ b/internal/certs/order/order.go
@@ -109,7 +109,7 @@
 			return nil, withKind(plan.Local, err)
 		}
 		if chain, _, err = c.acme.CreateCertFromOrder(ctx, acmeOrder, csr, true); err != nil {
-			return nil, c.dropIfUnusable(name, fmt.Errorf("have the certificate made: %w", err))
+			return nil, c.dropIfUnusable(name, fmt.Errorf("finalize the order: %w", err))
 		}
 	} else if chain, err = c.acme.FetchCert(ctx, acmeOrder.CertURL, true); err != nil {
 		return nil, fmt.Errorf("fetch the certificate: %w", err)
@@ -158,14 +158,14 @@
 	}
 	o, err := c.acme.AuthorizeOrder(ctx, acme.DomainIDs(names...))
 	if err != nil {
-		return nil, nil, fmt.Errorf("ask for an order: %w", err)
+		return nil, nil, fmt.Errorf("place the order: %w", err)
 	}
 	stored.URL = o.URI
 	if err := c.vault.SaveOrder(name, stored); err != nil {
 		return nil, nil, withKind(plan.Local, err)
 	}
 	if o.Status == acme.StatusInvalid {
-		return nil, nil, withKind(plan.Invalid, fmt.Errorf("the order is void: %w", orderError(o)))
+		return nil, nil, withKind(plan.Invalid, fmt.Errorf("the new order is invalid: %w", orderError(o)))
 	}
 	return o, key, nil
 }
@@ -183,7 +183,7 @@
 	if o.Error != nil {
 		return o.Error
 	}
-	return errors.New("the authority does not say why")
+	return errors.New("the authority gave no reason")
 }
 
 // waitForStatus waits until an order has one of the given states.
@@ -194,10 +194,10 @@
 		}
 		next, err := c.acme.GetOrder(ctx, o.URI)
 		if err != nil {
-			return false, fmt.Errorf("look at the order: %w", err)
+			return false, fmt.Errorf("fetch the order: %w", err)
 		}
 		if o = next; o.Status == acme.StatusInvalid {
-			return false, withKind(plan.Invalid, fmt.Errorf("the order turned invalid: %w", orderError(o)))
+			return false, withKind(plan.Invalid, fmt.Errorf("the order became invalid: %w", orderError(o)))
 		}
 		return slices.Contains(states, o.Status), nil
 	})
--- a/internal/certs/order/outcome.go
+++ b/internal/certs/order/outcome.go
@@ -43,29 +43,29 @@
 	for _, der := range chain {
 		c, err := x509.ParseCertificate(der)
 		if err != nil {
-			return nil, fmt.Errorf("a certificate of the chain: %w", err)
+			return nil, fmt.Errorf("parse a certificate of the chain: %w", err)
 		}
 		certs = append(certs, c)
 	}
 	if len(certs) == 0 {
-		return nil, errors.New("an empty chain")
+		return nil, errors.New("certificate chain is empty")
 	}
 	leaf := certs[0]
 	pub, ok := key.Public().(*ecdsa.PublicKey)
 	if !ok || !pub.Equal(leaf.PublicKey) {
-		return nil, errors.New("the certificate is for another key")
+		return nil, errors.New("certificate does not match the private key")
 	}
 	for _, n := range names {
 		if err := leaf.VerifyHostname(n); err != nil {
-			return nil, fmt.Errorf("the certificate is for other names: %w", err)
+			return nil, fmt.Errorf("certificate does not cover the names of the order: %w", err)
 		}
 	}
 	if now.After(leaf.NotAfter) || now.Add(time.Minute).Before(leaf.NotBefore) {
-		return nil, fmt.Errorf("the certificate is valid from %s to %s, it is %s", leaf.NotBefore.UTC(), leaf.NotAfter.UTC(), now.UTC())
+		return nil, fmt.Errorf("certificate is valid from %s to %s, the current time is %s", leaf.NotBefore.UTC(), leaf.NotAfter.UTC(), now.UTC())
 	}
 	for i := range certs[:len(certs)-1] {
 		if err := certs[i].CheckSignatureFrom(certs[i+1]); err != nil {
-			return nil, fmt.Errorf("the chain is broken behind its certificate %d: %w", i+1, err)
+			return nil, fmt.Errorf("certificate %d of the chain is not signed by the next one: %w", i+1, err)
 		}
 	}
 	return &tls.Certificate{Certificate: chain, PrivateKey: key, Leaf: leaf}, nil
--- a/internal/certs/vault/vault.go
+++ b/internal/certs/vault/vault.go
@@ -61,14 +61,14 @@
 func (v *Vault) Lock() (release func(), err error) {
 	f, err := os.OpenFile(v.path("lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("the lock: %w", err)
+		return nil, fmt.Errorf("lock the certificate folder: %w", err)
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		f.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, ErrLocked
 		}
-		return nil, fmt.Errorf("the lock: %w", err)
+		return nil, fmt.Errorf("lock the certificate folder: %w", err)
 	}
 	return func() { f.Close() }, nil
 }
@@ -141,7 +141,7 @@
 	}
 	signer, ok := key.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, fmt.Errorf("a key of type %T", key)
+		return nil, fmt.Errorf("key has type %T, want an ECDSA key", key)
 	}
 	return signer, nil
 }
