--- a/internal/certs/manager/manager_test.go
+++ b/internal/certs/manager/manager_test.go
@@ -23,20 +23,20 @@
 	"otterturn/internal/standin"
 )
 
-// site is a folder, authorities and the front's two ports.
-type site struct {
+// fixture holds a certificate folder, authorities, and the front's ports for HTTP-01 and TLS-ALPN-01.
+type fixture struct {
 	t           *testing.T
 	folder      string
 	authorities []*authority.Authority
-	set         Settings
+	settings    Settings
 	mu          sync.Mutex
-	serving     *Manager // whose answers the ports give
+	current     *Manager // answers challenges on the ports
 	log         []string
 }
 
-func newSite(t *testing.T, sets ...authority.Settings) *site {
+func newFixture(t *testing.T, authoritySettings ...authority.Settings) *fixture {
 	t.Helper()
-	s := &site{t: t, folder: filepath.Join(t.TempDir(), "acme")}
+	s := &fixture{t: t, folder: filepath.Join(t.TempDir(), "acme")}
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.manager().HTTP().ServeHTTP(w, r) }))
 	t.Cleanup(web.Close)
 	l := standin.Listen(t)
@@ -53,7 +53,7 @@
 			}()
 		}
 	}()
-	s.set = Settings{
+	s.settings = Settings{
 		Certificates: []Certificate{{"files", []string{"files.example", "search.example"}}}, HTTP: true, ALPN: true,
 		Policy: plan.Policy{Least: 10 * time.Millisecond, Most: 50 * time.Millisecond}, Try: 2 * time.Second,
 		Log: standin.Log(func(line string) {
@@ -62,7 +62,7 @@
 			s.log = append(s.log, line)
 		}),
 	}
-	for i, a := range sets {
+	for i, a := range authoritySettings {
 		a.HTTP, a.TLS = web.Listener.Addr().String(), l.Addr().String()
 		if a.Lifetime == 0 {
 			a.Lifetime = time.Hour
@@ -76,28 +76,28 @@
 		roots := x509.NewCertPool()
 		roots.AppendCertsFromPEM(ca.ServerRoots())
 		name := string(rune('a' + i))
-		s.set.Authorities = append(s.set.Authorities, order.Authority{Name: name, Directory: ca.Directory(), Roots: roots})
-		s.set.Policy.Authorities = append(s.set.Policy.Authorities, plan.Authority{Name: name})
+		s.settings.Authorities = append(s.settings.Authorities, order.Authority{Name: name, Directory: ca.Directory(), Roots: roots})
+		s.settings.Policy.Authorities = append(s.settings.Policy.Authorities, plan.Authority{Name: name})
 	}
 	return s
 }
 
-func (s *site) manager() *Manager {
+func (s *fixture) manager() *Manager {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.serving
+	return s.current
 }
 
-// start is a process that begins; end is its end at any moment.
-func (s *site) start() (m *Manager, end func()) {
+// start starts a manager as a new process would. end stops it, at any time.
+func (s *fixture) start() (m *Manager, end func()) {
 	s.t.Helper()
 	v, err := vault.Open(s.folder)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	m = New(s.set, v)
+	m = New(s.settings, v)
 	s.mu.Lock()
-	s.serving = m
+	s.current = m
 	s.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -113,7 +113,7 @@
 	return m, stop
 }
 
-func (s *site) obtained(m *Manager) *tls.Certificate {
+func (s *fixture) waitForCertificate(m *Manager) *tls.Certificate {
 	s.t.Helper()
 	var cert *tls.Certificate
 	standin.Until(s.t, "the certificate", func() bool {
@@ -124,9 +124,9 @@
 	return cert
 }
 
-// At each step the authority refuses, rejects, limits, cuts, answers nonsense or says nothing, and recovers: the
-// certificate comes, for both names, with one account.
-func TestAuthorityThatFailsAtAnyStep(t *testing.T) {
+// At each step of an order the authority fails twice in one way: it refuses or cuts connections, rejects, limits or
+// stalls requests, or answers wrongly. Then it recovers. The certificate must be issued for both names, with one account.
+func TestAuthorityFailsAtEachStep(t *testing.T) {
 	for _, step := range []string{"directory", "nonce", "account", "order", "authz", "challenge", "finalize", "cert"} {
 		for _, do := range []string{
 			"refuse", "reject", "limit", "cut", "nonsense", "stall", "nonces", "forget", "invalid", "wrong key",
@@ -140,10 +140,10 @@
 				t.Parallel()
 				faults := &authority.Faults{}
 				faults.Set(authority.Fault{Step: step, Do: do, Times: 2})
-				s := newSite(t, authority.Settings{Faults: faults})
-				s.set.Try = time.Second
+				s := newFixture(t, authority.Settings{Faults: faults})
+				s.settings.Try = time.Second
 				m, _ := s.start()
-				cert := s.obtained(m)
+				cert := s.waitForCertificate(m)
 				if err := cert.Leaf.VerifyHostname("files.example"); err != nil {
 					t.Error(err)
 				}
@@ -151,71 +151,72 @@
 					t.Errorf("counted %+v, want one account", n)
 				}
 				if st := m.Status()[0]; st.Renewals != 1 {
-					t.Errorf("%+v", st)
+					t.Errorf("status %+v, want one renewal", st)
 				}
 			})
 		}
 	}
 }
 
-func TestChallengesOfEitherKind(t *testing.T) {
+func TestEachChallengeType(t *testing.T) {
 	for _, c := range []struct{ http, alpn bool }{{true, false}, {false, true}} {
-		s := newSite(t, authority.Settings{})
-		s.set.HTTP, s.set.ALPN = c.http, c.alpn
+		s := newFixture(t, authority.Settings{})
+		s.settings.HTTP, s.settings.ALPN = c.http, c.alpn
 		m, _ := s.start()
-		s.obtained(m)
+		s.waitForCertificate(m)
 	}
-	s := newSite(t, authority.Settings{Patience: 200 * time.Millisecond})
-	s.set.HTTP, s.set.ALPN = false, false
+	s := newFixture(t, authority.Settings{Patience: 200 * time.Millisecond})
+	s.settings.HTTP, s.settings.ALPN = false, false
 	m, _ := s.start()
-	standin.Until(t, "a try that failed", func() bool {
+	standin.Until(t, "a failed try", func() bool {
 		return strings.Contains(m.Status()[0].Last.Detail, "http-01 is not set up")
 	})
 }
 
-func TestExternalAccount(t *testing.T) {
-	s := newSite(t, authority.Settings{Bindings: map[string][]byte{"customer": []byte("a key of the customer's account, of 32 bytes at least")}})
+func TestExternalAccountBinding(t *testing.T) {
+	s := newFixture(t, authority.Settings{Bindings: map[string][]byte{"customer": []byte("a key of the customer's account, of 32 bytes at least")}})
 	m, end := s.start()
-	standin.Until(t, "a try that failed", func() bool {
+	standin.Until(t, "a failed try", func() bool {
 		return strings.Contains(m.Status()[0].Last.Detail, "externalAccountRequired")
 	})
 	end()
-	s.set.Authorities[0].BindingID, s.set.Authorities[0].BindingKey = "customer", []byte("a key of the customer's account, of 32 bytes at least")
+	s.settings.Authorities[0].BindingID, s.settings.Authorities[0].BindingKey = "customer", []byte("a key of the customer's account, of 32 bytes at least")
 	m, _ = s.start()
-	s.obtained(m)
+	s.waitForCertificate(m)
 }
 
 func TestSecondAuthorityAsAFallback(t *testing.T) {
 	down := &authority.Faults{}
 	down.Set(authority.Fault{Do: "refuse"})
-	s := newSite(t, authority.Settings{Faults: down}, authority.Settings{})
+	s := newFixture(t, authority.Settings{Faults: down}, authority.Settings{})
 	m, _ := s.start()
-	s.obtained(m)
+	s.waitForCertificate(m)
 	if a, b := s.authorities[0].Counts(), s.authorities[1].Counts(); a.Issued != 0 || b.Issued != 1 {
-		t.Errorf("issued %+v and %+v", a, b)
+		t.Errorf("the authorities issued %+v and %+v, want 0 and 1 certificates", a, b)
 	}
 }
 
-// The process ends in the middle of an order: the next one goes on with it, by the same account.
-func TestNextStartGoesOnWithTheOrder(t *testing.T) {
+// The process ends in the middle of an order. The next process must resume the order with the same account.
+func TestNextProcessResumesOrder(t *testing.T) {
 	for _, step := range []string{"authz", "finalize", "cert"} {
 		faults := &authority.Faults{}
 		faults.Set(authority.Fault{Step: step, Do: "stall", Times: 1})
-		s := newSite(t, authority.Settings{Faults: faults})
+		s := newFixture(t, authority.Settings{Faults: faults})
 		_, end := s.start()
 		standin.Until(t, "the step at which the process ends", func() bool { return faults.Count() == 1 })
 		end()
 		m, _ := s.start()
-		s.obtained(m)
+		s.waitForCertificate(m)
 		if n := s.authorities[0].Counts(); n.Accounts != 1 || n.Orders != 1 {
-			t.Errorf("ended at %s: %+v, want one account and one order", step, n)
+			t.Errorf("process ended at step %s: %+v, want one account and one order", step, n)
 		}
 	}
 }
 
-// The key can't be written: nothing is asked of the authority that could not be kept.
-func TestNoOrderWithoutAPlaceForItsKey(t *testing.T) {
-	s := newSite(t, authority.Settings{})
+// The folder is missing, so the order's key can't be written. The manager must not place an order whose result it could
+// not store.
+func TestNoOrderUnlessKeyIsStored(t *testing.T) {
+	s := newFixture(t, authority.Settings{})
 	v, err := vault.Open(s.folder)
 	if err != nil {
 		t.Fatal(err)
@@ -223,32 +224,32 @@
 	if err := os.RemoveAll(s.folder); err != nil {
 		t.Fatal(err)
 	}
-	m := New(s.set, v)
+	m := New(s.settings, v)
 	s.mu.Lock()
-	s.serving = m
+	s.current = m
 	s.mu.Unlock()
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	go m.Run(ctx)
-	standin.Until(t, "a try that failed", func() bool { _, at := m.kept[0].last(); return !at.IsZero() })
+	standin.Until(t, "a failed try", func() bool { _, at := m.managed[0].last(); return !at.IsZero() })
 	if n := s.authorities[0].Counts(); n.Orders+n.Accounts != 0 {
-		t.Errorf("counted %+v", n)
+		t.Errorf("counted %+v, want no orders and no accounts", n)
 	}
 	if err := os.Mkdir(s.folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	s.obtained(m)
+	s.waitForCertificate(m)
 }
 
-func (k *kept) last() (plan.Outcome, time.Time) {
+func (k *managedCert) last() (plan.Outcome, time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.plan.Last()
 }
 
-// Two appliances share one folder: one of them orders, both serve.
+// Two processes share one folder: only one of them places an order, both serve the certificate.
 func TestTwoProcessesOnOneFolder(t *testing.T) {
-	s := newSite(t, authority.Settings{})
+	s := newFixture(t, authority.Settings{})
 	faults := s.authorities[0].Faults
 	faults.Set(authority.Fault{Step: "finalize", Do: "stall", For: 200 * time.Millisecond})
 	first, _ := s.start()
@@ -257,38 +258,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	second := New(s.set, v) // the ports lead to the first
+	second := New(s.settings, v) // the ports lead to the first process
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	go second.Run(ctx)
-	a, b := s.obtained(first), s.obtained(second)
+	a, b := s.waitForCertificate(first), s.waitForCertificate(second)
 	if !a.Leaf.Equal(b.Leaf) {
-		t.Error("they serve different certificates")
+		t.Error("the processes serve different certificates")
 	}
 	if n := s.authorities[0].Counts(); n.Issued != 1 || n.Accounts != 1 {
-		t.Errorf("counted %+v", n)
+		t.Errorf("counted %+v, want one certificate and one account", n)
 	}
 }
 
-// One that ran out is not served, whatever else there is; a damaged one is set aside and another one ordered.
-func TestWhatIsNeverServed(t *testing.T) {
+// An expired certificate must not be served, even without a replacement. A damaged one is renamed and a new one ordered.
+func TestExpiredAndDamagedCertificatesAreNotServed(t *testing.T) {
 	faults := &authority.Faults{}
-	s := newSite(t, authority.Settings{Lifetime: 2 * time.Second, Faults: faults})
+	s := newFixture(t, authority.Settings{Lifetime: 2 * time.Second, Faults: faults})
 	m, end := s.start()
-	cert := s.obtained(m)
+	cert := s.waitForCertificate(m)
 	faults.Set(authority.Fault{Do: "refuse"})
 	for time.Now().Before(cert.Leaf.NotAfter) {
 		if c, err := m.Certificate(&tls.ClientHelloInfo{}); err != nil && time.Now().Before(cert.Leaf.NotAfter) {
-			t.Fatalf("with time left: %v, %v", c, err)
+			t.Fatalf("before the expiry: %v, %v", c, err)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	standin.Until(t, "its end", func() bool { return time.Now().After(cert.Leaf.NotAfter) })
-	if c, err := m.Certificate(&tls.ClientHelloInfo{ServerName: "files.example"}); !errors.Is(err, errNone) {
-		t.Errorf("beyond its end: %v, %v", c, err)
+	standin.Until(t, "the expiry", func() bool { return time.Now().After(cert.Leaf.NotAfter) })
+	if c, err := m.Certificate(&tls.ClientHelloInfo{ServerName: "files.example"}); !errors.Is(err, errNoCertificate) {
+		t.Errorf("after the expiry: %v, %v, want no certificate", c, err)
 	}
 	if _, err := m.Certificate(&tls.ClientHelloInfo{ServerName: "files.example", SupportedProtos: []string{acme.ALPNProto}}); err == nil {
-		t.Error("a challenge was answered that nobody set")
+		t.Error("a TLS-ALPN-01 challenge that was not offered was answered")
 	}
 	end()
 	name := filepath.Join(s.folder, "certificate-files.pem")
@@ -297,28 +298,29 @@
 	}
 	faults.Set()
 	m, _ = s.start()
-	s.obtained(m)
+	s.waitForCertificate(m)
 	if aside, _ := filepath.Glob(name + ".aside.*"); len(aside) != 1 {
-		t.Errorf("set aside: %v", aside)
+		t.Errorf("damaged files that were renamed: %v, want one", aside)
 	}
 }
 
-func TestRenewalInformationIsHeeded(t *testing.T) {
-	s := newSite(t, authority.Settings{Lifetime: 20 * time.Second, Informs: true})
+func TestRenewalWindowIsFollowed(t *testing.T) {
+	s := newFixture(t, authority.Settings{Lifetime: 20 * time.Second, Informs: true})
 	m, _ := s.start()
-	first := s.obtained(m)
+	first := s.waitForCertificate(m)
 	s.authorities[0].Ask(time.Now().Add(-2*time.Second), time.Now().Add(-time.Second))
-	standin.Until(t, "the renewal that the authority asked for", func() bool { return !s.obtained(m).Leaf.Equal(first.Leaf) })
+	standin.Until(t, "the renewal that the authority asked for", func() bool { return !s.waitForCertificate(m).Leaf.Equal(first.Leaf) })
 	if left := time.Until(first.Leaf.NotAfter); left < 10*time.Second {
-		t.Errorf("renewed with %v left, of its own accord", left)
+		t.Errorf("renewed with %v left, want renewal at the authority's request before a third of the lifetime is left", left)
 	}
 }
 
-// The process is killed after the authority has taken the account's new key, and before that is kept as the account's.
-func TestKillAmidARollover(t *testing.T) {
-	s := newSite(t, authority.Settings{})
+// The process is killed after the authority has accepted the account's new key and before the key is saved as the
+// account's. The next process must use the new key and not register a second account.
+func TestKillDuringKeyRollover(t *testing.T) {
+	s := newFixture(t, authority.Settings{})
 	m, end := s.start()
-	s.obtained(m)
+	s.waitForCertificate(m)
 	name := filepath.Join(s.folder, "account-a.pem")
 	old, err := os.ReadFile(name)
 	if err != nil {
@@ -341,28 +343,28 @@
 	}
 }
 
-func TestFilesOfTheOperator(t *testing.T) {
-	s := newSite(t, authority.Settings{})
+func TestOperatorFiles(t *testing.T) {
+	s := newFixture(t, authority.Settings{})
 	m, _ := s.start()
-	s.obtained(m)
+	s.waitForCertificate(m)
 	name := filepath.Join(s.folder, "certificate-files.pem")
 	if err := m.Load([]File{{name, name}}); err != nil {
-		t.Errorf("a file with both: %v", err)
+		t.Errorf("a file with certificate and key: %v", err)
 	}
 	if n := len(m.Status()); n != 2 {
-		t.Errorf("%d certificates shown", n)
+		t.Errorf("%d certificates in the status, want 2", n)
 	}
 	if err := m.Load([]File{{name, filepath.Join(s.folder, "account-a.pem")}}); err == nil {
-		t.Error("another key was taken")
+		t.Error("a key that does not match the certificate was accepted")
 	}
 	if n := len(*m.files.Load()); n != 1 {
-		t.Errorf("%d files after a bad one, want the one before", n)
+		t.Errorf("%d certificates after a failed load, want the previous one", n)
 	}
 	if info, err := os.Stat(name); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("%v, %v", info.Mode(), err)
+		t.Errorf("mode %v, %v, want 0600", info.Mode(), err)
 	}
 	os.Chmod(s.folder, 0o755)
 	if _, err := vault.Open(s.folder); err == nil || !strings.Contains(err.Error(), "chmod 700") {
-		t.Errorf("a folder that others may read: %v", err)
+		t.Errorf("a folder that other users can read: %v", err)
 	}
 }
--- a/internal/certs/manager/serving.go
+++ b/internal/certs/manager/serving.go
@@ -14,19 +14,17 @@
 	"otterturn/internal/certs/order"
 )
 
-// This file is what connections are served: certificates, and answers to challenges.
+// errNoCertificate is returned when there is no valid certificate for the client's server name.
+var errNoCertificate = errors.New("no valid certificate for this name")
 
-// errNone tells that no certificate can be served for a name.
-var errNone = errors.New("no valid certificate for this name")
-
-// Certificate is the certificate for a client's greeting. One is served to its very end and not beyond.
+// Certificate returns the certificate for a client hello. A certificate is served until it expires.
 func (m *Manager) Certificate(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
-	if slices.Equal(hello.SupportedProtos, []string{acme.ALPNProto}) { // an authority greets with it alone (RFC 8737, section 3)
+	if slices.Equal(hello.SupportedProtos, []string{acme.ALPNProto}) { // sent for a TLS-ALPN-01 challenge (RFC 8737, section 3)
 		return m.answers.certificate(hello.ServerName)
 	}
 	now := time.Now()
 	var first *tls.Certificate
-	for _, c := range m.serving() {
+	for _, c := range m.certificates() {
 		if now.After(c.Leaf.NotAfter) {
 			continue
 		}
@@ -37,19 +35,19 @@
 			return c, nil
 		}
 	}
-	if hello.ServerName == "" && first != nil { // a client that names none gets the first one
+	if hello.ServerName == "" && first != nil { // a client without a server name gets the first valid certificate
 		return first, nil
 	}
-	return nil, errNone
+	return nil, errNoCertificate
 }
 
-// serving are the certificates there are, the operator's own ahead.
-func (m *Manager) serving() []*tls.Certificate {
+// certificates returns all certificates, those from the operator's files first.
+func (m *Manager) certificates() []*tls.Certificate {
 	var out []*tls.Certificate
 	if files := m.files.Load(); files != nil {
 		out = append(out, *files...)
 	}
-	for _, k := range m.kept {
+	for _, k := range m.managed {
 		if c := k.current.Load(); c != nil {
 			out = append(out, c)
 		}
@@ -57,19 +55,20 @@
 	return out
 }
 
-// TLS is the configuration of listeners.
+// TLS returns the TLS configuration for listeners.
 func (m *Manager) TLS() *tls.Config {
 	c := &tls.Config{GetCertificate: m.Certificate, MinVersion: tls.VersionTLS12, NextProtos: []string{"http/1.1"}}
-	if m.set.ALPN {
+	if m.settings.ALPN {
 		c.NextProtos = append(c.NextProtos, acme.ALPNProto)
 	}
 	return c
 }
 
-// File is a certificate that the operator brings.
+// File names the PEM files of a certificate and its key that the operator provides.
 type File struct{ Cert, Key string }
 
-// Load takes over the operator's own certificates, all of them or, where one can't be used, none.
+// Load replaces the certificates from the operator's files. If one can't be used, it returns an error and changes
+// nothing.
 func (m *Manager) Load(files []File) error {
 	var out []*tls.Certificate
 	for _, f := range files {
@@ -78,7 +77,7 @@
 			return fmt.Errorf("%s with %s: %w", f.Cert, f.Key, err)
 		}
 		if time.Now().After(c.Leaf.NotAfter) {
-			return fmt.Errorf("%s ran out on %s", f.Cert, stamp(c.Leaf.NotAfter))
+			return fmt.Errorf("%s ran out on %s", f.Cert, formatTime(c.Leaf.NotAfter))
 		}
 		out = append(out, &c)
 	}
@@ -88,13 +87,13 @@
 
 // Offer implements order.Solver.
 func (m *Manager) Offer(c order.Challenge) (func(), error) {
-	if c.Kind == "http-01" && !m.set.HTTP || c.Kind != "http-01" && !m.set.ALPN {
-		return nil, fmt.Errorf("%s is not set up", c.Kind)
+	if c.Type == "http-01" && !m.settings.HTTP || c.Type != "http-01" && !m.settings.ALPN {
+		return nil, fmt.Errorf("%s is not set up", c.Type)
 	}
 	return m.answers.offer(c), nil
 }
 
-// HTTP answers HTTP-01 challenges.
+// HTTP returns a handler that answers HTTP-01 challenges.
 func (m *Manager) HTTP() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		host, _, _ := strings.Cut(r.Host, ":")
--- a/internal/certs/manager/status.go
+++ b/internal/certs/manager/status.go
@@ -11,29 +11,27 @@
 	"otterturn/internal/certs/plan"
 )
 
-// This file is what operators see of certificates, and ask for.
-
-// Status is what operators are told of a certificate.
+// Status describes a certificate for operators.
 type Status struct {
 	Name, Serial    string
 	Names           []string
-	Until           time.Time // zero for none
+	Until           time.Time // expiry, zero if there is no certificate
 	Next            plan.Try
-	Authority       string // of the next try
+	Authority       string // for the next try
 	Last            plan.Outcome
 	LastAt          time.Time
 	Tries, Renewals int
 }
 
-// Status tells of each certificate.
+// Status returns the status of each certificate, those from the operator's files last.
 func (m *Manager) Status() []Status {
 	var out []Status
-	for _, k := range m.kept {
+	for _, k := range m.managed {
 		k.mu.Lock()
 		s := Status{Name: k.Name, Names: k.Names, Next: k.plan.Next(time.Now()), Tries: k.tries, Renewals: k.renewals}
 		s.Last, s.LastAt = k.plan.Last()
 		k.mu.Unlock()
-		s.Authority = m.set.Authorities[s.Next.Authority].Name
+		s.Authority = m.settings.Authorities[s.Next.Authority].Name
 		if c := k.current.Load(); c != nil {
 			s.Serial, s.Until = fmt.Sprintf("%x", c.Leaf.SerialNumber), c.Leaf.NotAfter
 		}
@@ -47,8 +45,8 @@
 	return out
 }
 
-func (m *Manager) find(name string) (*kept, error) {
-	for _, k := range m.kept {
+func (m *Manager) find(name string) (*managedCert, error) {
+	for _, k := range m.managed {
 		if k.Name == name {
 			return k, nil
 		}
@@ -56,27 +54,27 @@
 	return nil, fmt.Errorf("no certificate %q", name)
 }
 
-// Renew has a certificate renewed at once.
+// Renew requests immediate renewal of a certificate.
 func (m *Manager) Renew(name string) error {
 	k, err := m.find(name)
 	if err != nil {
 		return err
 	}
 	k.mu.Lock()
-	k.plan.Want()
+	k.plan.RequestRenewal()
 	k.mu.Unlock()
 	select {
-	case k.again <- struct{}{}:
+	case k.changed <- struct{}{}:
 	default:
 	}
 	return nil
 }
 
-// RollKey gives the account at an authority a new key.
+// RollKey replaces the key of the account at an authority.
 func (m *Manager) RollKey(ctx context.Context, authority string) error {
-	m.trying.Lock()
-	defer m.trying.Unlock()
-	i := slices.IndexFunc(m.set.Authorities, func(a order.Authority) bool { return a.Name == authority })
+	m.tryMutex.Lock()
+	defer m.tryMutex.Unlock()
+	i := slices.IndexFunc(m.settings.Authorities, func(a order.Authority) bool { return a.Name == authority })
 	if i < 0 {
 		return fmt.Errorf("no authority %q", authority)
 	}
@@ -88,7 +86,7 @@
 	return m.clients[i].RollKey(ctx)
 }
 
-// Revoke has a certificate revoked by whichever authority issued it, and renewed at once.
+// Revoke asks each authority in turn to revoke a certificate until one does, and requests immediate renewal.
 func (m *Manager) Revoke(ctx context.Context, name string) error {
 	k, err := m.find(name)
 	if err != nil {
@@ -98,20 +96,20 @@
 	if cert == nil {
 		return fmt.Errorf("certificate %s: there is none", name)
 	}
-	m.trying.Lock()
-	var failed error
+	m.tryMutex.Lock()
+	var revokeErr error
 	for _, c := range m.clients {
 		if err := c.Revoke(ctx, cert.Certificate[0]); err != nil {
-			failed = errors.Join(failed, err)
+			revokeErr = errors.Join(revokeErr, err)
 			continue
 		}
-		failed = nil
+		revokeErr = nil
 		break
 	}
-	m.trying.Unlock()
-	if failed != nil {
-		return failed
+	m.tryMutex.Unlock()
+	if revokeErr != nil {
+		return revokeErr
 	}
-	m.set.Log.Info("a certificate is revoked", "certificate", name, "serial", fmt.Sprintf("%x", cert.Leaf.SerialNumber))
+	m.settings.Log.Info("a certificate is revoked", "certificate", name, "serial", fmt.Sprintf("%x", cert.Leaf.SerialNumber))
 	return m.Renew(name)
 }
--- a/internal/certs/order/renewalinfo.go
+++ b/internal/certs/order/renewalinfo.go
@@ -13,29 +13,28 @@
 	"otterturn/internal/certs/plan"
 )
 
-// This file asks an authority when a certificate should be renewed (RFC 9773).
-
-// Suggest asks for the authority's renewal information (RFC 9773); ok is false where it offers none.
-func (c *Client) Suggest(ctx context.Context, leaf *x509.Certificate) (w plan.Window, ok bool, err error) {
+// FetchRenewalWindow fetches the authority's renewal information for a certificate (RFC 9773). ok is false if the
+// authority does not offer it.
+func (c *Client) FetchRenewalWindow(ctx context.Context, leaf *x509.Certificate) (w plan.Window, ok bool, err error) {
 	var directory struct{ RenewalInfo string }
-	if err := c.read(ctx, c.authority.Directory, &directory); err != nil || directory.RenewalInfo == "" {
+	if err := c.getJSON(ctx, c.authority.Directory, &directory); err != nil || directory.RenewalInfo == "" {
 		return w, false, err
 	}
 	serial := leaf.SerialNumber.Bytes()
-	if len(serial) == 0 || serial[0]&0x80 != 0 { // as its DER encoding has it
+	if len(serial) == 0 || serial[0]&0x80 != 0 { // leading zero byte of the DER encoding of a positive integer
 		serial = append([]byte{0}, serial...)
 	}
 	id := base64.RawURLEncoding.EncodeToString(leaf.AuthorityKeyId) + "." + base64.RawURLEncoding.EncodeToString(serial)
 	var info struct {
 		SuggestedWindow struct{ Start, End time.Time }
 	}
-	if err := c.read(ctx, directory.RenewalInfo+"/"+id, &info); err != nil {
+	if err := c.getJSON(ctx, directory.RenewalInfo+"/"+id, &info); err != nil {
 		return w, false, err
 	}
 	return plan.Window{Start: info.SuggestedWindow.Start, End: info.SuggestedWindow.End}, true, nil
 }
 
-func (c *Client) read(ctx context.Context, url string, into any) error {
+func (c *Client) getJSON(ctx context.Context, url string, result any) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -48,5 +47,5 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s: status %d", url, resp.StatusCode)
 	}
-	return json.NewDecoder(io.LimitReader(resp.Body, infoMost)).Decode(into)
+	return json.NewDecoder(io.LimitReader(resp.Body, maxInfoBytes)).Decode(result)
 }
--- a/internal/certs/vault/vault_test.go
+++ b/internal/certs/vault/vault_test.go
@@ -16,7 +16,7 @@
 	"otterturn/internal/lab/authority"
 )
 
-func open(t *testing.T) *Vault {
+func openVault(t *testing.T) *Vault {
 	t.Helper()
 	v, err := Open(filepath.Join(t.TempDir(), "acme"))
 	if err != nil {
@@ -25,10 +25,10 @@
 	return v
 }
 
-// withCertificate is a vault that keeps a certificate.
-func withCertificate(t *testing.T) (*Vault, tls.Certificate) {
+// newVaultWithCertificate returns a vault that holds a certificate.
+func newVaultWithCertificate(t *testing.T) (*Vault, tls.Certificate) {
 	t.Helper()
-	v := open(t)
+	v := openVault(t)
 	cert, _, err := authority.SelfSigned("files.example", time.Hour)
 	if err == nil {
 		err = v.SaveCertificate("files", &cert)
@@ -39,10 +39,10 @@
 	return v, cert
 }
 
-func TestWhatIsKeptComesBack(t *testing.T) {
-	v := open(t)
+func TestSavedFilesAreReadBack(t *testing.T) {
+	v := openVault(t)
 	if _, err := v.Account("main"); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("an account that was never made: %v", err)
+		t.Errorf("an account that was never saved: %v, want fs.ErrNotExist", err)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -75,79 +75,80 @@
 		t.Errorf("order: %+v, %v", got, err)
 	}
 	for range 2 {
-		if err := v.DropOrder("files"); err != nil {
+		if err := v.DeleteOrder("files"); err != nil {
 			t.Error(err)
 		}
 	}
 	entries, err := os.ReadDir(v.folder)
 	if err != nil || len(entries) != 2 {
-		t.Errorf("%v, %v", entries, err)
+		t.Errorf("the folder holds %v, %v; want 2 files", entries, err)
 	}
 	for _, e := range entries {
 		if info, err := e.Info(); err != nil || info.Mode().Perm() != 0o600 {
-			t.Errorf("%s: %v, %v", e.Name(), info.Mode(), err)
+			t.Errorf("mode of %s: %v, %v; want 0600", e.Name(), info.Mode(), err)
 		}
 	}
 }
 
-// The disk is full: what was there stays, whole.
-func TestWriteThatFailsLosesNothing(t *testing.T) {
-	v, cert := withCertificate(t)
-	full := errors.New("no space left on device")
-	v.fault = func(string) error { return full }
+// A write that fails, as on a full disk, must leave the stored certificate intact.
+func TestFailedWriteKeepsPreviousFile(t *testing.T) {
+	v, cert := newVaultWithCertificate(t)
+	errFull := errors.New("no space left on device")
+	v.writeFault = func(string) error { return errFull }
 	other, _, err := authority.SelfSigned("files.example", 2*time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := v.SaveCertificate("files", &other); !errors.Is(err, full) {
-		t.Errorf("saved: %v", err)
+	if err := v.SaveCertificate("files", &other); !errors.Is(err, errFull) {
+		t.Errorf("saving on a full disk did not fail with its error: %v", err)
 	}
 	if got, err := v.Certificate("files"); err != nil || !got.Leaf.Equal(cert.Leaf) {
-		t.Errorf("the one before: %v", err)
+		t.Errorf("the previous certificate: %v", err)
 	}
 }
 
-// A file cut at any byte, or with another's key in it, is set aside, whole as it was.
-func TestDamagedFilesAreSetAside(t *testing.T) {
-	v, _ := withCertificate(t)
+// A truncated certificate file, an order with a damaged key and an account file without a key are each renamed and
+// reported as damaged.
+func TestDamagedFilesAreRenamed(t *testing.T) {
+	v, _ := newVaultWithCertificate(t)
 	name := v.path(certName("files"))
-	whole, err := os.ReadFile(name)
+	content, err := os.ReadFile(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := 0; n < len(whole)-2; n += 7 {
-		if err := os.WriteFile(name, whole[:n], 0o600); err != nil {
+	for n := 0; n < len(content)-2; n += 7 {
+		if err := os.WriteFile(name, content[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := v.Certificate("files"); !errors.Is(err, ErrDamaged) {
-			t.Fatalf("cut to %d bytes: %v", n, err)
+			t.Fatalf("truncated to %d bytes: %v, want ErrDamaged", n, err)
 		}
 	}
 	if err := os.WriteFile(v.path(orderName("files")), []byte(`{"Authority":"main","Key":"AAAA"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := v.Order("files"); !errors.Is(err, ErrDamaged) {
-		t.Errorf("an order without a key: %v", err)
+		t.Errorf("an order without a valid key: %v, want ErrDamaged", err)
 	}
 	if err := os.WriteFile(v.path(accountName("main")), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := v.Account("main"); !errors.Is(err, ErrDamaged) {
-		t.Errorf("an account without a key: %v", err)
+		t.Errorf("an account without a key: %v, want ErrDamaged", err)
 	}
 	if _, err := v.Account("main"); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("after it was set aside: %v", err)
+		t.Errorf("after the damaged file was renamed: %v, want fs.ErrNotExist", err)
 	}
 }
 
-func TestOneProcessRenewsAtATime(t *testing.T) {
-	v := open(t)
+func TestLockIsExclusive(t *testing.T) {
+	v := openVault(t)
 	release, err := v.Lock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := v.Lock(); !errors.Is(err, ErrBusy) {
-		t.Errorf("a second one: %v", err)
+	if _, err := v.Lock(); !errors.Is(err, ErrLocked) {
+		t.Errorf("a second lock: %v, want ErrLocked", err)
 	}
 	release()
 	if release, err = v.Lock(); err != nil {
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Relay stands between processes: what they send each other passes through it, over links that lose, delay, repeat,
-// reorder or cut as the test says. All of it ends with the test.
+// Relay forwards traffic between processes over links that lose, delay, duplicate, reorder or block it as the test
+// configures. It stops when the test ends.
 type Relay struct {
 	t       *testing.T
 	sockets [][]*net.UDPConn
@@ -23,33 +23,33 @@
 	rng *rand.Rand
 }
 
-// Faults are what a link does to what it carries.
+// Faults configures the faults of a link.
 type Faults struct {
-	Loss   float64       // share of datagrams that are lost
-	Repeat float64       // share that come twice
-	Delay  time.Duration // before anything comes
-	Jitter time.Duration // up to so much more for each datagram, so that they overtake each other
-	Cut    bool          // nothing passes; what a connection carries waits until the link is whole again
+	Loss   float64       // share of datagrams that are dropped
+	Repeat float64       // share of datagrams that are delivered twice
+	Delay  time.Duration // latency of everything that passes
+	Jitter time.Duration // each datagram gets a random extra latency below this, so that datagrams are reordered
+	Cut    bool          // nothing passes; datagrams are dropped, data of a connection waits until the link is restored
 }
 
-// NewRelay returns a Relay whose draws go by a seed, which is printed.
+// NewRelay returns a relay whose random faults are determined by seed. The seed is logged.
 func NewRelay(t *testing.T, seed uint64) *Relay {
 	t.Logf("relay: seed %d", seed)
 	return &Relay{t: t, rng: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// Link is one direction between two processes.
+// Link carries the traffic of one direction between two processes.
 type Link struct {
-	relay   *Relay
-	mu      sync.Mutex
-	faults  Faults
-	changed chan struct{} // closed, and made anew, with each change
-	came    int           // datagrams
+	relay    *Relay
+	mu       sync.Mutex
+	faults   Faults
+	changed  chan struct{} // closed and replaced at each change of faults
+	received int           // datagrams received
 }
 
-func (r *Relay) link() *Link { return &Link{relay: r, changed: make(chan struct{})} }
+func (r *Relay) newLink() *Link { return &Link{relay: r, changed: make(chan struct{})} }
 
-// Set has a link do other things from now on.
+// Set replaces the faults of the link.
 func (l *Link) Set(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,21 +58,22 @@
 	l.changed = make(chan struct{})
 }
 
-func (l *Link) now() (Faults, <-chan struct{}) {
+func (l *Link) current() (Faults, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.faults, l.changed
 }
 
-// Came tells how many datagrams have come to the link, whatever it did to them.
-func (l *Link) Came() int {
+// Received returns how many datagrams the link has received, including those it dropped.
+func (l *Link) Received() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.came
+	return l.received
 }
 
-// Mesh puts the relay between fronts that send each other datagrams, by the addresses at which they listen. It returns
-// each front's list of peers: a socket of the relay's for each other front, from which that one's datagrams come too.
+// Mesh puts the relay between fronts that send each other datagrams; fronts holds the addresses at which they listen. It
+// returns the peer list of each front: for each other front the address of a relay socket, from which that front's
+// datagrams arrive as well.
 func (r *Relay) Mesh(fronts []netip.AddrPort) (peers [][]netip.AddrPort) {
 	r.t.Helper()
 	r.fronts = fronts
@@ -86,26 +87,26 @@
 				r.t.Fatal(err)
 			}
 			r.t.Cleanup(func() { conn.Close() })
-			addr := fronts[i] // a front's own address stands in its list
+			addr := fronts[i] // a front's peer list contains its own address
 			if i != j {
 				addr = conn.LocalAddr().(*net.UDPAddr).AddrPort()
 			}
-			sockets, addrs, links = append(sockets, conn), append(addrs, addr), append(links, r.link())
+			sockets, addrs, links = append(sockets, conn), append(addrs, addr), append(links, r.newLink())
 		}
 		r.sockets, peers, r.links = append(r.sockets, sockets), append(peers, addrs), append(r.links, links)
 	}
 	for i := range fronts {
 		for j := range fronts {
-			go r.carryDatagrams(i, j)
+			go r.forwardDatagrams(i, j)
 		}
 	}
 	return peers
 }
 
-// Datagrams is the link from one front to another.
+// Datagrams returns the link from one front to another.
 func (r *Relay) Datagrams(from, to int) *Link { return r.links[from][to] }
 
-// Inject sends a datagram to a front as if another had sent it.
+// Inject sends a datagram to a front as if another front had sent it.
 func (r *Relay) Inject(from, to int, text []byte) {
 	r.t.Helper()
 	if _, err := r.sockets[to][from].WriteToUDPAddrPort(text, r.fronts[to]); err != nil {
@@ -113,8 +114,8 @@
 	}
 }
 
-// carryDatagrams passes on what a front sends to the socket that stands for another one.
-func (r *Relay) carryDatagrams(from, to int) {
+// forwardDatagrams forwards the datagrams that a front sends to the relay socket of another front.
+func (r *Relay) forwardDatagrams(from, to int) {
 	buffer := make([]byte, 64<<10)
 	for {
 		n, _, err := r.sockets[from][to].ReadFromUDPAddrPort(buffer)
@@ -122,18 +123,18 @@
 			return
 		}
 		text, link := bytes.Clone(buffer[:n]), r.links[from][to]
-		for _, delay := range r.fates(link) {
+		for _, delay := range r.deliveryDelays(link) {
 			time.AfterFunc(delay, func() { r.sockets[to][from].WriteToUDPAddrPort(text, r.fronts[to]) })
 		}
 		link.mu.Lock()
-		link.came++
+		link.received++
 		link.mu.Unlock()
 	}
 }
 
-// fates draws after which times a datagram comes: never, once or twice.
-func (r *Relay) fates(l *Link) (delays []time.Duration) {
-	f, _ := l.now()
+// deliveryDelays returns the random delays after which a datagram is delivered: none if it is dropped, two if it is duplicated.
+func (r *Relay) deliveryDelays(l *Link) (delays []time.Duration) {
+	f, _ := l.current()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	copies := 1
@@ -153,22 +154,22 @@
 	return delays
 }
 
-// Pipe is a way for connections to one address, with a link for each direction.
+// Pipe forwards connections to one address, with a link for each direction.
 type Pipe struct {
-	Addr     string // where to connect to
+	Addr     string // address that clients connect to
 	To, Back *Link
 }
 
-// Set has both directions do the same.
+// Set replaces the faults of both directions.
 func (p *Pipe) Set(f Faults) {
 	p.To.Set(f)
 	p.Back.Set(f)
 }
 
-// Pipe returns a way for connections to an address. What comes to a link that is cut waits there: the connection is up
-// and silent. Datagrams' faults don't concern it, but for the delay.
+// Pipe forwards connections to an address. Data on a link that is cut waits there: the connection stays open but silent.
+// Of the other faults only Delay applies to connections.
 func (r *Relay) Pipe(to string) *Pipe {
-	p := &Pipe{To: r.link(), Back: r.link()}
+	p := &Pipe{To: r.newLink(), Back: r.newLink()}
 	p.Addr = Peer(r.t, func(_ int, c net.Conn) {
 		out, err := net.Dial("tcp", to)
 		if err != nil {
@@ -177,7 +178,7 @@
 		ended := make(chan struct{})
 		var end sync.Once
 		carry := func(l *Link, to, from net.Conn) {
-			l.copy(to, from, ended)
+			l.copyData(to, from, ended)
 			end.Do(func() { close(ended) })
 			to.Close()
 			from.Close()
@@ -188,12 +189,12 @@
 	return p
 }
 
-// copy passes on what comes from one connection to another until either ends.
-func (l *Link) copy(to io.Writer, from io.Reader, ended <-chan struct{}) {
+// copyData forwards data from one connection to another until either ends.
+func (l *Link) copyData(to io.Writer, from io.Reader, ended <-chan struct{}) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if !l.passes(ended) {
+		if !l.waitToPass(ended) {
 			return
 		}
 		if n > 0 {
@@ -207,10 +208,11 @@
 	}
 }
 
-// passes waits for as long as the link delays or is cut. False is for a connection that ended meanwhile.
-func (l *Link) passes(ended <-chan struct{}) bool {
+// waitToPass waits for the link's delay and while the link is cut. It returns false if the connection or the test ended in the
+// meantime.
+func (l *Link) waitToPass(ended <-chan struct{}) bool {
 	for {
-		f, changed := l.now()
+		f, changed := l.current()
 		wait := time.NewTimer(f.Delay)
 		due := wait.C
 		if f.Cut {
