--- a/internal/lab/hollow/attempts.go
+++ b/internal/lab/hollow/attempts.go
@@ -6,7 +6,7 @@
 	"otterturn/scheduler"
 )
 
-// queue is what comes in the order in which it is due.
+// queue is a first-in, first-out queue; items are pushed in the order in which they are due.
 type queue[T any] struct {
 	items []T
 	first int
@@ -18,7 +18,7 @@
 
 func (q *queue[T]) head() T { return q.items[q.first] }
 
-// pop takes the head out, and now and then moves the rest to the front.
+// pop removes the head. Once more than half of the slice is free, it moves the remaining items to the start.
 func (q *queue[T]) pop() {
 	var none T
 	q.items[q.first] = none
@@ -38,7 +38,7 @@
 	return f.calls[number]
 }
 
-// attempt sends a request to a node.
+// attempt sends an attempt of a request to a node.
 func (f *front) attempt(now scheduler.Micros, a scheduler.StartAttempt) {
 	c := f.call(a.ID)
 	if c == nil {
@@ -63,7 +63,7 @@
 	c.attempt++
 }
 
-// replied takes in how an attempt ended.
+// replied handles a node's reply to an attempt.
 func (f *front) replied(m *message) {
 	c := f.calls[m.number]
 	if c == nil || !c.out || c.attempt-1 != m.attempt {
@@ -89,7 +89,7 @@
 	f.events = append(f.events, o)
 }
 
-// end is a final answer of the scheduler.
+// end closes a request that the scheduler rejected or failed.
 func (f *front) end(id string, how figure) {
 	if c := f.call(id); c != nil {
 		f.close(c, how)
@@ -105,7 +105,7 @@
 	delete(f.calls, c.number)
 }
 
-// expire ends the requests whose time is over, and the probes that had no answer.
+// expire ends requests that reached their deadline and probes that timed out.
 func (f *front) expire(end scheduler.Micros) {
 	for !f.deadlines.empty() && f.deadlines.head().deadline < end {
 		c := f.deadlines.head()
--- a/internal/lab/hollow/digest.go
+++ b/internal/lab/hollow/digest.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// digest takes in what an actor did, in its order.
+// digest is a running hash of an actor's actions, in their order.
 type digest uint64
 
 func (d *digest) add(values ...uint64) {
@@ -15,7 +15,7 @@
 	}
 }
 
-// Digest is that of all that happened so far: runs of the same settings and script have the same.
+// Digest returns a hash of everything that happened so far: runs with the same settings and script have the same digest.
 func (w *World) Digest() uint64 {
 	sum := xxhash.New()
 	add := func(v uint64) { sum.Write(binary.LittleEndian.AppendUint64(nil, v)) }
--- a/internal/lab/hollow/discovery.go
+++ b/internal/lab/hollow/discovery.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	callLines     = 30          // what a call that begins costs beside its entries, in lines (docs/fleet.md)
-	callPatience  = 2 * second  // a call that waited for longer is dropped, and its work lost
-	listCallBytes = 120 + 2*130 // a call's request line and headers, the answer's, and the headers of IP and TCP
+	callLines     = 30          // cost of a watch's first call in addition to its entries, in lines (docs/fleet.md)
+	callPatience  = 2 * second  // a call that waited longer is dropped; discovery still spends the time for its answer
+	listCallBytes = 120 + 2*130 // request line and headers of a call and its answer, and the headers of IP and TCP
 )
 
-// news is what an answer of discovery brings.
+// news is a change of the endpoint list, or the full list, as in an answer of discovery.
 type news struct {
 	whole   bool
 	entries []scheduler.Endpoint
-	bytes   int // of its body
+	bytes   int // size of the answer's body
 }
 
-// entry is a node's as it stands in discovery's answer, see protocol.ParseList.
+// entry is a node's entry in discovery's answer, see protocol.ParseList.
 type entry struct {
 	Host   string `json:"host"`
 	Dial   string `json:"dial"`
@@ -37,20 +37,21 @@
 	Hosts []entry `json:"hosts"`
 }
 
-// discovery is the service that all fronts ask: calls wait in turn, and it answers so many lines a second.
+// discovery models the service that all fronts call. It serves calls in their order, at up to Settings.DiscoveryLines
+// lines per second.
 type discovery struct {
 	sender
 	version int64
 	changes []change
-	whole   *news     // of this version
-	held    []held    // of each front
-	turn    []message // calls that wait, in their order
-	ready   []ready   // answers that are made, in their order
+	whole   *news     // full list at this version, nil until it is needed
+	held    []held    // by front
+	turn    []message // calls to be served, in their order
+	ready   []ready   // answers to be sent, in their order
 	freeAt  scheduler.Micros
 	counts  discoveryCounts
 }
 
-// held is a front's call that is held while there is nothing to tell.
+// held is a front's call that discovery holds until the list changes.
 type held struct {
 	message
 	is bool
@@ -62,7 +63,7 @@
 	news *news
 }
 
-// change is one version of the list.
+// change is one version of the list, in which one node's entry changed.
 type change struct {
 	version int64
 	node    int32
@@ -72,7 +73,7 @@
 	return &discovery{sender: s, version: 1, held: make([]held, s.world.set.Fronts)}
 }
 
-// publish makes the present entries of nodes known, as one further version each. now is between two windows.
+// publish announces the current entries of nodes, each as a new version of the list. It runs between two windows, at now.
 func (d *discovery) publish(now scheduler.Micros, nodes ...int32) {
 	for _, n := range nodes {
 		d.version++
@@ -98,7 +99,7 @@
 	d.deliver(end)
 }
 
-// call takes a call: it is held while there is nothing to tell, or waits in turn.
+// call holds a call while the list has no change for it, and otherwise queues it.
 func (d *discovery) call(m *message) {
 	if m.opens || m.hold == 0 || m.version != d.version {
 		d.counts.asked += d.lines(m, d.news(m.version))
@@ -113,7 +114,7 @@
 	d.held[m.from] = held{m, true}
 }
 
-// release answers the calls that were held for long enough.
+// release sends an empty answer to each held call whose hold time is over.
 func (d *discovery) release(end scheduler.Micros) {
 	for i := range d.held {
 		if h := &d.held[i]; h.is && h.at < end {
@@ -123,7 +124,7 @@
 	}
 }
 
-// work answers the calls that wait, one after the other.
+// work serves the queued calls one after the other.
 func (d *discovery) work(end scheduler.Micros) {
 	done := 0
 	for ; done < len(d.turn); done++ {
@@ -151,7 +152,7 @@
 	d.turn = slices.Delete(d.turn, 0, done)
 }
 
-// deliver sends the answers that are made by now.
+// deliver sends the answers that are ready before end.
 func (d *discovery) deliver(end scheduler.Micros) {
 	done := 0
 	for ; done < len(d.ready) && d.ready[done].at < end; done++ {
@@ -173,7 +174,7 @@
 	d.send(at, message{to: m.from, kind: kindListAnswer, number: m.number, version: d.version, news: n})
 }
 
-// news is what is newer than a version.
+// news returns the entries that changed after a version.
 func (d *discovery) news(version int64) *news {
 	if version == wholeList {
 		return d.wholeNews()
@@ -216,7 +217,7 @@
 	}
 	text, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // it has numbers and texts alone
+		panic(err) // cannot happen: the body holds only numbers and strings
 	}
 	out.bytes = len(text)
 	return out
--- a/internal/lab/hollow/events.go
+++ b/internal/lab/hollow/events.go
@@ -5,57 +5,57 @@
 	"otterturn/scheduler/slowstart"
 )
 
-// Event is a script that is played to a fleet that serves, phase by phase.
+// Event is a script that runs on a serving fleet, phase by phase.
 type Event struct {
 	Name   string
 	Phases []Phase
-	Large  bool // played at each size; others at small ones, and what they would be at the largest is reckoned
-	Apart  bool // health of nodes has no part in it: played once where both variants are wanted
-	spares int  // nodes that come on the list
+	Large  bool // run at each size; other events run at small sizes, and their values at the largest are extrapolated
+	Apart  bool // does not depend on health of nodes: run once if both variants are requested
+	spares int  // nodes that the script adds to the endpoint list
 }
 
-// Phase is a part of a script with figures of its own.
+// Phase is a part of a script that is measured separately.
 type Phase struct {
 	Name string
 	What string
 	Span scheduler.Micros
-	do   func(*World) // happens as it begins
+	do   func(*World) // runs at the start of the phase
 }
 
-// Events are all there are, the most telling first.
+// Events lists all events, the most informative ones first.
 var Events = []Event{
 	{Name: "ordinary", Large: true, Phases: []Phase{{"ordinary", "nothing happens", 3 * second, func(*World) {}}}},
 	{Name: "zone", Large: true, Phases: []Phase{
-		{"zone", "a zone's nodes and fronts fall silent; the list does not tell", 12 * second, zoneGone},
+		{"zone", "a zone's nodes and fronts become silent; the endpoint list does not change", 12 * second, zoneGone},
 	}},
 	{Name: "region", Phases: []Phase{
-		{"region", "the regions don't hear each other", 6 * second, regionCut},
-		{"healed", "they do again", 4 * second, func(w *World) { w.links.partRegions(false) }},
+		{"region", "the regions are cut off from each other", 6 * second, regionCut},
+		{"healed", "the regions are connected again", 4 * second, func(w *World) { w.links.partRegions(false) }},
 	}},
 	{Name: "lists", Apart: true, Phases: []Phase{
 		{"change", "one entry of the list changes: a node drains", 3 * second, changeList},
-		{"front-restart", "one front's process begins anew", 4 * second, restartFronts(1)},
-		{"front-restart-5", "five fronts' processes begin anew together", 4 * second, restartFronts(5)},
-		{"start-all", "all fronts' processes begin anew together", 7 * second, restartFronts(1 << 30)},
-		{"reload", "all fronts ask for the whole list, as at SIGHUP", 8 * second, reloadAll},
+		{"front-restart", "one front's process restarts", 4 * second, restartFronts(1)},
+		{"front-restart-5", "five fronts' processes restart at the same time", 4 * second, restartFronts(5)},
+		{"start-all", "all fronts' processes restart at the same time", 7 * second, restartFronts(1 << 30)},
+		{"reload", "all fronts request the full list, as after SIGHUP", 8 * second, reloadAll},
 	}},
-	{Name: "node", Phases: []Phase{{"node", "one node falls silent; the list does not tell", 12 * second, nodeDies}}},
-	{Name: "rack", Phases: []Phase{{"rack", "a hundredth of the nodes, of one zone, fall silent", 10 * second, rackDies}}},
+	{Name: "node", Phases: []Phase{{"node", "one node becomes silent; the endpoint list does not change", 12 * second, nodeDies}}},
+	{Name: "rack", Phases: []Phase{{"rack", "one percent of the nodes, all in one zone, become silent", 10 * second, rackDies}}},
 	{Name: "node-restart", Phases: []Phase{
-		{"node-restart", "one node's process ends, and begins anew a second later", 8 * second, restartNodes(1)},
+		{"node-restart", "one node's process ends and restarts a second later", 8 * second, restartNodes(1)},
 	}},
 	{Name: "node-restart-5", Phases: []Phase{
-		{"node-restart-5", "five nodes' processes do so together", 8 * second, restartNodes(5)},
+		{"node-restart-5", "five nodes' processes end and restart a second later", 8 * second, restartNodes(5)},
 	}},
 	{Name: "primary", spares: 1, Phases: []Phase{
-		{"primary", "a node ends, and a successor of its data begins cold", 12 * second, successor},
+		{"primary", "a node ends, and another one takes over its data as a cold node", 12 * second, successor},
 	}},
 	{Name: "granter", Phases: []Phase{
-		{"granter", "a node begins anew, and 3 s later the front that grants room at it ends", 14 * second, granterDies},
+		{"granter", "a node restarts, and 3 s later the front that grants its capacity ends", 14 * second, granterDies},
 	}},
 }
 
-// zoneNodes are the nodes of a zone, and zoneFronts its fronts.
+// zoneNodes returns the nodes of a zone.
 func (w *World) zoneNodes(zone int) (nodes []int32) {
 	for n := zone; n < w.set.Nodes; n += w.set.Zones {
 		nodes = append(nodes, int32(n))
@@ -63,6 +63,7 @@
 	return nodes
 }
 
+// zoneFronts returns the fronts of a zone.
 func (w *World) zoneFronts(zone int) (fronts []*front) {
 	for i := zone; i < w.set.Fronts; i += w.set.Zones {
 		fronts = append(fronts, w.fronts[i])
@@ -71,7 +72,7 @@
 }
 
 func zoneGone(w *World) {
-	last := w.set.Zones - 1 // discovery stands in the first one
+	last := w.set.Zones - 1 // not the first one, in which discovery is
 	w.Watch(w.zoneNodes(last)...)
 	w.links.silence(last)
 	for _, f := range w.zoneFronts(last) {
@@ -100,12 +101,12 @@
 		}
 		w.Expect()
 		if err := w.startAll(); err != nil {
-			panic(err) // the settings were good as the world began
+			panic(err) // cannot happen: New accepted the same settings
 		}
 	}
 }
 
-// firstNode is what scripts of one node are about.
+// firstNode is the node that scripts of one node affect, and the first one of scripts of several nodes.
 const firstNode = 7
 
 func nodeDies(w *World) {
@@ -135,7 +136,7 @@
 	}
 }
 
-// restart has the processes of nodes begin anew, cold, and the list tell.
+// restart restarts the processes of nodes, which are cold then, and publishes their new start times.
 func (w *World) restart(nodes ...int32) {
 	for _, n := range nodes {
 		w.nodes[n].Restart(int64(w.now()))
--- a/internal/lab/hollow/fit.go
+++ b/internal/lab/hollow/fit.go
@@ -6,18 +6,18 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Fit is how a figure goes by the number of fronts.
+// Fit describes how a figure depends on the number of fronts.
 type Fit struct {
-	Sizes    int     // that it was measured at
-	Slope    float64 // for each further front, and
-	Error    float64 // its standard error
-	At0      float64
-	Exponent float64 // of the power that it grows by: 1 is in proportion to the fronts; NaN where a value is 0, and
-	ExpError float64 // its standard error
-	Residual float64 // root of the mean square about the line, as a share of the largest value
+	Sizes    int     // number of sizes at which it was measured
+	Slope    float64 // per additional front
+	Error    float64 // standard error of the slope
+	At0      float64 // value of the line at 0 fronts
+	Exponent float64 // of the power law: 1 is in proportion to the fronts; NaN if a value is 0 or with fewer than 3 sizes
+	ExpError float64 // standard error of the exponent
+	Residual float64 // root mean square of the distances to the line, divided by the largest value
 }
 
-// fit draws lines through values at sizes: one as they are, and one through their logarithms.
+// fit fits a line to the values at sizes, and another one to their logarithms.
 func fit(sizes, values []float64) Fit {
 	f := Fit{Sizes: len(sizes), Exponent: math.NaN(), ExpError: math.NaN()}
 	if len(sizes) < 3 {
@@ -37,7 +37,7 @@
 	return f
 }
 
-// line is a least-squares line, with the standard error of its slope and the residual.
+// line returns the least-squares line, the standard error of its slope and the root mean square residual.
 func line(x, y []float64) (at0, slope, slopeError, residual float64) {
 	at0, slope = stat.LinearRegression(x, y, nil, false)
 	squares, spread, mean := 0.0, 0.0, stat.Mean(x, nil)
@@ -57,7 +57,8 @@
 	return out
 }
 
-// value is what a figure is at a size: measured, or else reckoned from the fits, by the power if there is one.
+// value returns a figure at a size: the measured value or, without one, an extrapolation from the power law or, where there
+// is none, from the line.
 func value(size float64, sizes, values []float64, f Fit) (at float64, measured bool) {
 	for i, s := range sizes {
 		if s == size {
@@ -74,5 +75,5 @@
 	return math.NaN(), false
 }
 
-// superlinear tells that a figure grows faster than the fleet, beyond the error of the fit.
+// superlinear reports whether a figure grows faster than the number of fronts, by more than two standard errors.
 func (f Fit) superlinear() bool { return f.Exponent-2*f.ExpError > 1 }
--- a/internal/lab/hollow/front.go
+++ b/internal/lab/hollow/front.go
@@ -9,12 +9,12 @@
 	"otterturn/scheduler"
 )
 
-// front is a hollow front: the real core, and what the program does around it, without sockets.
+// front is a hollow front: it runs the real scheduler and models the rest of the program, without sockets.
 type front struct {
 	sender
 	rng       *rand.Rand
 	scheduler *scheduler.Scheduler
-	health    *zoneHealth // nil where it is switched off
+	health    *zoneHealth // nil if it is switched off
 	watch     watch
 	down      bool // the process has ended
 	now       scheduler.Micros
@@ -22,28 +22,28 @@
 	names     []string
 	calls     map[uint64]*call
 	deadlines queue[*call]
-	probes    map[uint64]int32 // those that are out, with their nodes
+	probes    map[uint64]int32 // nodes of the probes without a result, by number of the probe
 	late      queue[probeOut]
-	idle      []uint8           // connections that are kept, by node
-	alarm     scheduler.Micros  // 0 for none
+	idle      []uint8           // idle connections by node
+	alarm     scheduler.Micros  // time of the scheduler's timer, 0 for none
 	arrival   scheduler.Micros  // of the next request
 	asked     uint64            // requests so far
 	probed    uint64            // probes so far
-	events    []scheduler.Event // of this window, for the next step
+	events    []scheduler.Event // of this window, for the scheduler's next step
 	spare     []scheduler.Event
 	counts    counts
 	cost      cost
 	digest    digest
-	avoided   []scheduler.Micros // since when it avoids each watched node, 0 for not yet
+	avoided   []scheduler.Micros // for each watched node: since when the front avoids it, 0 for not yet
 }
 
-// call is a request that is open.
+// call is an open request.
 type call struct {
 	id       string
 	number   uint64
 	shard    int
-	node     int32 // of the attempt that is out
-	attempt  int32 // number of the next one
+	node     int32 // of the attempt in progress or the last one
+	attempt  int32 // number of the next attempt
 	out      bool
 	over     bool
 	units    float64
@@ -53,7 +53,7 @@
 
 type probeOut struct {
 	number uint64
-	at     scheduler.Micros // it counts as failed then
+	at     scheduler.Micros // when it counts as failed
 }
 
 func newFront(s sender) (*front, error) {
@@ -62,7 +62,7 @@
 	return f, nil
 }
 
-// start begins the front's process anew: it knows the list of nodes and nothing else.
+// start starts or restarts the front's process, which knows only the endpoint list then.
 func (f *front) start(now scheduler.Micros) error {
 	w := f.world
 	decider, err := scheduler.New(w.set.rules(int(f.id)), f.rng.Int64())
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// stop ends the front's process: what it had open is lost.
+// stop ends the front's process: its open requests are lost.
 func (f *front) stop() {
 	for _, c := range f.calls {
 		if !c.over {
@@ -101,7 +101,7 @@
 	f.down = true
 }
 
-// gap is the time until the next request: they come at random, whatever became of those before.
+// gap returns a random time until the next request. Arrivals don't depend on the outcome of earlier requests.
 func (f *front) gap() scheduler.Micros {
 	if f.world.set.Rate == 0 {
 		return 1 << 60
@@ -161,7 +161,7 @@
 	f.events = append(f.events, e)
 }
 
-// arrive takes the requests that come in the window.
+// arrive adds the requests that arrive in the window.
 func (f *front) arrive(end scheduler.Micros) {
 	for ; f.arrival < end; f.arrival += f.gap() {
 		f.asked++
@@ -178,7 +178,7 @@
 	}
 }
 
-// step hands the events of a window to the scheduler together, as the program's core does, and carries its actions out.
+// step passes all events of a window to the scheduler in one call, as the program's core does, and performs its actions.
 func (f *front) step(now scheduler.Micros, events []scheduler.Event) {
 	began := time.Now()
 	actions := f.scheduler.Step(now, events)
@@ -189,7 +189,7 @@
 	}
 }
 
-// learn hands news of the list to the scheduler ahead of all else.
+// learn passes a change of the endpoint list to the scheduler at once, before the other events of the window.
 func (f *front) learn(now scheduler.Micros, list scheduler.EndpointsChanged) {
 	if f.health != nil {
 		f.health.learn(list)
--- a/internal/lab/hollow/health.go
+++ b/internal/lab/hollow/health.go
@@ -7,11 +7,11 @@
 	"otterturn/scheduler"
 )
 
-// zoneHealth is a front's part in the health of nodes.
+// zoneHealth runs a front's health monitor (internal/fleet/health).
 type zoneHealth struct {
 	monitor *health.Monitor
 	events  []health.Event   // since the last step
-	alarm   scheduler.Micros // 0 for none
+	alarm   scheduler.Micros // time of the monitor's timer, 0 for none
 }
 
 func newZoneHealth(f *front, now scheduler.Micros) (*zoneHealth, error) {
@@ -51,7 +51,7 @@
 	z.hear(health.ProbeEnded{HealthChecked: p})
 }
 
-// pass hands the events of a window to the monitor, and carries its actions out.
+// pass passes the events of a window to the monitor and performs its actions.
 func (z *zoneHealth) pass(f *front, now scheduler.Micros) {
 	if z.alarm > 0 && z.alarm < now {
 		z.alarm = 0
@@ -97,7 +97,7 @@
 	f.send(now, message{to: int32(a.To), kind: kindHealth, data: data})
 }
 
-// healthHeard takes in a message of another front.
+// healthHeard handles a health message of another front.
 func (f *front) healthHeard(m *message) {
 	if f.health == nil {
 		return
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// pairRate is how many requests a second a front has for a node at the size that decides the design.
+// pairRate is the number of requests per second from one front to one node at full size.
 const pairRate = FullRate / FullNodes
 
-// suspectAfter is longer than a request's first answer over a new connection between regions takes, 60 ms here. With the
-// 50 ms of health.Defaults each front suspects each node of the other region once it first asks it.
+// suspectAfter is longer than the first answer over a new connection between regions takes, 60 ms here. With the 50 ms of
+// health.Defaults each front would suspect each node of the other region at its first request.
 const suspectAfter = 100 * millisecond
 
-// small is a fleet in which a front and a node meet as often as at full size.
+// small returns the settings of a fleet in which each front sends each node as many requests per second as at full size.
 func small(fronts, nodes, zones int, health bool, seed uint64) Settings {
 	set := Default(fronts)
 	set.Nodes, set.Zones, set.Rate, set.Health, set.Seed, set.Warm = nodes, zones, pairRate*float64(nodes), health, seed, second
@@ -20,7 +20,7 @@
 	return set
 }
 
-// play plays a phase to a fleet, and returns the fleet too.
+// play runs a phase on a new fleet.
 func play(t *testing.T, set Settings, p Phase) (*World, Result) {
 	t.Helper()
 	w, err := New(set, 0)
@@ -31,7 +31,7 @@
 	return w, w.play(p)
 }
 
-// The same seed has the same digest, whatever the number of workers; another one has another.
+// The same seed gives the same digest with any number of workers; different seeds give different digests.
 func TestSameSeedSameDigest(t *testing.T) {
 	t.Parallel()
 	digests := map[uint64]int{}
@@ -46,11 +46,11 @@
 		}
 	}
 	if len(digests) != 2 {
-		t.Errorf("two seeds, each with 1 and 4 workers, have %d digests", len(digests))
+		t.Errorf("two seeds, each with 1 and 4 workers, give %d different digests, want 2", len(digests))
 	}
 }
 
-// exponent is the power by which a figure goes by the number of fronts.
+// exponent returns the exponent of the power law by which a figure grows with the number of fronts.
 func exponent(t *testing.T, what string, sizes, values []float64) float64 {
 	t.Helper()
 	f := fit(sizes, values)
@@ -58,9 +58,9 @@
 	return f.Exponent
 }
 
-// As a fleet grows and one of its nodes falls silent, a front pays no more for it with the zones' health of nodes: the
-// exponents of messages, bytes and probes a front stay at or below 0.3, and those of the probes at the node below 0.2. Without
-// it the probes at the node go by the fronts.
+// With health of nodes, the cost of a silent node hardly grows with the size of the fleet: the exponents of messages, bytes
+// and probes per front are at most 0.3, and that of the probes at the node is at most 0.2. Without it the probes at the node
+// grow with the number of fronts.
 func TestWhatAFrontPaysDoesNotGrowWithTheFleet(t *testing.T) {
 	t.Parallel()
 	const seed = 3
@@ -79,25 +79,25 @@
 		}
 		t.Logf("seed %d, health of nodes %v", seed, health)
 		grows[health] = map[string]float64{
-			"bytes":    exponent(t, "bytes a front in the worst second", sizes, bytes),
-			"messages": exponent(t, "messages a front, and one", sizes, messages),
-			"probes":   exponent(t, "probes a front", sizes, probes), "at node": exponent(t, "probes at the node in the worst second", sizes, atNode),
+			"bytes":    exponent(t, "bytes per front in the worst second", sizes, bytes),
+			"messages": exponent(t, "messages per front, plus one", sizes, messages),
+			"probes":   exponent(t, "probes per front", sizes, probes), "at node": exponent(t, "probes at the node in the worst second", sizes, atNode),
 		}
 	}
 	with, without := grows[true], grows[false]
 	for what, bound := range map[string]float64{"bytes": 0.3, "messages": 0.3, "probes": 0.3, "at node": 0.2} {
 		if !(with[what] <= bound) {
-			t.Errorf("%s grow as n^%.2f with health of nodes, over %.1f", what, with[what], bound)
+			t.Errorf("%s grow as n^%.2f with health of nodes, want an exponent of at most %.1f", what, with[what], bound)
 		}
 	}
 	if without["at node"] < 0.7 {
-		t.Errorf("probes at the node grow as n^%.2f without health of nodes: nothing is shown", without["at node"])
+		t.Errorf("probes at the node grow as n^%.2f without health of nodes, want at least n^0.7", without["at node"])
 	}
 }
 
-// A zone goes, with health of nodes and without: with it probes at a silent node are bounded over the fleet, failed
-// requests are a sixth at most (a tenth at full size, where a zone has twice as many fronts), and all fronts that go on
-// avoid all its nodes.
+// A zone becomes silent, with and without health of nodes. With it, the probes of the whole fleet at a silent node are
+// bounded, failed requests are at most a sixth of those without it (a tenth at full size, where a zone has 120 fronts instead of 40),
+// and all running fronts avoid all silent nodes.
 func TestZoneGone(t *testing.T) {
 	t.Parallel()
 	const seed = 5
@@ -106,22 +106,22 @@
 	for i, health := range []bool{false, true} {
 		_, results[i] = play(t, small(120, 36, 3, health, seed), phase)
 		r := &results[i]
-		t.Logf("seed %d, health of nodes %v: %.0f probes a second at a silent node, %.1f failed requests for each, 99%% avoid after %.2f s, all after %.2f s",
+		t.Logf("seed %d, health of nodes %v: %.0f probes per second and %.1f failed requests per silent node, 99%% of the pairs avoided after %.2f s, all after %.2f s",
 			seed, health, peak(r, sum(probesWatched))/float64(r.Watched), total(r, paid)/float64(r.Watched), until(r, r.Avoided, 0.99), until(r, r.Avoided, 1))
 	}
 	off, on := &results[0], &results[1]
 	if most := peak(on, sum(probesWatched)) / float64(on.Watched); most > probeBudget {
-		t.Errorf("%.1f probes a second at each silent node", most)
+		t.Errorf("%.1f probes per second at each silent node, over the budget", most)
 	}
 	if total(on, paid)*6 > total(off, paid) {
-		t.Errorf("%.0f failed requests with health of nodes, %.0f without", total(on, paid), total(off, paid))
+		t.Errorf("%.0f failed requests with health of nodes, %.0f without: want at most a sixth", total(on, paid), total(off, paid))
 	}
 	if took := until(on, on.Avoided, 1); math.IsNaN(took) || took >= until(off, off.Avoided, 1) || took > avoidBudget {
-		t.Errorf("all fronts avoid all silent nodes after %.2f s", took)
+		t.Errorf("all fronts avoid all silent nodes after %.2f s: later than without health of nodes or over the budget", took)
 	}
 }
 
-// avoiding counts the pairs of a front and a watched node that it avoids, of those fronts that are chosen.
+// avoiding counts the pairs of a chosen front and a watched node that it avoids.
 func avoiding(w *World, chosen func(f *front) bool) (pairs int) {
 	for _, f := range w.fronts {
 		if !chosen(f) {
@@ -136,7 +136,7 @@
 	return pairs
 }
 
-// One front reaches no node, and tells its zone so: no other front avoids a node for that.
+// One front reaches no node and reports this to its zone. No other front may avoid a node for that reason.
 func TestOneWrongFrontCondemnsNothing(t *testing.T) {
 	t.Parallel()
 	const seed, wrong = 7, 5
@@ -146,9 +146,9 @@
 	}})
 	own := avoiding(w, func(f *front) bool { return f.id == wrong })
 	others := avoiding(w, func(f *front) bool { return f.id != wrong })
-	t.Logf("seed %d: the wrong front avoids %d nodes, others %d", seed, own, others)
+	t.Logf("seed %d: the cut-off front avoids %d nodes, the others %d", seed, own, others)
 	if own == 0 || others > 0 {
-		t.Errorf("the wrong front avoids %d nodes, others %d", own, others)
+		t.Errorf("the cut-off front avoids %d nodes, want some; the others avoid %d, want none", own, others)
 	}
 }
 
@@ -159,7 +159,7 @@
 	return nodes
 }
 
-// Two zones don't hear each other: fronts of a third avoid no node of either.
+// Two zones are cut off from each other. Fronts of other zones may not avoid any of their nodes.
 func TestThirdZoneIsUnaffected(t *testing.T) {
 	t.Parallel()
 	const seed = 9
@@ -169,8 +169,8 @@
 	}})
 	inside := avoiding(w, func(f *front) bool { return f.world.links.zone[f.id] == 1 || f.world.links.zone[f.id] == 2 })
 	third := avoiding(w, func(f *front) bool { return f.world.links.zone[f.id] == 0 || f.world.links.zone[f.id] == 3 })
-	t.Logf("seed %d: fronts of the zones that are apart avoid %d, others %d", seed, inside, third)
+	t.Logf("seed %d: fronts of the separated zones avoid %d nodes, the others %d", seed, inside, third)
 	if inside == 0 || third > 0 {
-		t.Errorf("fronts of the zones that are apart avoid %d, others %d", inside, third)
+		t.Errorf("fronts of the separated zones avoid %d nodes, want some; the others avoid %d, want none", inside, third)
 	}
 }
--- a/internal/lab/hollow/links.go
+++ b/internal/lab/hollow/links.go
@@ -2,18 +2,18 @@
 
 import "otterturn/scheduler"
 
-// Delays of the network, one way. The least must not be below a tick.
+// One-way delays of the network. None may be below a tick.
 const (
 	delayNear = 2 * millisecond  // within a region
 	delayFar  = 12 * millisecond // between regions
 )
 
-// links is where actors stand, and which of them hear each other.
+// links holds the zone of each actor and which of them can reach each other.
 type links struct {
 	zones, regions int
 	zone           []int32  // of each actor
-	apart          [][]bool // pairs of zones that don't hear each other
-	blind          []bool   // fronts that reach no node, by number
+	apart          [][]bool // pairs of zones between which messages are lost
+	blind          []bool   // by front: true if it reaches no node
 }
 
 func newLinks(zones, regions, fronts, actors int) links {
@@ -35,21 +35,22 @@
 	return delayFar
 }
 
-// cut tells whether what one actor sends another is lost.
+// cut reports whether messages from one actor to another are lost.
 func (l *links) cut(from, to int32) bool {
 	return l.apart[l.zone[from]][l.zone[to]] || l.blindTo(from, to) || l.blindTo(to, from)
 }
 
-// blindTo tells that a front which reaches no node is cut off from an actor: only other fronts hear it.
+// blindTo reports whether front is a front that reaches no node, and other is not a front. Such a front still reaches
+// other fronts.
 func (l *links) blindTo(front, other int32) bool {
 	fronts := int32(len(l.blind))
 	return front < fronts && l.blind[front] && other >= fronts
 }
 
-// part has two zones not hear each other, or hear each other again. A zone may be parted from itself.
+// part cuts the links between two zones, or restores them. Both may be the same zone: then it cuts the links within it.
 func (l *links) part(a, b int, apart bool) { l.apart[a][b], l.apart[b][a] = apart, apart }
 
-// partRegions parts all zones of one region from all those of others, or joins them.
+// partRegions cuts the links between zones of different regions, or restores them.
 func (l *links) partRegions(apart bool) {
 	for a := range l.zones {
 		for b := range l.zones {
@@ -60,7 +61,7 @@
 	}
 }
 
-// silence parts a zone from all, itself included.
+// silence cuts a zone's links to all zones, also those within it.
 func (l *links) silence(zone int) {
 	for other := range l.zones {
 		l.part(zone, other, true)
--- a/internal/lab/hollow/message.go
+++ b/internal/lab/hollow/message.go
@@ -7,12 +7,12 @@
 	"otterturn/scheduler"
 )
 
-// kind tells what a message is.
+// kind is the kind of a message.
 type kind uint8
 
 const (
 	kindAttempt    kind = iota // front to node: a request
-	kindReply                  // node to front: how an attempt ended
+	kindReply                  // node to front: result of an attempt
 	kindProbe                  // front to node
 	kindProbeReply             // node to front
 	kindNote                   // front to front: protocol.FormatNote
@@ -21,32 +21,32 @@
 	kindListAnswer             // discovery to front
 )
 
-// message is what one actor sends another. Which fields count goes by its kind.
+// message is a message from one actor to another. Its kind determines which fields are set.
 type message struct {
 	at       scheduler.Micros // when it arrives
-	from, to int32            // actors
-	sequence uint32           // counts what the sender sent
+	from, to int32            // numbers of the actors
+	sequence uint32           // of the sender's messages, from 1
 	kind     kind
 	result   scheduler.Result // of an attempt or a probe
-	number   uint64           // of the request, probe or call, at its front
+	number   uint64           // of the request, probe or list call, unique within its front
 	attempt  int32            // of the request
-	opens    bool             // a watch that begins
+	opens    bool             // whether the call is the first one of a watch
 	value    float64          // units of an attempt, queue of a probed node
-	version  int64            // of the list
-	hold     scheduler.Micros // for so long discovery may hold a call
-	data     []byte           // text of a note or a health message
-	news     *news            // of the list
+	version  int64            // of the endpoint list
+	hold     scheduler.Micros // how long discovery may hold the call
+	data     []byte           // encoded peer message or health message
+	news     *news            // of a list answer
 }
 
-// before is the order in which an actor handles messages.
+// before compares messages by the order in which an actor handles them.
 func before(a, b message) int {
 	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.from, b.from), cmp.Compare(a.sequence, b.sequence))
 }
 
-// ahead is how many windows ahead a message may arrive at most.
+// ahead is the number of windows within which a message must arrive, counted from the one in which it is sent.
 const ahead = 16
 
-// mailbox holds what is on its way to an actor, by the window in which it arrives.
+// mailbox holds the messages on their way to an actor, by the window in which they arrive.
 type mailbox struct {
 	windows [ahead][]message
 }
@@ -56,7 +56,8 @@
 	m.windows[w] = append(m.windows[w], in)
 }
 
-// take returns what arrives in a window, in order, until the next call of take for a window of the same place.
+// take returns the messages that arrive in a window, in order. The result is valid until a message is put for a later
+// window that uses the same element.
 func (m *mailbox) take(window int64) []message {
 	w := window % ahead
 	in := m.windows[w]
@@ -67,7 +68,7 @@
 
 func windowOf(at scheduler.Micros) int64 { return int64((at - begin) / tick) }
 
-// outbox holds what the actors of one worker sent in a window, by the worker of the receiver.
+// outbox holds the messages that the actors of one worker sent in a window, by the worker of the receiver.
 type outbox [][]message
 
 // sender is the part of an actor that sends.
@@ -78,7 +79,7 @@
 	sequence uint32
 }
 
-// send has a message arrive after the network's delay, unless the link is cut.
+// send delivers a message after the network's delay, unless the link is cut.
 func (s *sender) send(now scheduler.Micros, m message) {
 	s.sequence++
 	links := &s.world.links
--- a/internal/lab/hollow/meter.go
+++ b/internal/lab/hollow/meter.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// figure is something that is counted at each front.
+// figure is the index of a counter that each front has.
 type figure int
 
 const (
-	requests   figure = iota // that came
-	served                   // final answers: the node's,
-	refused                  // a refusal,
-	failed                   // or a failure
-	lost                     // with a front's process
-	attempts                 // that were sent
-	unanswered               // attempts that had no answer until the request's deadline,
-	paid                     // and those of them at watched nodes
-	connections
+	requests    figure = iota // that arrived
+	served                    // requests with an answer of a node
+	refused                   // requests that the scheduler rejected
+	failed                    // requests that failed or reached their deadline without an attempt in progress
+	lost                      // requests that were open when the front's process ended
+	attempts                  // sent to nodes
+	unanswered                // attempts without an answer at the request's deadline
+	paid                      // unanswered attempts at watched nodes
+	connections               // opened to nodes
 	probesSent
-	probesWatched // at watched nodes
+	probesWatched // probes sent to watched nodes
 	probeTraffic  // bytes of probes
 	notesSent
 	notesReceived
@@ -28,19 +28,19 @@
 	listFailures
 	listBytes // in both directions
 	unreadable
-	figures // how many there are
+	figures // number of counters
 )
 
-// controlFigures are those whose sum is the traffic of control, in bytes.
+// controlFigures lists the counters that add up to the control traffic, in bytes.
 var controlFigures = []figure{probeTraffic, noteBytes, healthBytes, listBytes}
 
-// counts are those of a front.
+// counts holds a front's counters.
 type counts struct {
-	now   [figures]int64 // of this second
-	total [figures]int64
+	now   [figures]int64 // in the current second of virtual time
+	total [figures]int64 // in the seconds before
 }
 
-// controlBytes is the traffic of control in a second.
+// controlBytes returns the control traffic in the current second.
 func (c *counts) controlBytes() (sum int64) {
 	for _, f := range controlFigures {
 		sum += c.now[f]
@@ -48,10 +48,10 @@
 	return sum
 }
 
-// cost is wall-clock time that a front's parts took; it is no part of the digest.
+// cost is the wall-clock time that parts of a front took; it is not part of the digest.
 type cost struct {
 	scheduler, health time.Duration
-	busy              time.Duration // in all, of the workers
+	busy              time.Duration // total of the workers
 	steps             int64
 }
 
@@ -62,28 +62,28 @@
 type discoveryCounts struct {
 	calls, dropped int64
 	lines          float64 // answered
-	asked          float64
+	asked          float64 // lines that the calls requested
 }
 
-// Second is what a fleet did in a second of virtual time.
+// Second holds the counts of a fleet in one second of virtual time.
 type Second struct {
 	Sum         [figures]int64
-	Most        [figures]int64 // at one front
-	Control     int64          // bytes of all fronts
-	MostControl int64          // bytes at one front
-	Lines       float64        // that discovery answered
-	Asked       float64        // lines that calls asked it for
-	Calls       int64          // that it got
-	MostAtNode  int64          // attempts at one node
+	Most        [figures]int64 // highest count of a single front
+	Control     int64          // control traffic of all fronts, in bytes
+	MostControl int64          // highest control traffic of a single front, in bytes
+	Lines       float64        // answered by discovery
+	Asked       float64        // lines that calls requested from discovery
+	Calls       int64          // received by discovery
+	MostAtNode  int64          // highest number of attempts at a single node
 }
 
 type meter struct {
 	seconds   []Second
-	discovery discoveryCounts // up to the last second
-	attempts  []int64         // of each node up to then
+	discovery discoveryCounts // counts at the end of the last second
+	attempts  []int64         // by node, total at the end of the last second
 }
 
-// close ends a second.
+// close records the counts of a second and resets them.
 func (m *meter) close(w *World) {
 	var s Second
 	for _, f := range w.fronts {
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -5,7 +5,7 @@
 	"otterturn/scheduler"
 )
 
-// node is a storage node behind the network.
+// node is a modelled storage node with its connection to the network.
 type node struct {
 	sender
 	*model.Node
@@ -14,7 +14,7 @@
 	counts nodeCounts
 }
 
-// job is an attempt that a node works on.
+// job identifies an attempt that a node queues or serves.
 type job struct {
 	from    int32
 	number  uint64
@@ -33,7 +33,7 @@
 	n.work(end - 1)
 }
 
-// work lets jobs end until a time.
+// work finishes the jobs that end up to a time, and replies to them.
 func (n *node) work(until scheduler.Micros) {
 	for {
 		at, any := n.Next()
@@ -89,7 +89,7 @@
 	n.send(m.at, reply)
 }
 
-// kill ends the node's process: its connections break, and new ones are refused.
+// kill ends the node's process: open attempts end with a reset, and new ones with scheduler.Unreachable.
 func (n *node) kill(now scheduler.Micros) {
 	for _, lost := range n.Die() {
 		if j, waits := lost.Tag.(*job); waits {
--- a/internal/lab/hollow/pagerows.go
+++ b/internal/lab/hollow/pagerows.go
@@ -1,6 +1,6 @@
 package hollow
 
-// allRows are the rows of the page.
+// allRows returns the rows of the table, in their order.
 func allRows() []row {
 	rows := ordinaryRows()
 	rows = append(rows, silent("zone")...)
@@ -78,7 +78,7 @@
 	}
 }
 
-// listRows are those of phases about the list, which health of nodes has no part in.
+// listRows returns the rows of phases that change the endpoint list. Health of nodes does not affect them.
 func listRows() (rows []row) {
 	discoveryLines := func(phase, formula, mechanism string) row {
 		return row{
@@ -134,7 +134,7 @@
 	}
 }
 
-// coldRows are those of phases in which a node begins cold.
+// coldRows returns the rows of a phase in which a node starts cold.
 func coldRows(phase string) []row {
 	return []row{
 		{
--- a/internal/lab/hollow/probes.go
+++ b/internal/lab/hollow/probes.go
@@ -2,11 +2,11 @@
 
 import "otterturn/scheduler"
 
-// probeBytes is what a probe on a connection of its own takes in both directions, with the headers of IP and TCP: the
-// handshake, the head of the request, the answer and the close.
+// probeBytes is the traffic of a probe on its own connection in both directions, with the headers of IP and TCP: handshake,
+// request header, answer and close.
 const probeBytes = 270
 
-// wantProbe is a probe that the scheduler asks for.
+// wantProbe handles the scheduler's request for a probe.
 func (f *front) wantProbe(now scheduler.Micros, name string) {
 	node := f.numbers[name]
 	f.world.watched.suspects(f, node, now)
@@ -17,7 +17,7 @@
 	f.probe(now, node)
 }
 
-// probe sends one.
+// probe sends a probe to a node.
 func (f *front) probe(now scheduler.Micros, node int32) {
 	f.probed++
 	f.probes[f.probed] = node
@@ -33,7 +33,8 @@
 	f.probeEnded(m.number, m.result == scheduler.OK, m.value)
 }
 
-// probeEnded takes in the result of a probe; one that came later than it may counts for nothing.
+// probeEnded reports the result of a probe to the health monitor or the scheduler. It ignores an answer after the probe's
+// timeout.
 func (f *front) probeEnded(number uint64, ok bool, waits float64) {
 	node, out := f.probes[number]
 	if !out {
--- a/internal/lab/hollow/report.go
+++ b/internal/lab/hollow/report.go
@@ -9,31 +9,31 @@
 	"otterturn/scheduler"
 )
 
-// Plan is what is measured.
+// Plan says which events are measured, at which sizes.
 type Plan struct {
-	Sizes   []int // numbers of fronts, in rising order
-	Small   int   // events that are not Large are played at sizes up to this
-	Events  []string
-	Health  []bool // without and with
+	Sizes   []int    // numbers of fronts, in ascending order
+	Small   int      // maximum size for events that are not Large
+	Events  []string // names, empty for all events
+	Health  []bool   // variants: health of nodes switched off, on
 	Seed    uint64
 	Workers int
 
-	SuspectAfter scheduler.Micros // of health.Config, 0 for its default
+	SuspectAfter scheduler.Micros // see health.Config, 0 for its default
 }
 
-// Line is a row of the page with its figures.
+// Line is a row of the table with its values.
 type Line struct {
 	Phase, Role, What, Unit, Formula, Mechanism string
 	Health                                      bool
 	Sizes, Values                               []float64
 	Fit                                         Fit
 	Full                                        float64 // value at FullFronts
-	Measured                                    bool    // it was measured there
-	Least                                       bool    // it took longer than the phase
-	Budget, Ratio                               float64 // 0 for none
+	Measured                                    bool    // Full was measured, not extrapolated
+	Least                                       bool    // Full is a lower bound: the time was longer than the phase
+	Budget, Ratio                               float64 // Ratio is Full / Budget; 0 for none
 }
 
-// Measure plays the events of a plan and returns the page's rows. progress hears of each run.
+// Measure runs the events of a plan and returns the rows of the table. It calls progress after each phase.
 func Measure(p Plan, progress func(string)) ([]Line, error) {
 	results := map[string][]*Result{}
 	for _, e := range Events {
@@ -57,7 +57,7 @@
 				for i := range played {
 					r := &played[i]
 					results[key(r.Phase.Name, health)] = append(results[key(r.Phase.Name, health)], r)
-					progress(fmt.Sprintf("%s at %d x %d, health %v, digest %016x, took %.1f s, a core's share a front %.4f (scheduler %.4f, health %.4f)",
+					progress(fmt.Sprintf("%s at %d x %d, health %v, digest %016x, took %.1f s, cores per front %.4f (scheduler %.4f, health %.4f)",
 						r.Phase.Name, size, set.Nodes, health, r.Digest, r.Took.Seconds(), r.CPU, r.Scheduler, r.Health))
 				}
 			}
@@ -70,7 +70,7 @@
 
 func lineUp(p Plan, results map[string][]*Result) (out []Line) {
 	for _, row := range allRows() {
-		without := 0.0 // health of nodes
+		without := 0.0 // value without health of nodes
 		for _, health := range p.Health {
 			rs := results[key(row.phase, health)]
 			if len(rs) == 0 {
@@ -111,7 +111,7 @@
 	return l
 }
 
-// Worst is the line with the highest ratio, nil where none has a budget.
+// Worst returns the line of a variant with the highest ratio, nil if the variant has no lines.
 func Worst(lines []Line, health bool) (worst *Line) {
 	for i := range lines {
 		if l := &lines[i]; l.Health == health && (worst == nil || l.Ratio > worst.Ratio) {
--- a/internal/lab/hollow/rows.go
+++ b/internal/lab/hollow/rows.go
@@ -2,26 +2,26 @@
 
 import "otterturn/scheduler"
 
-// Budgets of a front's control, and of the mechanisms.
+// Budgets of a front's control traffic, memory and processor time, and of the mechanisms.
 const (
-	controlBudget   = 16 << 10  // bytes a second
-	memoryBudget    = 256 << 20 // bytes
-	processorBudget = 0.05      // of a core
-	probeBudget     = 50.0      // a second at each silent node, of the whole fleet
-	avoidBudget     = 2.0       // seconds until all fronts that can be told avoid a node
-	changeBudget    = 4.0       // seconds until a change is in force everywhere
-	primaryBudget   = 19.0      // seconds that a change of primary takes
-	paidShare       = 0.1       // of the failed requests that are paid for each node without health of nodes
+	controlBudget   = 16 << 10  // bytes per second and front
+	memoryBudget    = 256 << 20 // bytes per front
+	processorBudget = 0.05      // of a core, per front
+	probeBudget     = 50.0      // per second, at each silent node, from the whole fleet
+	avoidBudget     = 2.0       // seconds until all fronts that a message can reach avoid a silent node
+	changeBudget    = 4.0       // seconds until all fronts have a change of the endpoint list
+	primaryBudget   = 19.0      // seconds that a change of a shard's primary node may take
+	paidShare       = 0.1       // of the failed requests per silent node without health of nodes
 )
 
-// row is a line of the page: a figure of a phase, by the number of fronts.
+// row defines a line of the table: a figure of a phase, measured for each number of fronts.
 type row struct {
 	phase, role, what, unit string
 	formula                 string
-	formulaOn               string  // with health of nodes, where that is another
+	formulaOn               string  // with health of nodes, empty if it is the same
 	budget                  float64 // 0 for none
-	shared                  bool    // the budget is a share of what is measured without health of nodes
-	mechanism, healthy      string  // that carries it, without and with health of nodes
+	shared                  bool    // the budget is a share of the value without health of nodes
+	mechanism, healthy      string  // package responsible for the figure, without and with health of nodes
 	of                      func(*Result) float64
 }
 
@@ -44,14 +44,14 @@
 
 func sum(f figure) func(*Second) float64 { return func(s *Second) float64 { return float64(s.Sum[f]) } }
 
-// probesAhead are probes of nodes that answer, which a scheduler sends ahead of a request where slow answers are not seldom.
+// probesAhead counts the probes to nodes that answer. A scheduler sends them before a request if slow answers are not rare.
 func probesAhead(s *Second) float64 { return float64(s.Sum[probesSent] - s.Sum[probesWatched]) }
 
 func control(s *Second) float64     { return float64(s.Control) }
 func mostControl(s *Second) float64 { return float64(s.MostControl) }
 func lines(s *Second) float64       { return s.Lines }
 
-// total is the sum of a figure over the phase and the fleet.
+// total returns the sum of a counter over the phase and the fleet.
 func total(r *Result, f figure) (sum float64) {
 	for i := range r.Seconds {
 		sum += float64(r.Seconds[i].Sum[f])
@@ -59,12 +59,12 @@
 	return sum
 }
 
-// until is the time by which a share of sorted times has come, in seconds: the phase's length where it has not.
+// until returns the time in seconds by which a share of the sorted times is reached, and at most the phase's length.
 func until(r *Result, times []scheduler.Micros, share float64) float64 {
 	return seconds(min(Share(times, share), r.Phase.Span))
 }
 
-// silent are the rows of phases in which nodes fall silent.
+// silent returns the rows of a phase in which nodes become silent.
 func silent(phase string) []row {
 	return []row{
 		{
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -10,32 +10,32 @@
 	"otterturn/scheduler"
 )
 
-// Result is what a fleet did in a phase of a script.
+// Result holds the measurements of a phase of a script.
 type Result struct {
 	Phase    Phase
 	Settings Settings
-	Digest   uint64 // of all up to its end
+	Digest   uint64 // of the whole run up to the end of the phase
 	Seconds  []Second
-	Watched  int // nodes that the phase was about
-	Fronts   int // that run at its end
-
-	Avoided  []scheduler.Micros // since it began, for each front that runs and node that it is to avoid; Never where it does not
-	Informed []scheduler.Micros // since the news, for each front that runs
-	Unserved scheduler.Micros   // since it began, the last request for a watched node's data that was not served
-
-	CPU       float64 // seconds of a processor for each front and second of virtual time, of these
-	Scheduler float64 // in the scheduler's steps,
-	Health    float64 // and in the health of nodes
-	Step      time.Duration
-	Start     int64 // bytes of a front that has just started
-	Heap      int64 // bytes of a front at the end of the event
-	Took      time.Duration
+	Watched  int // number of nodes that the phase affects
+	Fronts   int // fronts running at the end of the phase
+
+	Avoided  []scheduler.Micros // since the phase began, for each pair of a running front and a node that it should avoid; or Never
+	Informed []scheduler.Micros // time since the list changed, for each running front
+	Unserved scheduler.Micros   // time since the phase began of the last request for a watched node's data that was not served
+
+	CPU       float64       // processor seconds per front and second of virtual time
+	Scheduler float64       // part of CPU in the scheduler's steps
+	Health    float64       // part of CPU in the health of nodes
+	Step      time.Duration // processor time of a scheduler's step
+	Start     int64         // heap bytes per front right after the start
+	Heap      int64         // heap bytes per front at the end of the event
+	Took      time.Duration // wall-clock time
 }
 
-// Never is the time of what did not come.
+// Never is the time of an event that did not occur.
 const Never scheduler.Micros = 1<<63 - 1
 
-// Run plays an event to a fleet.
+// Run starts a fleet, lets it warm up and runs the phases of an event.
 func Run(set Settings, e Event) ([]Result, error) {
 	before := heap()
 	w, err := New(set, e.spares)
@@ -56,7 +56,7 @@
 	return results, nil
 }
 
-// play plays one phase.
+// play runs one phase and measures it.
 func (w *World) play(p Phase) Result {
 	began, cpu, from := time.Now(), processorTime(), len(w.meter.seconds)
 	w.spent()
@@ -79,16 +79,16 @@
 	return int64(m.HeapAlloc)
 }
 
-// processorTime is what this process has taken so far.
+// processorTime returns the processor time that this process has used so far.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		panic(fmt.Errorf("getrusage: %w", err)) // the arguments are good, so it can't
+		panic(fmt.Errorf("getrusage: %w", err)) // cannot happen: the arguments are valid
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// spent is the cost of all fronts since it was asked last.
+// spent returns the cost of all fronts and workers since the last call.
 func (w *World) spent() (sum cost) {
 	for _, f := range w.fronts {
 		sum.scheduler += f.cost.scheduler
@@ -103,8 +103,8 @@
 	return sum
 }
 
-// cost divides the processor time by the parts' shares of the wall-clock time: that is longer where the machine is busy
-// with other things.
+// cost splits the processor time by each part's share of the workers' wall-clock time. Wall-clock time itself would include
+// the time in which the machine is busy with other processes.
 func (r *Result) cost(w *World, span scheduler.Micros) {
 	c := w.spent()
 	each := r.CPU / max(c.busy.Seconds(), 1e-9)
@@ -137,7 +137,8 @@
 	slices.Sort(r.Informed)
 }
 
-// concerns tells that a front is to avoid a watched node: where the regions are cut, one of the other region.
+// concerns reports whether a front should avoid a watched node: if the regions are cut off from each other, only nodes of
+// the other region.
 func (w *World) concerns(f *front, node int32) bool {
 	return !w.watched.across || w.links.region(f.id) != w.links.region(w.nodeID(node))
 }
@@ -149,7 +150,7 @@
 	return at - from
 }
 
-// Share is the time by which a share of sorted times has come.
+// Share returns the time by which a share of the sorted times is reached.
 func Share(times []scheduler.Micros, share float64) scheduler.Micros {
 	if len(times) == 0 {
 		return 0
--- a/internal/lab/hollow/settings.go
+++ b/internal/lab/hollow/settings.go
@@ -1,14 +1,14 @@
-// Package hollow is the laboratory of large fleets: a thousand fronts and more in one process, each with the real
-// scheduler, message codec, backoff of discovery and, where it is switched on, health of nodes. Sockets are left out, nodes
-// and discovery are models, and time is virtual.
+// Package hollow simulates large fleets: a thousand fronts and more in one process, each with the real scheduler, message
+// codec, discovery backoff and, if switched on, health of nodes. There are no sockets, nodes and discovery are models, and
+// time is virtual.
 //
-// It is a conservative parallel simulation. Time advances in windows of one tick, which is no longer than the least
-// delay of the network, so what is sent in a window arrives in a later one. Within a window each actor (front, node,
-// discovery) handles what has arrived in the order of time, sender and the sender's sequence number. So the same seed has
-// the same digest, whatever the number of workers.
+// It is a conservative parallel simulation. Time advances in windows of one tick, which is no longer than the minimum
+// delay of the network, so a message sent in one window arrives in a later one. Within a window each actor (front, node,
+// discovery) handles its messages in the order of arrival time, sender and the sender's sequence number. Therefore the
+// same seed gives the same digest with any number of workers.
 //
-// Simplified: a client asks once and does not come again after a refusal; an attempt at a silent node stays without an
-// answer until its request's deadline, also on a connection that is new; connections are counted and never expire.
+// Simplifications: a client sends a request once and does not retry after a rejection; an attempt at a silent node has no
+// result until its request's deadline, even on a new connection; connections are counted and never expire.
 package hollow
 
 import (
@@ -26,24 +26,25 @@
 	millisecond = scheduler.Micros(1_000)
 	second      = 1_000 * millisecond
 
-	begin = 1_800_000_000 * second // virtual time begins here
-	tick  = 2 * millisecond        // a front's steps, and the windows of the simulation
+	begin = 1_800_000_000 * second // start of virtual time
+	tick  = 2 * millisecond        // interval of a front's steps, and length of the simulation's windows
 )
 
-// Settings of a fleet.
+// Settings are the settings of a simulated fleet.
 type Settings struct {
 	Fronts, Nodes  int
 	Zones, Regions int
-	Rate           float64          // requests a second at each front
+	Rate           float64          // requests per second at each front
 	Health         bool             // internal/fleet/health is switched on
-	SuspectAfter   scheduler.Micros // of health.Config, 0 for its default
+	SuspectAfter   scheduler.Micros // see health.Config, 0 for its default
 	Seed           uint64
-	Workers        int              // goroutines, 0 for one a processor
-	DiscoveryLines float64          // that discovery answers a second
-	Warm           scheduler.Micros // the fleet serves for so long ahead of an event
+	Workers        int              // goroutines, 0 for GOMAXPROCS
+	DiscoveryLines float64          // lines that discovery can answer per second
+	Warm           scheduler.Micros // how long the fleet serves before an event
 }
 
-// Default returns the settings of a fleet of so many fronts, at the proportions of the size that decides the design.
+// Default returns the settings of a fleet with the given number of fronts, with as many nodes per front and requests per
+// second as at full size.
 func Default(fronts int) Settings {
 	return Settings{
 		Fronts: fronts, Nodes: fronts * FullNodes / FullFronts, Zones: 10, Regions: 2, Rate: FullRate,
@@ -51,7 +52,7 @@
 	}
 }
 
-// The size that decides the design.
+// The size of the fleet that the program is designed for.
 const (
 	FullFronts = 1_200
 	FullNodes  = 1_800
@@ -81,18 +82,18 @@
 	return nil
 }
 
-// The work that clients ask for. A node of 8 cores at 472 requests a second is busy for three fifths of its time, and
-// usually answers in 5 to 20 ms.
+// The work of requests. At 472 requests per second a node of 8 cores is at three fifths of its capacity, and usually
+// answers in 5 to 20 ms.
 const (
-	unitWork  = 5_000.0 // microseconds of a core for a unit
-	meanUnits = 2       // of a request
-	mostUnits = 3       // of a request, which has 1 at least
-	aim       = 300 * millisecond
-	patience  = 2_500 * millisecond // of a client
-	volumes   = 64                  // of each front
+	unitWork  = 5_000.0             // microseconds of a core per unit
+	meanUnits = 2                   // per request
+	mostUnits = 3                   // per request; the minimum is 1
+	aim       = 300 * millisecond   // latency objective of the only class
+	patience  = 2_500 * millisecond // time after which a client gives up
+	volumes   = 64                  // number of volumes at each front
 )
 
-// rules are the settings of a front's scheduler.
+// rules returns the settings of a front's scheduler.
 func (s *Settings) rules(number int) scheduler.Settings {
 	return scheduler.Settings{
 		Fronts: s.Fronts, FrontIndex: number, PeerMessages: true, Tick: tick, MeanUnits: meanUnits, MaxUnits: mostUnits,
@@ -104,7 +105,7 @@
 	}
 }
 
-// figures are those of a node.
+// figures returns the settings of the model of a node.
 func (s *Settings) figures() model.Figures {
 	set := s.rules(0)
 	return model.Figures{
@@ -113,7 +114,7 @@
 	}
 }
 
-// limits are those of a front of the platform whose discovery all fronts ask.
+// limits returns the limits of a front on a platform where all fronts call the same discovery.
 func (s *Settings) limits() limits.Limits {
 	return limits.For(limits.Site{
 		MemoryMB: 256, Sockets: 8192, ConnIdle: 15 * time.Second, Connect: 250 * time.Millisecond,
@@ -123,7 +124,7 @@
 
 func micros(d time.Duration) scheduler.Micros { return scheduler.Micros(d / time.Microsecond) }
 
-// nodeName is about as long as names of machines are, with their zone and region.
+// nodeName returns a name about as long as real host names with zone and region.
 func nodeName(i, zone, region int) string {
 	return fmt.Sprintf("storage-%04d.zone-%02d.region-%d", i, zone, region)
 }
--- a/internal/lab/hollow/table.go
+++ b/internal/lab/hollow/table.go
@@ -9,10 +9,11 @@
 	"text/tabwriter"
 )
 
-// header names the columns.
+// header holds the names of the columns.
 var header = []string{"event", "role", "figure", "formula", "health", "grows as", "slope a front", "residual", "1,200 x 1,800", "budget", "ratio", "mechanism"}
 
-// Print writes the lines as a table, as Markdown if wanted, then what was measured at each size, and the worst ratio last.
+// Print writes the lines as a table, in Markdown on request, then a table of the values at each size, and last the highest
+// ratio of each variant.
 func Print(out io.Writer, lines []Line, markdown bool) error {
 	var rows, sizes [][]string
 	for i := range lines {
@@ -93,7 +94,7 @@
 	return strings.Join(out, "; ")
 }
 
-// growth is the power by which a figure goes with the fleet.
+// growth returns the power law by which a figure grows with the number of fronts.
 func (f Fit) growth() string {
 	if math.IsNaN(f.Exponent) {
 		return "-"
@@ -119,7 +120,7 @@
 	return fmt.Sprintf("%.1f%%", 100*f.Residual)
 }
 
-// number has three digits that count, and commas from a thousand on.
+// number formats a value with three significant digits, or from 1,000 as a whole number with commas.
 func number(v float64) string {
 	switch a := math.Abs(v); {
 	case math.IsNaN(v):
--- a/internal/lab/hollow/watch.go
+++ b/internal/lab/hollow/watch.go
@@ -5,16 +5,16 @@
 	"otterturn/scheduler"
 )
 
-// wholeList in the place of a version asks for the whole list.
+// wholeList as the version of a call requests the full list.
 const wholeList = -1
 
-// watch is a front's watch on discovery, call by call as the program makes them (transport.Watch).
+// watch makes a front's calls to discovery in the same way as the program (transport.Watch).
 type watch struct {
 	retry   *backoff.Backoff
 	version int64
 	hold    scheduler.Micros // of the next call
-	opens   bool             // the next call begins a watch
-	at      scheduler.Micros // of the next call, or when the one that is out counts as failed
+	opens   bool             // the next call is the first one of a watch
+	at      scheduler.Micros // time of the next call, or when the pending call counts as failed
 	out     bool
 	number  uint64
 }
@@ -28,7 +28,7 @@
 	}
 }
 
-// pass makes the call that is due, and gives up one that had no answer.
+// pass makes the next call if it is due. If the pending call has reached its timeout, it fails that and schedules a retry.
 func (c *watch) pass(f *front, end scheduler.Micros) {
 	if c.at >= end {
 		return
@@ -46,7 +46,7 @@
 	f.send(end, message{to: f.world.discovery.id, kind: kindListCall, number: c.number, version: c.version, hold: c.hold, opens: c.opens})
 }
 
-// answered takes in an answer of discovery.
+// answered handles an answer of discovery.
 func (c *watch) answered(f *front, m *message) {
 	if !c.out || m.number != c.number {
 		return
@@ -66,7 +66,7 @@
 	f.world.watched.informed(f, m.version, m.at)
 }
 
-// reload asks for the whole list anew, as the program does at SIGHUP.
+// reload starts a new watch with a request for the full list, as the program does after SIGHUP.
 func (c *watch) reload(f *front, now scheduler.Micros) {
 	number := c.number
 	*c = newWatch(f, now, wholeList)
--- a/internal/lab/hollow/watched.go
+++ b/internal/lab/hollow/watched.go
@@ -6,19 +6,20 @@
 	"otterturn/scheduler"
 )
 
-// watched are the nodes that a script does something to, and what becomes of them. Each front writes its own part alone.
+// watched holds the nodes that a script affects and how the fronts react to it. Each front writes only its own elements, as
+// fronts run in parallel.
 type watched struct {
-	index      []int32 // of each node among the watched ones, -1 for none; nil while there are none
+	index      []int32 // index in nodes by node, -1 for nodes that are not watched; nil if no node is
 	nodes      []int32
-	from       scheduler.Micros   // what came before counts for nothing
-	across     bool               // a front is to avoid those of the other region alone
-	version    int64              // of the list, that fronts are to hear of
-	informedAt []scheduler.Micros // of each front, 0 for not yet
-	newsAt     scheduler.Micros
-	refusedAt  []scheduler.Micros // of each front, the last request that was not served by a watched node
+	from       scheduler.Micros   // when watching began
+	across     bool               // a front should avoid only watched nodes of the other region
+	version    int64              // of the list that the fronts should receive
+	informedAt []scheduler.Micros // by front, when it received that version, 0 for not yet
+	newsAt     scheduler.Micros   // when that version was published
+	refusedAt  []scheduler.Micros // by front, time of the last request for a watched node's data that was not served
 }
 
-// Watch has nodes watched from now on.
+// Watch starts watching nodes.
 func (w *World) Watch(nodes ...int32) {
 	x := &w.watched
 	x.index = slices.Repeat([]int32{-1}, len(w.nodes))
@@ -32,7 +33,7 @@
 	}
 }
 
-// Expect notes when each front hears of the present version of the list.
+// Expect starts recording when each front receives the current version of the list.
 func (w *World) Expect() {
 	w.watched.version, w.watched.newsAt = w.discovery.version, w.now()
 	w.watched.informedAt = make([]scheduler.Micros, len(w.fronts))
@@ -45,7 +46,8 @@
 	return x.index[node]
 }
 
-// suspects notes that a front's scheduler asked for a probe: it sends no more until that is answered.
+// suspects records that a front's scheduler requested a probe. From then on it sends the node no requests until a probe is
+// answered.
 func (x *watched) suspects(f *front, node int32, now scheduler.Micros) {
 	if i := x.of(node); i >= 0 && f.avoided[i] == 0 {
 		f.avoided[i] = now
@@ -64,7 +66,7 @@
 	}
 }
 
-// unserved notes a request for a watched node's data that was refused or failed.
+// unserved records a request for a watched node's data that was rejected or failed.
 func (x *watched) unserved(f *front, c *call, now scheduler.Micros) {
 	if x.index != nil && x.index[c.shard] >= 0 {
 		x.refusedAt[f.id] = now
--- a/internal/lab/hollow/world.go
+++ b/internal/lab/hollow/world.go
@@ -9,13 +9,13 @@
 	"otterturn/scheduler"
 )
 
-// actor is a front, a node or discovery.
+// actor is a front, a node or the discovery service.
 type actor interface {
-	// handle lets a window pass, in which the messages arrive, in order. It ends ahead of end.
+	// handle processes a window and the messages that arrive in it, which are in order. The window ends right before end.
 	handle(end scheduler.Micros, in []message)
 }
 
-// step of a script happens between two windows.
+// step is a step of a script. It runs between two windows.
 type step struct {
 	at scheduler.Micros
 	do func(*World)
@@ -29,20 +29,20 @@
 	fronts    []*front
 	nodes     []*node
 	discovery *discovery
-	listed    []scheduler.Endpoint // the list as discovery has it, by number of the node
+	listed    []scheduler.Endpoint // the endpoint list at discovery, by number of the node
 
 	actors    []actor
 	mailboxes []mailbox
-	outboxes  []outbox        // of each worker
-	busy      []time.Duration // wall-clock time that each worker's actors took
+	outboxes  []outbox        // by worker of the sender
+	busy      []time.Duration // wall-clock time of the actors' work, by worker
 	script    []step
 	window    int64
 	meter     meter
 	watched   watched
 }
 
-// New returns a fleet in which every front has just started with the whole list. spares are nodes beyond those of the
-// settings, which are not on the list yet.
+// New returns a fleet in which every front has just started with the full endpoint list. spares is the number of nodes
+// in addition to those of the settings; they are not on the list yet.
 func New(set Settings, spares int) (*World, error) {
 	if err := set.validate(); err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 	return w, w.startAll()
 }
 
-// startAll starts the fronts that don't run.
+// startAll starts the fronts that are not running.
 func (w *World) startAll() error {
 	errs := make([]error, len(w.fronts))
 	w.parallel(func(worker int) {
@@ -114,22 +114,22 @@
 	return sender{world: w, id: id, out: &w.outboxes[w.shard(id)]}
 }
 
-// shard is the worker that has an actor.
+// shard returns the worker that runs an actor.
 func (w *World) shard(id int32) int { return int(id) % w.set.Workers }
 
-// nodeID is the actor of a node.
+// nodeID returns the actor number of a node.
 func (w *World) nodeID(node int32) int32 { return int32(w.set.Fronts) + node }
 
-// now is the time at which the next window begins.
+// now returns the time at which the next window begins, or the current one while it is processed.
 func (w *World) now() scheduler.Micros { return begin + scheduler.Micros(w.window)*tick }
 
-// After plans a step of the script.
+// After adds a step to the script that runs after a wait.
 func (w *World) After(wait scheduler.Micros, do func(*World)) {
 	w.script = append(w.script, step{w.now() + wait, do})
 	slices.SortStableFunc(w.script, func(a, b step) int { return int(a.at - b.at) })
 }
 
-// Run lets time pass.
+// Run advances virtual time by a span.
 func (w *World) Run(span scheduler.Micros) {
 	for until := w.now() + span; w.now() < until; w.window++ {
 		for len(w.script) > 0 && w.script[0].at <= w.now() {
@@ -145,7 +145,7 @@
 	}
 }
 
-// pass has the actors of a worker handle the window.
+// pass processes the window for the actors of a worker.
 func (w *World) pass(worker int) {
 	began, end := time.Now(), w.now()+tick
 	for i := worker; i < len(w.actors); i += w.set.Workers {
@@ -154,7 +154,7 @@
 	w.busy[worker] += time.Since(began)
 }
 
-// deliver puts what was sent to the actors of a worker into their mailboxes.
+// deliver moves messages for the actors of a worker to their mailboxes.
 func (w *World) deliver(worker int) {
 	for _, from := range w.outboxes {
 		for _, m := range from[worker] {
@@ -165,7 +165,7 @@
 	}
 }
 
-// parallel does something once for each worker.
+// parallel calls do once for each worker, in parallel, and waits for all calls.
 func (w *World) parallel(do func(worker int)) {
 	var all sync.WaitGroup
 	for worker := range w.set.Workers {
