--- a/internal/lab/hollow/attempts.go
+++ b/internal/lab/hollow/attempts.go
@@ -14,14 +14,14 @@
 
 func (q *queue[T]) push(item T) { q.items = append(q.items, item) }
 
-func (q *queue[T]) empty() bool { return q.first == len(q.items) }
+func (q *queue[T]) isEmpty() bool { return q.first == len(q.items) }
 
 func (q *queue[T]) head() T { return q.items[q.first] }
 
 // pop removes the head. Once more than half of the slice is free, it moves the remaining items to the start.
 func (q *queue[T]) pop() {
-	var none T
-	q.items[q.first] = none
+	var zero T
+	q.items[q.first] = zero
 	q.first++
 	if q.first*2 > len(q.items) {
 		kept := copy(q.items, q.items[q.first:])
@@ -30,100 +30,102 @@
 	}
 }
 
-func (f *front) call(id string) *call {
+func (f *front) requestByID(id string) *openRequest {
 	number, err := strconv.ParseUint(id, 36, 64)
 	if err != nil {
 		return nil
 	}
-	return f.calls[number]
+	return f.openRequests[number]
 }
 
-// attempt sends an attempt of a request to a node.
-func (f *front) attempt(now scheduler.Micros, a scheduler.StartAttempt) {
-	c := f.call(a.ID)
-	if c == nil {
+// startAttempt sends an attempt of a request to a node.
+func (f *front) startAttempt(now scheduler.Micros, a scheduler.StartAttempt) {
+	r := f.requestByID(a.ID)
+	if r == nil {
 		f.events = append(f.events, scheduler.AttemptEnded{ID: a.ID, Result: scheduler.NotStarted})
 		return
 	}
-	node := f.numbers[a.Node]
-	c.out, c.node, c.sent = true, node, now
-	f.counts.now[attempts]++
-	f.digest.add(uint64(now), c.number, uint64(node))
+	node := f.nodeNumbers[a.Node]
+	r.inFlight, r.node, r.sentAt = true, node, now
+	f.counts.currentSecond[attempts]++
+	f.digest.add(uint64(now), r.number, uint64(node))
 	sent := now
-	if f.idle[node] > 0 {
-		f.idle[node]--
+	if f.idleConnections[node] > 0 {
+		f.idleConnections[node]--
 	} else {
-		f.counts.now[connections]++
+		f.counts.currentSecond[connections]++
 		sent += 2 * f.world.links.delay(f.id, f.world.nodeID(node))
 	}
 	if f.health != nil {
-		f.health.attemptStarted(a.Node, a.ID, int(c.attempt))
+		f.health.attemptStarted(a.Node, a.ID, int(r.nextAttempt))
 	}
-	f.send(sent, message{to: f.world.nodeID(node), kind: kindAttempt, number: c.number, attempt: c.attempt, value: c.units})
-	c.attempt++
+	f.send(sent, message{to: f.world.nodeID(node), kind: kindAttempt, number: r.number, attempt: r.nextAttempt, value: r.units})
+	r.nextAttempt++
 }
 
-// replied handles a node's reply to an attempt.
-func (f *front) replied(m *message) {
-	c := f.calls[m.number]
-	if c == nil || !c.out || c.attempt-1 != m.attempt {
+// handleReply ends the attempt that a node replies to.
+func (f *front) handleReply(m *message) {
+	r := f.openRequests[m.number]
+	if r == nil || !r.inFlight || r.nextAttempt-1 != m.attempt {
 		return
 	}
 	if m.result == scheduler.OK || m.result == scheduler.QueueFull {
-		f.idle[c.node]++
+		f.idleConnections[r.node]++
 	} else {
-		f.idle[c.node] = 0
+		f.idleConnections[r.node] = 0
 	}
-	f.outcome(m.at, c, m.result)
+	f.endAttempt(m.at, r, m.result)
 }
 
-func (f *front) outcome(at scheduler.Micros, c *call, result scheduler.Result) {
-	c.out = false
-	o := scheduler.AttemptEnded{ID: c.id, Attempt: int(c.attempt - 1), Result: result, Latency: at - c.sent, Final: result == scheduler.OK}
+func (f *front) endAttempt(at scheduler.Micros, r *openRequest, result scheduler.Result) {
+	r.inFlight = false
+	ended := scheduler.AttemptEnded{
+		ID: r.id, Attempt: int(r.nextAttempt - 1), Result: result, Latency: at - r.sentAt, Final: result == scheduler.OK,
+	}
 	if f.health != nil {
-		f.health.attemptEnded(f.names[c.node], o)
+		f.health.attemptEnded(f.nodeNames[r.node], ended)
 	}
-	if o.Final {
-		f.close(c, served)
+	if ended.Final {
+		f.closeRequest(r, served)
 	}
-	f.events = append(f.events, o)
+	f.events = append(f.events, ended)
 }
 
-// end closes a request that the scheduler rejected or failed.
-func (f *front) end(id string, how figure) {
-	if c := f.call(id); c != nil {
-		f.close(c, how)
+// endRequest closes a request that the scheduler rejected or failed.
+func (f *front) endRequest(id string, outcome counter) {
+	if r := f.requestByID(id); r != nil {
+		f.closeRequest(r, outcome)
 	}
 }
 
-func (f *front) close(c *call, how figure) {
-	c.over = true
-	f.counts.now[how]++
-	if how != served {
-		f.world.watched.unserved(f, c, f.now)
+func (f *front) closeRequest(r *openRequest, outcome counter) {
+	r.ended = true
+	f.counts.currentSecond[outcome]++
+	if outcome != served {
+		f.world.watched.recordUnserved(f, r, f.now)
 	}
-	delete(f.calls, c.number)
+	delete(f.openRequests, r.number)
 }
 
-// expire ends requests that reached their deadline and probes that timed out.
-func (f *front) expire(end scheduler.Micros) {
-	for !f.deadlines.empty() && f.deadlines.head().deadline < end {
-		c := f.deadlines.head()
+// expireOverdue ends requests that reached their deadline and probes that timed out.
+func (f *front) expireOverdue(end scheduler.Micros) {
+	for !f.deadlines.isEmpty() && f.deadlines.head().deadline < end {
+		r := f.deadlines.head()
 		f.deadlines.pop()
 		switch {
-		case c.over:
-		case c.out:
-			f.counts.now[unanswered]++
-			f.world.watched.unanswered(f, c)
-			f.outcome(c.deadline, c, scheduler.TimedOut)
+		case r.ended:
+		case r.inFlight:
+			f.counts.currentSecond[unanswered]++
+			f.world.watched.countUnanswered(f, r)
+			f.endAttempt(r.deadline, r, scheduler.TimedOut)
 		default:
-			f.close(c, failed)
-			f.events = append(f.events, scheduler.ClientLeft{ID: c.id})
+			f.closeRequest(r, failed)
+			f.events = append(f.events, scheduler.ClientLeft{ID: r.id})
 		}
 	}
-	for !f.late.empty() && f.late.head().at < end {
-		p := f.late.head()
-		f.late.pop()
-		f.probeEnded(p.number, false, -1)
+	for !f.probeTimeouts.isEmpty() && f.probeTimeouts.head().failsAt < end {
+		p := f.probeTimeouts.head()
+		f.probeTimeouts.pop()
+		f.endProbe(p.number, false, -1)
 	}
 }
--- a/internal/lab/hollow/digest.go
+++ b/internal/lab/hollow/digest.go
@@ -22,7 +22,7 @@
 	for _, f := range w.fronts {
 		add(uint64(f.digest))
 		for i, n := range f.counts.total {
-			add(uint64(n + f.counts.now[i]))
+			add(uint64(n + f.counts.currentSecond[i]))
 		}
 	}
 	for _, n := range w.nodes {
--- a/internal/lab/hollow/discovery.go
+++ b/internal/lab/hollow/discovery.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	callLines     = 30          // cost of a watch's first call in addition to its entries, in lines (docs/fleet.md)
-	callPatience  = 2 * second  // a call that waited longer is dropped; discovery still spends the time for its answer
-	listCallBytes = 120 + 2*130 // request line and headers of a call and its answer, and the headers of IP and TCP
+	firstCallLines = 30          // cost of a watch's first call in addition to its entries, in lines (docs/fleet.md)
+	maxCallWait    = 2 * second  // a call that waited longer is dropped; discovery still spends the time for its answer
+	listCallBytes  = 120 + 2*130 // request line and headers of a call and its answer, and the headers of IP and TCP
 )
 
-// news is a change of the endpoint list, or the full list, as in an answer of discovery.
-type news struct {
-	whole   bool
+// listUpdate is a change of the endpoint list, or the full list, as in an answer of discovery.
+type listUpdate struct {
+	full    bool
 	entries []scheduler.Endpoint
 	bytes   int // size of the answer's body
 }
@@ -31,7 +31,7 @@
 	BornMs int64  `json:"born_ms"`
 }
 
-type answer struct {
+type listAnswer struct {
 	Seq   int64   `json:"seq"`
 	Whole bool    `json:"whole"`
 	Hosts []entry `json:"hosts"`
@@ -41,26 +41,26 @@
 // lines per second.
 type discovery struct {
 	sender
-	version int64
-	changes []change
-	whole   *news     // full list at this version, nil until it is needed
-	held    []held    // by front
-	turn    []message // calls to be served, in their order
-	ready   []ready   // answers to be sent, in their order
-	freeAt  scheduler.Micros
-	counts  discoveryCounts
-}
-
-// held is a front's call that discovery holds until the list changes.
-type held struct {
+	version          int64
+	changes          []change
+	cachedFullUpdate *listUpdate     // full list at this version, nil if not encoded yet
+	heldCalls        []heldCall      // by front
+	waitingCalls     []message       // calls to be served, in their order
+	pendingAnswers   []pendingAnswer // answers to be sent, in their order
+	freeAt           scheduler.Micros
+	counts           discoveryCounts
+}
+
+// heldCall is a front's call that discovery holds until the list changes.
+type heldCall struct {
 	message
-	is bool
+	active bool
 }
 
-type ready struct {
-	at   scheduler.Micros
-	call message
-	news *news
+type pendingAnswer struct {
+	at     scheduler.Micros
+	call   message
+	update *listUpdate
 }
 
 // change is one version of the list, in which one node's entry changed.
@@ -70,7 +70,7 @@
 }
 
 func newDiscovery(s sender) *discovery {
-	return &discovery{sender: s, version: 1, held: make([]held, s.world.set.Fronts)}
+	return &discovery{sender: s, version: 1, heldCalls: make([]heldCall, s.world.settings.Fronts)}
 }
 
 // publish announces the current entries of nodes, each as a new version of the list. It runs between two windows, at now.
@@ -79,12 +79,12 @@
 		d.version++
 		d.changes = append(d.changes, change{d.version, n})
 	}
-	d.whole = nil
-	for i := range d.held {
-		if h := &d.held[i]; h.is {
-			h.is, h.at, h.opens = false, now, false
-			d.counts.asked += float64(len(nodes))
-			d.turn = append(d.turn, h.message)
+	d.cachedFullUpdate = nil
+	for i := range d.heldCalls {
+		if h := &d.heldCalls[i]; h.active {
+			h.active, h.at, h.firstCall = false, now, false
+			d.counts.requestedLines += float64(len(nodes))
+			d.waitingCalls = append(d.waitingCalls, h.message)
 		}
 	}
 }
@@ -92,92 +92,92 @@
 func (d *discovery) handle(end scheduler.Micros, in []message) {
 	for i := range in {
 		d.counts.calls++
-		d.call(&in[i])
+		d.handleCall(&in[i])
 	}
-	d.release(end)
-	d.work(end)
-	d.deliver(end)
+	d.answerHeldCalls(end)
+	d.serveCalls(end)
+	d.sendAnswers(end)
 }
 
-// call holds a call while the list has no change for it, and otherwise queues it.
-func (d *discovery) call(m *message) {
-	if m.opens || m.hold == 0 || m.version != d.version {
-		d.counts.asked += d.lines(m, d.news(m.version))
-		d.turn = append(d.turn, *m)
+// handleCall holds a call while the list has no change for it, and otherwise queues it.
+func (d *discovery) handleCall(m *message) {
+	if m.firstCall || m.maxHold == 0 || m.version != d.version {
+		d.counts.requestedLines += d.answerLines(m, d.updateSince(m.version))
+		d.waitingCalls = append(d.waitingCalls, *m)
 		return
 	}
 	d.hold(*m)
 }
 
 func (d *discovery) hold(m message) {
-	m.at += m.hold
-	d.held[m.from] = held{m, true}
+	m.at += m.maxHold
+	d.heldCalls[m.from] = heldCall{m, true}
 }
 
-// release sends an empty answer to each held call whose hold time is over.
-func (d *discovery) release(end scheduler.Micros) {
-	for i := range d.held {
-		if h := &d.held[i]; h.is && h.at < end {
-			h.is = false
-			d.answer(end-1, &h.message, &news{})
+// answerHeldCalls sends an empty answer to each held call whose hold time is over.
+func (d *discovery) answerHeldCalls(end scheduler.Micros) {
+	for i := range d.heldCalls {
+		if h := &d.heldCalls[i]; h.active && h.at < end {
+			h.active = false
+			d.sendAnswer(end-1, &h.message, &listUpdate{})
 		}
 	}
 }
 
-// work serves the queued calls one after the other.
-func (d *discovery) work(end scheduler.Micros) {
+// serveCalls serves the queued calls one after the other.
+func (d *discovery) serveCalls(end scheduler.Micros) {
 	done := 0
-	for ; done < len(d.turn); done++ {
-		m := &d.turn[done]
+	for ; done < len(d.waitingCalls); done++ {
+		m := &d.waitingCalls[done]
 		began := max(m.at, d.freeAt)
 		if began >= end {
 			break
 		}
-		n := d.news(m.version)
-		lines := d.lines(m, n)
-		took := scheduler.Micros(lines / d.world.set.DiscoveryLines * float64(second))
-		if began-m.at > callPatience {
-			d.freeAt = min(began, m.at+callPatience) + took
-			d.counts.dropped++
+		n := d.updateSince(m.version)
+		lines := d.answerLines(m, n)
+		duration := scheduler.Micros(lines / d.world.settings.DiscoveryLines * float64(second))
+		if began-m.at > maxCallWait {
+			d.freeAt = min(began, m.at+maxCallWait) + duration
+			d.counts.droppedCalls++
 			continue
 		}
-		d.counts.lines += lines
-		d.freeAt = began + took
-		if m.hold > 0 && len(n.entries) == 0 {
+		d.counts.answeredLines += lines
+		d.freeAt = began + duration
+		if m.maxHold > 0 && len(n.entries) == 0 {
 			d.hold(*m)
 			continue
 		}
-		d.ready = append(d.ready, ready{d.freeAt, *m, n})
+		d.pendingAnswers = append(d.pendingAnswers, pendingAnswer{d.freeAt, *m, n})
 	}
-	d.turn = slices.Delete(d.turn, 0, done)
+	d.waitingCalls = slices.Delete(d.waitingCalls, 0, done)
 }
 
-// deliver sends the answers that are ready before end.
-func (d *discovery) deliver(end scheduler.Micros) {
+// sendAnswers sends the answers that are ready before end.
+func (d *discovery) sendAnswers(end scheduler.Micros) {
 	done := 0
-	for ; done < len(d.ready) && d.ready[done].at < end; done++ {
-		r := &d.ready[done]
-		d.answer(max(r.at, end-tick), &r.call, r.news)
+	for ; done < len(d.pendingAnswers) && d.pendingAnswers[done].at < end; done++ {
+		r := &d.pendingAnswers[done]
+		d.sendAnswer(max(r.at, end-tick), &r.call, r.update)
 	}
-	d.ready = slices.Delete(d.ready, 0, done)
+	d.pendingAnswers = slices.Delete(d.pendingAnswers, 0, done)
 }
 
-func (d *discovery) lines(m *message, n *news) float64 {
+func (d *discovery) answerLines(m *message, n *listUpdate) float64 {
 	lines := float64(len(n.entries))
-	if m.opens {
-		lines += callLines
+	if m.firstCall {
+		lines += firstCallLines
 	}
 	return lines
 }
 
-func (d *discovery) answer(at scheduler.Micros, m *message, n *news) {
-	d.send(at, message{to: m.from, kind: kindListAnswer, number: m.number, version: d.version, news: n})
+func (d *discovery) sendAnswer(at scheduler.Micros, m *message, n *listUpdate) {
+	d.send(at, message{to: m.from, kind: kindListAnswer, number: m.number, version: d.version, update: n})
 }
 
-// news returns the entries that changed after a version.
-func (d *discovery) news(version int64) *news {
-	if version == wholeList {
-		return d.wholeNews()
+// updateSince returns the entries that changed after a version.
+func (d *discovery) updateSince(version int64) *listUpdate {
+	if version == fullList {
+		return d.fullUpdate()
 	}
 	var nodes []int32
 	for _, c := range d.changes {
@@ -188,30 +188,30 @@
 	return d.encode(false, nodes)
 }
 
-func (d *discovery) wholeNews() *news {
-	if d.whole == nil {
+func (d *discovery) fullUpdate() *listUpdate {
+	if d.cachedFullUpdate == nil {
 		var nodes []int32
-		for i, l := range d.world.listed {
+		for i, l := range d.world.endpoints {
 			if l.State != scheduler.Removed {
 				nodes = append(nodes, int32(i))
 			}
 		}
-		d.whole = d.encode(true, nodes)
+		d.cachedFullUpdate = d.encode(true, nodes)
 	}
-	return d.whole
+	return d.cachedFullUpdate
 }
 
-var healths = map[scheduler.NodeState]string{scheduler.Running: "up", scheduler.Draining: "draining", scheduler.Removed: "removed"}
+var healthNames = map[scheduler.NodeState]string{scheduler.Running: "up", scheduler.Draining: "draining", scheduler.Removed: "removed"}
 
-func (d *discovery) encode(whole bool, nodes []int32) *news {
-	out := &news{whole: whole}
-	body := answer{Seq: d.version, Whole: whole}
+func (d *discovery) encode(full bool, nodes []int32) *listUpdate {
+	update := &listUpdate{full: full}
+	body := listAnswer{Seq: d.version, Whole: full}
 	for _, n := range nodes {
-		l := d.world.listed[n]
-		out.entries = append(out.entries, l)
+		l := d.world.endpoints[n]
+		update.entries = append(update.entries, l)
 		body.Hosts = append(body.Hosts, entry{
 			Host: l.Node, Dial: fmt.Sprintf("10.%d.%d.%d:7000", l.Zone, n/250, n%250),
-			Site: fmt.Sprintf("region-%d/zone-%02d", d.world.links.regionOf(int32(l.Zone)), l.Zone), Health: healths[l.State],
+			Site: fmt.Sprintf("region-%d/zone-%02d", d.world.links.regionOfZone(int32(l.Zone)), l.Zone), Health: healthNames[l.State],
 			Block: l.Shard, BornMs: int64(l.StartedAt / millisecond),
 		})
 	}
@@ -219,6 +219,6 @@
 	if err != nil {
 		panic(err) // cannot happen: the body holds only numbers and strings
 	}
-	out.bytes = len(text)
-	return out
+	update.bytes = len(text)
+	return update
 }
--- a/internal/lab/hollow/events.go
+++ b/internal/lab/hollow/events.go
@@ -7,57 +7,57 @@
 
 // Event is a script that runs on a serving fleet, phase by phase.
 type Event struct {
-	Name   string
-	Phases []Phase
-	Large  bool // run at each size; other events run at small sizes, and their values at the largest are extrapolated
-	Apart  bool // does not depend on health of nodes: run once if both variants are requested
-	spares int  // nodes that the script adds to the endpoint list
+	Name          string
+	Phases        []Phase
+	AllSizes      bool // run at each size; other events run at small sizes, and their values at the largest are extrapolated
+	IgnoresHealth bool // does not depend on health of nodes: run once if both variants are requested
+	spareNodes    int  // nodes that the script adds to the endpoint list
 }
 
 // Phase is a part of a script that is measured separately.
 type Phase struct {
-	Name string
-	What string
-	Span scheduler.Micros
-	do   func(*World) // runs at the start of the phase
+	Name     string
+	What     string
+	Duration scheduler.Micros
+	begin    func(*World) // runs at the start of the phase
 }
 
 // Events lists all events, the most informative ones first.
 var Events = []Event{
-	{Name: "ordinary", Large: true, Phases: []Phase{{"ordinary", "nothing happens", 3 * second, func(*World) {}}}},
-	{Name: "zone", Large: true, Phases: []Phase{
-		{"zone", "a zone's nodes and fronts become silent; the endpoint list does not change", 12 * second, zoneGone},
+	{Name: "ordinary", AllSizes: true, Phases: []Phase{{"ordinary", "nothing happens", 3 * second, func(*World) {}}}},
+	{Name: "zone", AllSizes: true, Phases: []Phase{
+		{"zone", "a zone's nodes and fronts become silent; the endpoint list does not change", 12 * second, silenceZone},
 	}},
 	{Name: "region", Phases: []Phase{
-		{"region", "the regions are cut off from each other", 6 * second, regionCut},
-		{"healed", "the regions are connected again", 4 * second, func(w *World) { w.links.partRegions(false) }},
+		{"region", "the regions are cut off from each other", 6 * second, separateRegions},
+		{"healed", "the regions are connected again", 4 * second, func(w *World) { w.links.setRegionsCut(false) }},
 	}},
-	{Name: "lists", Apart: true, Phases: []Phase{
-		{"change", "one entry of the list changes: a node drains", 3 * second, changeList},
+	{Name: "lists", IgnoresHealth: true, Phases: []Phase{
+		{"change", "one entry of the list changes: a node drains", 3 * second, drainNode},
 		{"front-restart", "one front's process restarts", 4 * second, restartFronts(1)},
 		{"front-restart-5", "five fronts' processes restart at the same time", 4 * second, restartFronts(5)},
 		{"start-all", "all fronts' processes restart at the same time", 7 * second, restartFronts(1 << 30)},
-		{"reload", "all fronts request the full list, as after SIGHUP", 8 * second, reloadAll},
+		{"reload", "all fronts request the full list, as after SIGHUP", 8 * second, reloadLists},
 	}},
-	{Name: "node", Phases: []Phase{{"node", "one node becomes silent; the endpoint list does not change", 12 * second, nodeDies}}},
-	{Name: "rack", Phases: []Phase{{"rack", "one percent of the nodes, all in one zone, become silent", 10 * second, rackDies}}},
+	{Name: "node", Phases: []Phase{{"node", "one node becomes silent; the endpoint list does not change", 12 * second, silenceNode}}},
+	{Name: "rack", Phases: []Phase{{"rack", "one percent of the nodes, all in one zone, become silent", 10 * second, silenceRack}}},
 	{Name: "node-restart", Phases: []Phase{
 		{"node-restart", "one node's process ends and restarts a second later", 8 * second, restartNodes(1)},
 	}},
 	{Name: "node-restart-5", Phases: []Phase{
 		{"node-restart-5", "five nodes' processes end and restart a second later", 8 * second, restartNodes(5)},
 	}},
-	{Name: "primary", spares: 1, Phases: []Phase{
-		{"primary", "a node ends, and another one takes over its data as a cold node", 12 * second, successor},
+	{Name: "primary", spareNodes: 1, Phases: []Phase{
+		{"primary", "a node ends, and another one takes over its data as a cold node", 12 * second, replacePrimary},
 	}},
 	{Name: "granter", Phases: []Phase{
-		{"granter", "a node restarts, and 3 s later the front that grants its capacity ends", 14 * second, granterDies},
+		{"granter", "a node restarts, and 3 s later the front that grants its capacity ends", 14 * second, stopGranter},
 	}},
 }
 
 // zoneNodes returns the nodes of a zone.
 func (w *World) zoneNodes(zone int) (nodes []int32) {
-	for n := zone; n < w.set.Nodes; n += w.set.Zones {
+	for n := zone; n < w.settings.Nodes; n += w.settings.Zones {
 		nodes = append(nodes, int32(n))
 	}
 	return nodes
@@ -65,41 +65,41 @@
 
 // zoneFronts returns the fronts of a zone.
 func (w *World) zoneFronts(zone int) (fronts []*front) {
-	for i := zone; i < w.set.Fronts; i += w.set.Zones {
+	for i := zone; i < w.settings.Fronts; i += w.settings.Zones {
 		fronts = append(fronts, w.fronts[i])
 	}
 	return fronts
 }
 
-func zoneGone(w *World) {
-	last := w.set.Zones - 1 // not the first one, in which discovery is
+func silenceZone(w *World) {
+	last := w.settings.Zones - 1 // not the first one, in which discovery is
 	w.Watch(w.zoneNodes(last)...)
-	w.links.silence(last)
+	w.links.isolateZone(last)
 	for _, f := range w.zoneFronts(last) {
 		f.stop()
 	}
 }
 
-func regionCut(w *World) {
+func separateRegions(w *World) {
 	var far []int32
-	for zone := range w.set.Zones {
-		if w.links.regionOf(int32(zone)) > 0 {
+	for zone := range w.settings.Zones {
+		if w.links.regionOfZone(int32(zone)) > 0 {
 			far = append(far, w.zoneNodes(zone)...)
 		}
 	}
 	w.Watch(far...)
-	w.watched.across = true
-	w.links.partRegions(true)
+	w.watched.otherRegionOnly = true
+	w.links.setRegionsCut(true)
 }
 
-func restartFronts(many int) func(*World) {
+func restartFronts(count int) func(*World) {
 	return func(w *World) {
 		for i, f := range w.fronts {
-			if i < many {
+			if i < count {
 				f.stop()
 			}
 		}
-		w.Expect()
+		w.ExpectList()
 		if err := w.startAll(); err != nil {
 			panic(err) // cannot happen: New accepted the same settings
 		}
@@ -109,23 +109,23 @@
 // firstNode is the node that scripts of one node affect, and the first one of scripts of several nodes.
 const firstNode = 7
 
-func nodeDies(w *World) {
+func silenceNode(w *World) {
 	w.Watch(firstNode)
 	w.nodes[firstNode].Mute = true
 }
 
-func rackDies(w *World) {
-	rack := w.zoneNodes(w.set.Zones - 1)[:max(1, w.set.Nodes/100)]
+func silenceRack(w *World) {
+	rack := w.zoneNodes(w.settings.Zones - 1)[:max(1, w.settings.Nodes/100)]
 	w.Watch(rack...)
 	for _, n := range rack {
 		w.nodes[n].Mute = true
 	}
 }
 
-func restartNodes(many int) func(*World) {
+func restartNodes(count int) func(*World) {
 	return func(w *World) {
 		var nodes []int32
-		for i := range int32(many) {
+		for i := range int32(count) {
 			nodes = append(nodes, firstNode+i)
 		}
 		w.Watch(nodes...)
@@ -140,43 +140,43 @@
 func (w *World) restart(nodes ...int32) {
 	for _, n := range nodes {
 		w.nodes[n].Restart(int64(w.now()))
-		w.listed[n].StartedAt = w.now()
+		w.endpoints[n].StartedAt = w.now()
 	}
 	w.discovery.publish(w.now(), nodes...)
-	w.Expect()
+	w.ExpectList()
 }
 
-func changeList(w *World) {
-	w.listed[firstNode].State = scheduler.Draining
+func drainNode(w *World) {
+	w.endpoints[firstNode].State = scheduler.Draining
 	w.discovery.publish(w.now(), firstNode)
-	w.Expect()
+	w.ExpectList()
 }
 
-func reloadAll(w *World) {
+func reloadLists(w *World) {
 	for _, f := range w.fronts {
 		f.watch.reload(f, w.now())
 	}
-	w.Expect()
+	w.ExpectList()
 }
 
-func successor(w *World) {
-	next := int32(w.set.Nodes)
+func replacePrimary(w *World) {
+	replacement := int32(w.settings.Nodes)
 	w.nodes[firstNode].kill(w.now())
-	w.listed[firstNode].State = scheduler.Removed
-	w.nodes[next].Restart(int64(w.now()))
-	l := &w.listed[next]
+	w.endpoints[firstNode].State = scheduler.Removed
+	w.nodes[replacement].Restart(int64(w.now()))
+	l := &w.endpoints[replacement]
 	l.Shard, l.State, l.StartedAt = w.nodes[firstNode].shard, scheduler.Running, w.now()
 	w.Watch(firstNode)
-	w.discovery.publish(w.now(), firstNode, next)
-	w.Expect()
+	w.discovery.publish(w.now(), firstNode, replacement)
+	w.ExpectList()
 }
 
-func granterDies(w *World) {
+func stopGranter(w *World) {
 	restartNodes(1)(w)
 	w.After(4*second, func(w *World) {
-		set := w.set.rules(0)
+		set := w.settings.schedulerSettings(0)
 		c := slowstart.Config[scheduler.Micros]{Fronts: set.Fronts, OverloadSpan: set.OverloadSpan, PeerMessages: true}
-		granter, _ := c.Granter(w.listed[firstNode].Node, w.now())
+		granter, _ := c.Granter(w.endpoints[firstNode].Node, w.now())
 		w.fronts[granter].stop()
 	})
 }
--- a/internal/lab/hollow/links.go
+++ b/internal/lab/hollow/links.go
@@ -4,66 +4,66 @@
 
 // One-way delays of the network. None may be below a tick.
 const (
-	delayNear = 2 * millisecond  // within a region
-	delayFar  = 12 * millisecond // between regions
+	delayWithinRegion   = 2 * millisecond
+	delayBetweenRegions = 12 * millisecond
 )
 
 // links holds the zone of each actor and which of them can reach each other.
 type links struct {
 	zones, regions int
-	zone           []int32  // of each actor
-	apart          [][]bool // pairs of zones between which messages are lost
-	blind          []bool   // by front: true if it reaches no node
+	zoneOf         []int32  // by actor
+	cutZones       [][]bool // pairs of zones between which messages are lost
+	cutOff         []bool   // by front: whether it reaches no node
 }
 
 func newLinks(zones, regions, fronts, actors int) links {
-	l := links{zones: zones, regions: regions, zone: make([]int32, actors), blind: make([]bool, fronts)}
+	l := links{zones: zones, regions: regions, zoneOf: make([]int32, actors), cutOff: make([]bool, fronts)}
 	for range zones {
-		l.apart = append(l.apart, make([]bool, zones))
+		l.cutZones = append(l.cutZones, make([]bool, zones))
 	}
 	return l
 }
 
-func (l *links) region(actor int32) int32 { return l.regionOf(l.zone[actor]) }
+func (l *links) regionOfActor(actor int32) int32 { return l.regionOfZone(l.zoneOf[actor]) }
 
-func (l *links) regionOf(zone int32) int32 { return zone * int32(l.regions) / int32(l.zones) }
+func (l *links) regionOfZone(zone int32) int32 { return zone * int32(l.regions) / int32(l.zones) }
 
 func (l *links) delay(from, to int32) scheduler.Micros {
-	if l.region(from) == l.region(to) {
-		return delayNear
+	if l.regionOfActor(from) == l.regionOfActor(to) {
+		return delayWithinRegion
 	}
-	return delayFar
+	return delayBetweenRegions
 }
 
-// cut reports whether messages from one actor to another are lost.
-func (l *links) cut(from, to int32) bool {
-	return l.apart[l.zone[from]][l.zone[to]] || l.blindTo(from, to) || l.blindTo(to, from)
+// isCut reports whether messages from one actor to another are lost.
+func (l *links) isCut(from, to int32) bool {
+	return l.cutZones[l.zoneOf[from]][l.zoneOf[to]] || l.isCutOffFrom(from, to) || l.isCutOffFrom(to, from)
 }
 
-// blindTo reports whether front is a front that reaches no node, and other is not a front. Such a front still reaches
+// isCutOffFrom reports whether front is a front that reaches no node, and other is not a front. Such a front still reaches
 // other fronts.
-func (l *links) blindTo(front, other int32) bool {
-	fronts := int32(len(l.blind))
-	return front < fronts && l.blind[front] && other >= fronts
+func (l *links) isCutOffFrom(front, other int32) bool {
+	fronts := int32(len(l.cutOff))
+	return front < fronts && l.cutOff[front] && other >= fronts
 }
 
-// part cuts the links between two zones, or restores them. Both may be the same zone: then it cuts the links within it.
-func (l *links) part(a, b int, apart bool) { l.apart[a][b], l.apart[b][a] = apart, apart }
+// setCut cuts the links between two zones, or restores them. Both may be the same zone: then it cuts the links within it.
+func (l *links) setCut(a, b int, cut bool) { l.cutZones[a][b], l.cutZones[b][a] = cut, cut }
 
-// partRegions cuts the links between zones of different regions, or restores them.
-func (l *links) partRegions(apart bool) {
+// setRegionsCut cuts the links between zones of different regions, or restores them.
+func (l *links) setRegionsCut(cut bool) {
 	for a := range l.zones {
 		for b := range l.zones {
-			if l.regionOf(int32(a)) != l.regionOf(int32(b)) {
-				l.part(a, b, apart)
+			if l.regionOfZone(int32(a)) != l.regionOfZone(int32(b)) {
+				l.setCut(a, b, cut)
 			}
 		}
 	}
 }
 
-// silence cuts a zone's links to all zones, also those within it.
-func (l *links) silence(zone int) {
+// isolateZone cuts a zone's links to all zones, also those within it.
+func (l *links) isolateZone(zone int) {
 	for other := range l.zones {
-		l.part(zone, other, true)
+		l.setCut(zone, other, true)
 	}
 }
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -14,57 +14,57 @@
 	counts nodeCounts
 }
 
-// job identifies an attempt that a node queues or serves.
-type job struct {
+// attemptRef identifies an attempt that a node queues or serves.
+type attemptRef struct {
 	from    int32
 	number  uint64
 	attempt int32
 }
 
 func newNode(s sender, name string, shard int) *node {
-	return &node{sender: s, Node: model.New(s.world.set.figures()), name: name, shard: shard}
+	return &node{sender: s, Node: model.New(s.world.settings.nodeFigures()), name: name, shard: shard}
 }
 
 func (n *node) handle(end scheduler.Micros, in []message) {
 	for i := range in {
-		n.work(in[i].at)
-		n.take(&in[i])
+		n.finishJobs(in[i].at)
+		n.handleMessage(&in[i])
 	}
-	n.work(end - 1)
+	n.finishJobs(end - 1)
 }
 
-// work finishes the jobs that end up to a time, and replies to them.
-func (n *node) work(until scheduler.Micros) {
+// finishJobs finishes the jobs that end up to a time, and replies to them.
+func (n *node) finishJobs(until scheduler.Micros) {
 	for {
 		at, any := n.Next()
 		if !any || scheduler.Micros(at) > until {
 			return
 		}
 		for _, d := range n.Finish(at) {
-			j := d.Tag.(*job)
+			j := d.Tag.(*attemptRef)
 			n.counts.served++
 			n.reply(scheduler.Micros(d.At), j.from, j.number, j.attempt, scheduler.OK)
 		}
 	}
 }
 
-func (n *node) take(m *message) {
+func (n *node) handleMessage(m *message) {
 	switch m.kind {
 	case kindAttempt:
 		n.counts.attempts++
-		n.attempt(m)
+		n.startAttempt(m)
 	case kindProbe:
 		n.counts.probes++
-		n.probe(m)
+		n.answerProbe(m)
 	}
 }
 
-func (n *node) attempt(m *message) {
+func (n *node) startAttempt(m *message) {
 	switch {
 	case n.Dead:
 		n.reply(m.at, m.from, m.number, m.attempt, scheduler.Unreachable)
 	case n.Mute:
-	case !n.Arrive(int64(m.at), model.Job{Tag: &job{m.from, m.number, m.attempt}, Work: m.value * unitWork}):
+	case !n.Arrive(int64(m.at), model.Job{Tag: &attemptRef{m.from, m.number, m.attempt}, Work: m.value * workPerUnit}):
 		n.reply(m.at, m.from, m.number, m.attempt, scheduler.QueueFull)
 	}
 }
@@ -76,7 +76,7 @@
 	n.send(at, message{to: to, kind: kindReply, number: number, attempt: attempt, result: result})
 }
 
-func (n *node) probe(m *message) {
+func (n *node) answerProbe(m *message) {
 	reply := message{to: m.from, kind: kindProbeReply, number: m.number, value: -1}
 	switch {
 	case n.Dead:
@@ -92,7 +92,7 @@
 // kill ends the node's process: open attempts end with a reset, and new ones with scheduler.Unreachable.
 func (n *node) kill(now scheduler.Micros) {
 	for _, lost := range n.Die() {
-		if j, waits := lost.Tag.(*job); waits {
+		if j, isAttempt := lost.Tag.(*attemptRef); isAttempt {
 			n.reply(now, j.from, j.number, j.attempt, scheduler.Reset)
 		}
 	}
--- a/internal/lab/hollow/perfront.go
+++ b/internal/lab/hollow/perfront.go
@@ -10,6 +10,9 @@
 // PerFront returns what a front sent, averaged over the fleet.
 func (r *Result) PerFront() PerFront {
 	fronts := float64(r.Settings.Fronts)
-	both := 2.0 // a message's bytes are counted at the sender and at the receiver
-	return PerFront{Probes: total(r, probesWatched) / fronts, Messages: total(r, notesSent) / fronts, MessageBytes: total(r, noteBytes) / both / fronts}
+	countsPerMessage := 2.0 // a message's bytes are counted at the sender and at the receiver
+	return PerFront{
+		Probes: total(r, probesToWatched) / fronts, Messages: total(r, peerMessagesSent) / fronts,
+		MessageBytes: total(r, peerMessageBytes) / countsPerMessage / fronts,
+	}
 }
--- a/internal/lab/hollow/report.go
+++ b/internal/lab/hollow/report.go
@@ -12,7 +12,7 @@
 // Plan says which events are measured, at which sizes.
 type Plan struct {
 	Sizes   []int    // numbers of fronts, in ascending order
-	Small   int      // maximum size for events that are not Large
+	Small   int      // maximum size for events without AllSizes
 	Events  []string // names, empty for all events
 	Health  []bool   // variants: health of nodes switched off, on
 	Seed    uint64
@@ -27,10 +27,10 @@
 	Health                                      bool
 	Sizes, Values                               []float64
 	Fit                                         Fit
-	Full                                        float64 // value at FullFronts
-	Measured                                    bool    // Full was measured, not extrapolated
-	Least                                       bool    // Full is a lower bound: the time was longer than the phase
-	Budget, Ratio                               float64 // Ratio is Full / Budget; 0 for none
+	AtFullSize                                  float64 // value at FullFronts
+	Measured                                    bool    // AtFullSize was measured, not extrapolated
+	LowerBound                                  bool    // AtFullSize is a lower bound: the time was longer than the phase
+	Budget, Ratio                               float64 // Ratio is AtFullSize / Budget; 0 for none
 }
 
 // Measure runs the events of a plan and returns the rows of the table. It calls progress after each phase.
@@ -41,50 +41,50 @@
 			continue
 		}
 		for _, size := range p.Sizes {
-			if !e.Large && size > p.Small {
+			if !e.AllSizes && size > p.Small {
 				continue
 			}
 			for i, health := range p.Health {
-				if e.Apart && i > 0 {
+				if e.IgnoresHealth && i > 0 {
 					continue
 				}
-				set := Default(size)
-				set.Health, set.Seed, set.Workers, set.SuspectAfter = health, p.Seed, p.Workers, p.SuspectAfter
-				played, err := Run(set, e)
+				settings := Default(size)
+				settings.Health, settings.Seed, settings.Workers, settings.SuspectAfter = health, p.Seed, p.Workers, p.SuspectAfter
+				phaseResults, err := Run(settings, e)
 				if err != nil {
 					return nil, fmt.Errorf("%s at %d fronts: %w", e.Name, size, err)
 				}
-				for i := range played {
-					r := &played[i]
-					results[key(r.Phase.Name, health)] = append(results[key(r.Phase.Name, health)], r)
+				for i := range phaseResults {
+					r := &phaseResults[i]
+					results[resultKey(r.Phase.Name, health)] = append(results[resultKey(r.Phase.Name, health)], r)
 					progress(fmt.Sprintf("%s at %d x %d, health %v, digest %016x, took %.1f s, cores per front %.4f (scheduler %.4f, health %.4f)",
-						r.Phase.Name, size, set.Nodes, health, r.Digest, r.Took.Seconds(), r.CPU, r.Scheduler, r.Health))
+						r.Phase.Name, size, settings.Nodes, health, r.Digest, r.Elapsed.Seconds(), r.CPU, r.SchedulerCPU, r.HealthCPU))
 				}
 			}
 		}
 	}
-	return lineUp(p, results), nil
+	return makeLines(p, results), nil
 }
 
-func key(phase string, health bool) string { return fmt.Sprint(phase, " ", health) }
+func resultKey(phase string, health bool) string { return fmt.Sprint(phase, " ", health) }
 
-func lineUp(p Plan, results map[string][]*Result) (out []Line) {
+func makeLines(p Plan, results map[string][]*Result) (out []Line) {
 	for _, row := range allRows() {
 		without := 0.0 // value without health of nodes
 		for _, health := range p.Health {
-			rs := results[key(row.phase, health)]
+			rs := results[resultKey(row.phase, health)]
 			if len(rs) == 0 {
 				continue
 			}
 			l := row.line(health, rs)
-			if row.shared {
+			if row.budgetIsShare {
 				if !health {
-					without = l.Full
+					without = l.AtFullSize
 				}
 				l.Budget = row.budget * without
 			}
-			if l.Budget > 0 && !math.IsNaN(l.Full) {
-				l.Ratio = l.Full / l.Budget
+			if l.Budget > 0 && !math.IsNaN(l.AtFullSize) {
+				l.Ratio = l.AtFullSize / l.Budget
 			}
 			out = append(out, l)
 		}
@@ -98,16 +98,16 @@
 		Health: health, Budget: row.budget,
 	}
 	if health {
-		l.Mechanism, l.Formula = row.healthy, cmp.Or(row.formulaOn, row.formula)
+		l.Mechanism, l.Formula = row.mechanismWithHealth, cmp.Or(row.formulaWithHealth, row.formula)
 	}
 	for _, r := range rs {
 		l.Sizes = append(l.Sizes, float64(r.Settings.Fronts))
-		l.Values = append(l.Values, row.of(r))
+		l.Values = append(l.Values, row.figure(r))
 	}
 	l.Fit = fit(l.Sizes, l.Values)
-	l.Full, l.Measured = value(FullFronts, l.Sizes, l.Values, l.Fit)
+	l.AtFullSize, l.Measured = valueAt(FullFronts, l.Sizes, l.Values, l.Fit)
 	final := rs[len(rs)-1]
-	l.Least = row.unit == "s" && l.Values[len(rs)-1] >= seconds(final.Phase.Span)
+	l.LowerBound = row.unit == "s" && l.Values[len(rs)-1] >= seconds(final.Phase.Duration)
 	return l
 }
 
--- a/internal/lab/hollow/settings.go
+++ b/internal/lab/hollow/settings.go
@@ -26,8 +26,8 @@
 	millisecond = scheduler.Micros(1_000)
 	second      = 1_000 * millisecond
 
-	begin = 1_800_000_000 * second // start of virtual time
-	tick  = 2 * millisecond        // interval of a front's steps, and length of the simulation's windows
+	startTime = 1_800_000_000 * second // start of virtual time
+	tick      = 2 * millisecond        // interval of a front's steps, and length of the simulation's windows
 )
 
 // Settings are the settings of a simulated fleet.
@@ -40,7 +40,7 @@
 	Seed           uint64
 	Workers        int              // goroutines, 0 for GOMAXPROCS
 	DiscoveryLines float64          // lines that discovery can answer per second
-	Warm           scheduler.Micros // how long the fleet serves before an event
+	WarmUp         scheduler.Micros // how long the fleet serves before an event
 }
 
 // Default returns the settings of a fleet with the given number of fronts, with as many nodes per front and requests per
@@ -48,7 +48,7 @@
 func Default(fronts int) Settings {
 	return Settings{
 		Fronts: fronts, Nodes: fronts * FullNodes / FullFronts, Zones: 10, Regions: 2, Rate: FullRate,
-		Seed: 1, DiscoveryLines: 9_000, Warm: 3 * second,
+		Seed: 1, DiscoveryLines: 9_000, WarmUp: 3 * second,
 	}
 }
 
@@ -85,32 +85,32 @@
 // The work of requests. At 472 requests per second a node of 8 cores is at three fifths of its capacity, and usually
 // answers in 5 to 20 ms.
 const (
-	unitWork  = 5_000.0             // microseconds of a core per unit
-	meanUnits = 2                   // per request
-	mostUnits = 3                   // per request; the minimum is 1
-	aim       = 300 * millisecond   // latency objective of the only class
-	patience  = 2_500 * millisecond // time after which a client gives up
-	volumes   = 64                  // number of volumes at each front
+	workPerUnit      = 5_000.0             // microseconds of a core per unit
+	meanUnits        = 2                   // mean of a request
+	maxUnits         = 3                   // of a request; the minimum is 1
+	latencyObjective = 300 * millisecond   // of the only class
+	clientTimeout    = 2_500 * millisecond // time after which a client gives up
+	volumesPerFront  = 64
 )
 
-// rules returns the settings of a front's scheduler.
-func (s *Settings) rules(number int) scheduler.Settings {
+// schedulerSettings returns the settings of a front's scheduler.
+func (s *Settings) schedulerSettings(number int) scheduler.Settings {
 	return scheduler.Settings{
-		Fronts: s.Fronts, FrontIndex: number, PeerMessages: true, Tick: tick, MeanUnits: meanUnits, MaxUnits: mostUnits,
+		Fronts: s.Fronts, FrontIndex: number, PeerMessages: true, Tick: tick, MeanUnits: meanUnits, MaxUnits: maxUnits,
 		MaxAttempts: 4, HealthChecks: true, RetryAfter: true, MaxRetryAfter: second / 2,
 		InitialCapacity: 0.2, SlowStart: 17 * second, OverloadMultiple: 2.5, OverloadSpan: second, SlowStartUnits: 1,
 		RetryBudgetSpan: 10 * second, RetryBudgetMin: 20, RetryBudgetShare: 0.1,
-		Classes: []scheduler.Class{{LatencyObjective: aim, Idempotency: scheduler.Idempotent, Priority: 1}},
+		Classes: []scheduler.Class{{LatencyObjective: latencyObjective, Idempotency: scheduler.Idempotent, Priority: 1}},
 		Plans:   []scheduler.Plan{{Weight: 1}},
 	}
 }
 
-// figures returns the settings of the model of a node.
-func (s *Settings) figures() model.Figures {
-	set := s.rules(0)
+// nodeFigures returns the settings of the model of a node.
+func (s *Settings) nodeFigures() model.Figures {
+	set := s.schedulerSettings(0)
 	return model.Figures{
 		Cores: 8, Speed: 1, Room: 200, ColdFrom: set.InitialCapacity, Ramp: int64(set.SlowStart),
-		FallTimes: set.OverloadMultiple, FallSpan: int64(set.OverloadSpan), FallFree: set.SlowStartUnits * unitWork, MostMemory: 1,
+		FallTimes: set.OverloadMultiple, FallSpan: int64(set.OverloadSpan), FallFree: set.SlowStartUnits * workPerUnit, MostMemory: 1,
 	}
 }
 
--- a/internal/lab/hollow/table.go
+++ b/internal/lab/hollow/table.go
@@ -9,8 +9,11 @@
 	"text/tabwriter"
 )
 
-// header holds the names of the columns.
-var header = []string{"event", "role", "figure", "formula", "health", "grows as", "slope a front", "residual", "1,200 x 1,800", "budget", "ratio", "mechanism"}
+// columns holds the names of the columns.
+var columns = []string{
+	"event", "role", "figure", "formula", "health", "grows as", "slope a front", "residual", "1,200 x 1,800", "budget", "ratio",
+	"mechanism",
+}
 
 // Print writes the lines as a table, in Markdown on request, then a table of the values at each size, and last the highest
 // ratio of each variant.
@@ -19,25 +22,25 @@
 	for i := range lines {
 		l := &lines[i]
 		rows = append(rows, l.cells())
-		sizes = append(sizes, []string{l.Phase, l.Role, l.What + unit(l), onOff(l.Health), l.bySize()})
+		sizes = append(sizes, []string{l.Phase, l.Role, l.What + unitSuffix(l), formatOnOff(l.Health), l.formatBySize()})
 	}
-	if err := table(out, header, rows, markdown); err != nil {
+	if err := writeTable(out, columns, rows, markdown); err != nil {
 		return err
 	}
 	fmt.Fprintln(out)
-	if err := table(out, []string{"event", "role", "figure", "health", "measured, fronts: value"}, sizes, markdown); err != nil {
+	if err := writeTable(out, []string{"event", "role", "figure", "health", "measured, fronts: value"}, sizes, markdown); err != nil {
 		return err
 	}
 	fmt.Fprintln(out)
 	for _, health := range []bool{true, false} {
 		if w := Worst(lines, health); w != nil && w.Ratio > 0 {
-			fmt.Fprintf(out, "worst ratio, health %s: %s, %s: %s: %s\n", onOff(health), number(w.Ratio), w.Phase, w.Role, w.What)
+			fmt.Fprintf(out, "worst ratio, health %s: %s, %s: %s: %s\n", formatOnOff(health), formatNumber(w.Ratio), w.Phase, w.Role, w.What)
 		}
 	}
 	return nil
 }
 
-func table(out io.Writer, header []string, rows [][]string, markdown bool) error {
+func writeTable(out io.Writer, header []string, rows [][]string, markdown bool) error {
 	if markdown {
 		dashes := strings.Split(strings.Repeat("---,", len(header)-1)+"---", ",")
 		for _, r := range append([][]string{header, dashes}, rows...) {
@@ -55,85 +58,86 @@
 }
 
 func (l *Line) cells() []string {
-	at := number(l.Full)
+	at := formatNumber(l.AtFullSize)
 	switch {
 	case !l.Measured:
 		at = "~" + at
-	case l.Least:
+	case l.LowerBound:
 		at = ">=" + at
 	}
 	budget, ratio := "", ""
 	if l.Budget > 0 {
-		budget, ratio = number(l.Budget), number(l.Ratio)
+		budget, ratio = formatNumber(l.Budget), formatNumber(l.Ratio)
 	}
 	return []string{
-		l.Phase, l.Role, l.What + unit(l), l.Formula, onOff(l.Health), l.Fit.growth(), l.Fit.slope(), l.Fit.residual(), at, budget, ratio,
+		l.Phase, l.Role, l.What + unitSuffix(l), l.Formula, formatOnOff(l.Health), l.Fit.formatGrowth(),
+		l.Fit.formatSlope(), l.Fit.formatResidual(), at, budget, ratio,
 		l.Mechanism,
 	}
 }
 
-func unit(l *Line) string {
+func unitSuffix(l *Line) string {
 	if l.Unit == "" {
 		return ""
 	}
 	return ", " + l.Unit
 }
 
-func onOff(on bool) string {
+func formatOnOff(on bool) string {
 	if on {
 		return "on"
 	}
 	return "off"
 }
 
-func (l *Line) bySize() string {
+func (l *Line) formatBySize() string {
 	var out []string
 	for i, s := range l.Sizes {
-		out = append(out, number(s)+": "+number(l.Values[i]))
+		out = append(out, formatNumber(s)+": "+formatNumber(l.Values[i]))
 	}
 	return strings.Join(out, "; ")
 }
 
-// growth returns the power law by which a figure grows with the number of fronts.
-func (f Fit) growth() string {
+// formatGrowth returns the power law by which a figure grows with the number of fronts.
+func (f Fit) formatGrowth() string {
 	if math.IsNaN(f.Exponent) {
 		return "-"
 	}
-	text := fmt.Sprintf("n^(%.2f ± %.2f)", f.Exponent, f.ExpError)
-	if f.superlinear() {
+	text := fmt.Sprintf("n^(%.2f ± %.2f)", f.Exponent, f.ExponentError)
+	if f.isSuperlinear() {
 		text += " superlinear"
 	}
 	return text
 }
 
-func (f Fit) slope() string {
+func (f Fit) formatSlope() string {
 	if f.Sizes < 3 {
 		return "-"
 	}
-	return fmt.Sprintf("%s ± %s", number(f.Slope), number(f.Error))
+	return fmt.Sprintf("%s ± %s", formatNumber(f.Slope), formatNumber(f.SlopeError))
 }
 
-func (f Fit) residual() string {
+func (f Fit) formatResidual() string {
 	if f.Residual == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.1f%%", 100*f.Residual)
 }
 
-// number formats a value with three significant digits, or from 1,000 as a whole number with commas.
-func number(v float64) string {
+// formatNumber formats a value with three significant digits, or from 1,000 as a whole number with commas.
+func formatNumber(v float64) string {
 	switch a := math.Abs(v); {
 	case math.IsNaN(v):
 		return "not known"
 	case a >= 1000:
-		return commas(strconv.FormatFloat(v, 'f', 0, 64))
+		return addCommas(strconv.FormatFloat(v, 'f', 0, 64))
 	case a >= 100:
 		return strconv.FormatFloat(v, 'f', 0, 64)
 	}
 	return strconv.FormatFloat(v, 'g', 3, 64)
 }
 
-func commas(digits string) string {
+func addCommas(digits string) string {
 	sign := ""
 	if digits[0] == '-' {
 		sign, digits = "-", digits[1:]
