--- a/internal/lab/hollow/front.go
+++ b/internal/lab/hollow/front.go
@@ -65,11 +65,11 @@
 // start starts or restarts the front's process, which knows only the endpoint list then.
 func (f *front) start(now scheduler.Micros) error {
 	w := f.world
-	newScheduler, err := scheduler.New(w.settings.schedulerSettings(int(f.id)), f.rng.Int64())
+	core, err := scheduler.New(w.settings.schedulerSettings(int(f.id)), f.rng.Int64())
 	if err != nil {
 		return err
 	}
-	f.scheduler, f.stopped, f.timerAt = newScheduler, false, 0
+	f.scheduler, f.stopped, f.timerAt = core, false, 0
 	f.openRequests, f.pendingProbes = map[uint64]*openRequest{}, map[uint64]int32{}
 	f.deadlines, f.probeTimeouts, f.events = queue[*openRequest]{}, queue[pendingProbe]{}, nil
 	f.nodeNumbers, f.nodeNames = make(map[string]int32, len(w.nodes)), make([]string, len(w.nodes))
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -36,8 +36,8 @@
 // finishJobs finishes the jobs that end up to a time, and replies to them.
 func (n *node) finishJobs(until scheduler.Micros) {
 	for {
-		at, any := n.Next()
-		if !any || scheduler.Micros(at) > until {
+		at, found := n.Next()
+		if !found || scheduler.Micros(at) > until {
 			return
 		}
 		for _, d := range n.Finish(at) {
--- a/internal/lab/hollow/perfront.go
+++ b/internal/lab/hollow/perfront.go
@@ -1,6 +1,6 @@
 package hollow
 
-// PerFront holds what a front sent in a phase on average. All of it can also be measured with real processes.
+// PerFront holds what a front sent in a phase on average. The same figures can be measured with real processes.
 type PerFront struct {
 	Probes       float64 // to watched nodes
 	Messages     float64 // to other fronts, about cold nodes
--- a/internal/lab/hollow/watch.go
+++ b/internal/lab/hollow/watch.go
@@ -21,9 +21,9 @@
 
 func newWatch(f *front, now scheduler.Micros, version int64) watch {
 	l := f.world.limits
-	p := backoff.New(backoff.Config{Min: l.Discovery.RetryMin, Max: l.Discovery.RetryMax, Spread: l.Discovery.StartSpread}, f.rng.Int64())
+	retry := backoff.New(backoff.Config{Min: l.Discovery.RetryMin, Max: l.Discovery.RetryMax, Spread: l.Discovery.StartSpread}, f.rng.Int64())
 	return watch{
-		retry: p, version: version, hold: micros(l.Discovery.WatchHold), firstCall: true, dueAt: now + micros(p.InitialDelay()),
+		retry: retry, version: version, hold: micros(l.Discovery.WatchHold), firstCall: true, dueAt: now + micros(retry.InitialDelay()),
 		number: f.watch.number,
 	}
 }
--- a/internal/lab/hollow/world.go
+++ b/internal/lab/hollow/world.go
@@ -123,7 +123,7 @@
 // now returns the time at which the next window begins, or the current one while it is processed.
 func (w *World) now() scheduler.Micros { return startTime + scheduler.Micros(w.window)*tick }
 
-// After adds a step to the script that runs after a wait.
+// After schedules a step of the script.
 func (w *World) After(wait scheduler.Micros, do func(*World)) {
 	w.script = append(w.script, scriptStep{w.now() + wait, do})
 	slices.SortStableFunc(w.script, func(a, b scriptStep) int { return int(a.at - b.at) })
