--- a/internal/lab/hollow/message.go
+++ b/internal/lab/hollow/message.go
@@ -7,85 +7,86 @@
 	"otterturn/scheduler"
 )
 
-// kind tells what a message is.
-type kind uint8
+// messageKind is the kind of a message.
+type messageKind uint8
 
 const (
-	kindAttempt    kind = iota // front to node: a request
-	kindReply                  // node to front: how an attempt ended
-	kindProbe                  // front to node
-	kindProbeReply             // node to front
-	kindNote                   // front to front: protocol.FormatNote
-	kindHealth                 // front to front: health.Encode
-	kindListCall               // front to discovery
-	kindListAnswer             // discovery to front
+	kindAttempt     messageKind = iota // front to node: a request
+	kindReply                          // node to front: result of an attempt
+	kindProbe                          // front to node
+	kindProbeReply                     // node to front
+	kindPeerMessage                    // front to front: protocol.FormatNote
+	kindHealth                         // front to front: health.Encode
+	kindListCall                       // front to discovery
+	kindListAnswer                     // discovery to front
 )
 
-// message is what one actor sends another. Which fields count goes by its kind.
+// message is a message from one actor to another. Its kind determines which fields are set.
 type message struct {
-	at       scheduler.Micros // when it arrives
-	from, to int32            // actors
-	sequence uint32           // counts what the sender sent
-	kind     kind
-	result   scheduler.Result // of an attempt or a probe
-	number   uint64           // of the request, probe or call, at its front
-	attempt  int32            // of the request
-	opens    bool             // a watch that begins
-	value    float64          // units of an attempt, queue of a probed node
-	version  int64            // of the list
-	hold     scheduler.Micros // for so long discovery may hold a call
-	data     []byte           // text of a note or a health message
-	news     *news            // of the list
+	at        scheduler.Micros // when it arrives
+	from, to  int32            // numbers of the actors
+	sequence  uint32           // of the sender's messages, from 1
+	kind      messageKind
+	result    scheduler.Result // of an attempt or a probe
+	number    uint64           // of the request, probe or list call, unique within its front
+	attempt   int32            // of the request
+	firstCall bool             // whether the call is the first one of a watch
+	value     float64          // units of an attempt, queue of a probed node
+	version   int64            // of the endpoint list
+	maxHold   scheduler.Micros // how long discovery may hold the call
+	data      []byte           // encoded peer message or health message
+	update    *listUpdate      // of a list answer
 }
 
-// before is the order in which an actor handles messages.
-func before(a, b message) int {
+// compareMessages compares messages by the order in which an actor handles them.
+func compareMessages(a, b message) int {
 	return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.from, b.from), cmp.Compare(a.sequence, b.sequence))
 }
 
-// ahead is how many windows ahead a message may arrive at most.
-const ahead = 16
+// maxWindowsAhead bounds the delay of a message: it must arrive fewer windows than this after it is sent.
+const maxWindowsAhead = 16
 
-// mailbox holds what is on its way to an actor, by the window in which it arrives.
+// mailbox holds the messages on their way to an actor, by the window in which they arrive.
 type mailbox struct {
-	windows [ahead][]message
+	windows [maxWindowsAhead][]message
 }
 
 func (m *mailbox) put(in message) {
-	w := windowOf(in.at) % ahead
+	w := windowOf(in.at) % maxWindowsAhead
 	m.windows[w] = append(m.windows[w], in)
 }
 
-// take returns what arrives in a window, in order, until the next call of take for a window of the same place.
+// take returns the messages that arrive in a window, in order. The result is valid until a message is put for a later window
+// that uses the same element.
 func (m *mailbox) take(window int64) []message {
-	w := window % ahead
+	w := window % maxWindowsAhead
 	in := m.windows[w]
 	m.windows[w] = in[:0]
-	slices.SortFunc(in, before)
+	slices.SortFunc(in, compareMessages)
 	return in
 }
 
-func windowOf(at scheduler.Micros) int64 { return int64((at - begin) / tick) }
+func windowOf(at scheduler.Micros) int64 { return int64((at - startTime) / tick) }
 
-// outbox holds what the actors of one worker sent in a window, by the worker of the receiver.
+// outbox holds the messages that the actors of one worker sent in a window, by the worker of the receiver.
 type outbox [][]message
 
 // sender is the part of an actor that sends.
 type sender struct {
 	world    *World
 	id       int32
-	out      *outbox
+	outbox   *outbox
 	sequence uint32
 }
 
-// send has a message arrive after the network's delay, unless the link is cut.
+// send delivers a message after the network's delay, unless the link is cut.
 func (s *sender) send(now scheduler.Micros, m message) {
 	s.sequence++
 	links := &s.world.links
-	if links.cut(s.id, m.to) {
+	if links.isCut(s.id, m.to) {
 		return
 	}
 	m.at, m.from, m.sequence = now+links.delay(s.id, m.to), s.id, s.sequence
-	shard := s.world.shard(m.to)
-	(*s.out)[shard] = append((*s.out)[shard], m)
+	worker := s.world.workerOf(m.to)
+	(*s.outbox)[worker] = append((*s.outbox)[worker], m)
 }
--- a/internal/lab/hollow/meter.go
+++ b/internal/lab/hollow/meter.go
@@ -2,56 +2,56 @@
 
 import "time"
 
-// figure is something that is counted at each front.
-type figure int
+// counter is the index of a counter that each front has.
+type counter int
 
 const (
-	requests   figure = iota // that came
-	served                   // final answers: the node's,
-	refused                  // a refusal,
-	failed                   // or a failure
-	lost                     // with a front's process
-	attempts                 // that were sent
-	unanswered               // attempts that had no answer until the request's deadline,
-	paid                     // and those of them at watched nodes
-	connections
+	requests            counter = iota // that arrived
+	served                             // requests with an answer of a node
+	rejected                           // requests that the scheduler rejected
+	failed                             // requests that failed or reached their deadline without an attempt in progress
+	lost                               // requests that were open when the front's process ended
+	attempts                           // sent to nodes
+	unanswered                         // attempts without an answer at the request's deadline
+	unansweredAtWatched                // unanswered attempts at watched nodes
+	connections                        // opened to nodes
 	probesSent
-	probesWatched // at watched nodes
-	probeTraffic  // bytes of probes
-	notesSent
-	notesReceived
-	noteBytes // in both directions
+	probesToWatched // probes sent to watched nodes
+	probeTraffic    // bytes of probes
+	peerMessagesSent
+	peerMessagesReceived
+	peerMessageBytes // in both directions
 	healthSent
 	healthReceived
 	healthBytes // in both directions
 	listCalls
 	listFailures
 	listBytes // in both directions
-	unreadable
-	figures // how many there are
+	unreadableMessages
+	counterCount // number of counters
 )
 
-// controlFigures are those whose sum is the traffic of control, in bytes.
-var controlFigures = []figure{probeTraffic, noteBytes, healthBytes, listBytes}
+// controlCounters lists the counters that add up to the control traffic, in bytes.
+var controlCounters = []counter{probeTraffic, peerMessageBytes, healthBytes, listBytes}
 
-// counts are those of a front.
+// counts holds a front's counters.
 type counts struct {
-	now   [figures]int64 // of this second
-	total [figures]int64
+	currentSecond [counterCount]int64 // counts in the current second of virtual time
+	total         [counterCount]int64 // counts in all seconds before
 }
 
-// controlBytes is the traffic of control in a second.
+// controlTraffic returns the front's control traffic in the current second.
 func (c *counts) controlBytes() (sum int64) {
-	for _, f := range controlFigures {
-		sum += c.now[f]
+	for _, f := range controlCounters {
+		sum += c.currentSecond[f]
 	}
 	return sum
 }
 
-// cost is wall-clock time that a front's parts took; it is no part of the digest.
+// cost is the wall-clock time that parts of a front took; it is not part of the digest.
 type cost struct {
 	scheduler, health time.Duration
-	busy              time.Duration // in all, of the workers
+	busy              time.Duration // total of the workers
 	steps             int64
 }
 
@@ -60,51 +60,52 @@
 }
 
 type discoveryCounts struct {
-	calls, dropped int64
-	lines          float64 // answered
-	asked          float64
+	calls, droppedCalls int64
+	answeredLines       float64
+	requestedLines      float64 // lines that the calls requested
 }
 
-// Second is what a fleet did in a second of virtual time.
+// Second holds the counts of a fleet in one second of virtual time.
 type Second struct {
-	Sum         [figures]int64
-	Most        [figures]int64 // at one front
-	Control     int64          // bytes of all fronts
-	MostControl int64          // bytes at one front
-	Lines       float64        // that discovery answered
-	Asked       float64        // lines that calls asked it for
-	Calls       int64          // that it got
-	MostAtNode  int64          // attempts at one node
+	Sum               [counterCount]int64
+	Max               [counterCount]int64 // highest count of a single front
+	Control           int64               // control traffic of all fronts, in bytes
+	MaxControl        int64               // highest control traffic of a single front, in bytes
+	AnsweredLines     float64             // answered by discovery
+	RequestedLines    float64             // lines that calls requested from discovery
+	Calls             int64               // received by discovery
+	MaxAttemptsAtNode int64               // highest number of attempts at a single node
 }
 
 type meter struct {
 	seconds   []Second
-	discovery discoveryCounts // up to the last second
-	attempts  []int64         // of each node up to then
+	discovery discoveryCounts // counts at the end of the last second
+	attempts  []int64         // by node, total at the end of the last second
 }
 
-// close ends a second.
-func (m *meter) close(w *World) {
+// endSecond records the counts of a second and resets them.
+func (m *meter) endSecond(w *World) {
 	var s Second
 	for _, f := range w.fronts {
 		bytes := f.counts.controlBytes()
 		s.Control += bytes
-		s.MostControl = max(s.MostControl, bytes)
-		for i, n := range f.counts.now {
+		s.MaxControl = max(s.MaxControl, bytes)
+		for i, n := range f.counts.currentSecond {
 			s.Sum[i] += n
-			s.Most[i] = max(s.Most[i], n)
+			s.Max[i] = max(s.Max[i], n)
 			f.counts.total[i] += n
 		}
-		f.counts.now = [figures]int64{}
+		f.counts.currentSecond = [counterCount]int64{}
 	}
 	d := w.discovery.counts
-	s.Lines, s.Asked, s.Calls = d.lines-m.discovery.lines, d.asked-m.discovery.asked, d.calls-m.discovery.calls
+	s.AnsweredLines, s.RequestedLines, s.Calls = d.answeredLines-m.discovery.answeredLines,
+		d.requestedLines-m.discovery.requestedLines, d.calls-m.discovery.calls
 	m.discovery = d
 	if m.attempts == nil {
 		m.attempts = make([]int64, len(w.nodes))
 	}
 	for i, n := range w.nodes {
-		s.MostAtNode = max(s.MostAtNode, n.counts.attempts-m.attempts[i])
+		s.MaxAttemptsAtNode = max(s.MaxAttemptsAtNode, n.counts.attempts-m.attempts[i])
 		m.attempts[i] = n.counts.attempts
 	}
 	m.seconds = append(m.seconds, s)
--- a/internal/lab/hollow/perfront.go
+++ b/internal/lab/hollow/perfront.go
@@ -1,15 +1,18 @@
 package hollow
 
-// PerFront are what a front sent in a phase, on the mean, as it can be counted of real processes, too.
+// PerFront holds what a front sent in a phase on average. The same figures can be measured with real processes.
 type PerFront struct {
-	Probes       float64 // at watched nodes
+	Probes       float64 // to watched nodes
 	Messages     float64 // to other fronts, about cold nodes
-	MessageBytes float64 // of these, without heads of UDP
+	MessageBytes float64 // of these messages, without UDP headers
 }
 
-// PerFront tells what a front sent, on the mean of the fleet.
+// PerFront returns what a front sent, averaged over the fleet.
 func (r *Result) PerFront() PerFront {
 	fronts := float64(r.Settings.Fronts)
-	both := 2.0 // a message's bytes are counted where it leaves and where it comes
-	return PerFront{Probes: total(r, probesWatched) / fronts, Messages: total(r, notesSent) / fronts, MessageBytes: total(r, noteBytes) / both / fronts}
+	countsPerMessage := 2.0 // a message's bytes are counted at the sender and at the receiver
+	return PerFront{
+		Probes: total(r, probesToWatched) / fronts, Messages: total(r, peerMessagesSent) / fronts,
+		MessageBytes: total(r, peerMessageBytes) / countsPerMessage / fronts,
+	}
 }
