--- a/internal/lab/processes/beside.go
+++ b/internal/lab/processes/beside.go
@@ -9,20 +9,20 @@
 	"otterturn/internal/lab/hollow"
 )
 
-// hollowSeeds are as many runs of hollow fronts as each scenario is held against.
+// hollowSeeds is the number of hollow-front runs, one per seed, with which each scenario is compared.
 const hollowSeeds = 5
 
-// agreement is by how much real and hollow fronts may differ.
+// agreement is the largest relative difference between real and hollow fronts that counts as agreement.
 const agreement = 0.1
 
-// hollowEvents are the hollow fleet's names for what happens.
+// hollowEvents maps node events to the names of the events in package hollow.
 var hollowEvents = map[Happening]string{FallsSilent: "node", BeginsAnew: "node-restart"}
 
-// playHollow plays a scenario with hollow fronts, once for each of so many seeds.
+// playHollow runs a scenario with hollow fronts once per seed.
 func playHollow(s Scenario, seeds int) ([]hollow.PerFront, error) {
 	at := slices.IndexFunc(hollow.Events, func(e hollow.Event) bool { return e.Name == hollowEvents[s.Event] })
 	if at < 0 {
-		return nil, fmt.Errorf("hollow: no event %q", hollowEvents[s.Event])
+		return nil, fmt.Errorf("hollow fronts have no event %q", hollowEvents[s.Event])
 	}
 	var all []hollow.PerFront
 	for seed := range seeds {
@@ -37,7 +37,7 @@
 	return all, nil
 }
 
-// beside tells what hollow fronts sent where a real one sent so much.
+// beside formats how a value of real fronts compares with the mean of the hollow runs.
 func beside(real float64, all []hollow.PerFront, of func(hollow.PerFront) float64) string {
 	var same []float64
 	for _, p := range all {
--- a/internal/lab/processes/beside_test.go
+++ b/internal/lab/processes/beside_test.go
@@ -7,7 +7,7 @@
 	"otterturn/internal/lab/hollow"
 )
 
-// Hollow fronts have each of the scenarios' events, and send in it what it is about.
+// Hollow fronts support the event of each scenario and send the traffic that it causes: probes or messages.
 func TestScenariosAreHadHollow(t *testing.T) {
 	for _, s := range Scenarios {
 		s.Fronts, s.Rate = 3, 60
@@ -17,7 +17,7 @@
 		}
 		for _, p := range all {
 			if s.Event == FallsSilent && p.Probes == 0 || s.Event == BeginsAnew && (p.Messages == 0 || p.MessageBytes < p.Messages) {
-				t.Errorf("%s: %+v", s.Name, p)
+				t.Errorf("%s: hollow fronts sent no traffic for the event: %+v", s.Name, p)
 			}
 		}
 	}
@@ -28,10 +28,10 @@
 	for real, agree := range map[float64]bool{10: true, 10.9: true, 11.2: false, 8.8: false, 0: false} {
 		text := beside(real, all, func(p hollow.PerFront) float64 { return p.Probes })
 		if strings.Contains(text, "agree") != agree {
-			t.Errorf("%v beside 9 and 11: %s", real, text)
+			t.Errorf("%v compared with 9 and 11: %s", real, text)
 		}
 	}
 	if text := beside(1, []hollow.PerFront{{}, {}}, func(p hollow.PerFront) float64 { return p.Probes }); strings.Contains(text, "agree") {
-		t.Errorf("1 beside nothing: %s", text)
+		t.Errorf("1 compared with a mean of 0: %s", text)
 	}
 }
--- a/internal/lab/processes/changes.go
+++ b/internal/lab/processes/changes.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	probeRate    = 200.0                  // requests a second of each front at most, which tell when a change is in force, to 5 ms
-	probeSum     = 1600.0                 // and of all: more would keep this machine busy, which would be measured
-	changesFor   = 60 * time.Second       // they go on for so long at most
-	afterwards   = 300 * time.Millisecond // and for so long behind a change, to see the last ones at the former node
+	probeRate    = 200.0                  // maximum requests per second per front; they show to 5 ms when a change takes effect
+	probeSum     = 1600.0                 // and of all fronts: more would load the machine and distort the figures
+	changesFor   = 60 * time.Second       // maximum duration of the requests
+	afterwards   = 300 * time.Millisecond // wait after a change, to see the last requests at the former node
 	smallestList = 112
 )
 
-// heard is what a change took.
+// heard is the cost of a change of the endpoint list.
 type heard struct {
 	fronts, listed int
-	inForce        []float64 // milliseconds until the first request at the new node, by front
-	former         []float64 // and until the last one at the former node
-	calls, lines   int64     // that discovery answered with
+	inForce        []float64 // milliseconds until the first request at the new node, per front
+	former         []float64 // milliseconds until the last request at the former node, per front
+	calls, lines   int64     // calls that discovery answered, and entries in the answers
 	bytes          int64
 }
 
-// changes measures how long a change takes until it is in force at all fronts, and what discovery sends for it.
+// changes measures how long a change takes until it is in effect at all fronts, and what discovery sends for it.
 func (l *Lab) changes(ctx context.Context) ([]Row, error) {
 	var rows []Row
-	bare := 0.0 // what SIGHUP took where no watch waits for its time
+	bare := 0.0 // milliseconds after SIGHUP with agents, where no front delays the start of its watch
 	for _, asked := range []bool{false, true} {
 		var pushed, reread []heard
 		for _, many := range l.Plan.Fronts {
@@ -54,8 +54,8 @@
 	return append(rows, l.listRows(sized)...), nil
 }
 
-// change starts fronts that all ask for the data of one node, has discovery tell that another one has it, and then, by
-// SIGHUP, has them follow another discovery, by which it is at a third one.
+// change starts fronts that all request one shard from one node. First discovery reports that a second node has the shard.
+// Then SIGHUP switches the fronts to another discovery, which lists a third node for it.
 func (l *Lab) change(ctx context.Context, asked bool, many, listed int) (pushed, reread heard, err error) {
 	nodes, err := startNodes(3)
 	if err != nil {
@@ -114,25 +114,25 @@
 	})
 	end()
 	pushed.listed, reread.listed = listed, listed
-	l.logHeard(asked, "told", pushed)
+	l.logHeard(asked, "reported by discovery", pushed)
 	l.logHeard(asked, "by SIGHUP", reread)
 	<-done
 	return pushed, reread, err
 }
 
 func (l *Lab) logHeard(asked bool, how string, h heard) {
-	l.logf("%d fronts, %d nodes listed, %s, %s: in force within %s ms, last at the former node %s ms; %d calls, %d lines, %d bytes",
+	l.logf("%d fronts, %d nodes listed, %s, %s: in effect within %s ms, last request at the former node after %s ms; %d calls, %d lines, %d bytes",
 		h.fronts, h.listed, mode(asked), how, short(slices.Max(h.inForce)), short(slices.Max(h.former)), h.calls, h.lines, h.bytes)
 }
 
-// listedWith is a list of so many nodes, the first of which is given.
+// listedWith returns a list of many nodes that begins with first; the others are unreachable.
 func listedWith(many int, first Entry) []Entry {
 	out := listed(many)
 	out[0] = first
 	return out
 }
 
-// discoveries are one for all fronts, or one for each.
+// discoveries starts one discovery for all fronts if fronts ask it, otherwise one per front.
 func (l *Lab) discoveries(asked bool, many int, list []Entry) ([]*Discovery, error) {
 	if asked {
 		many = 1
@@ -154,7 +154,7 @@
 	}
 }
 
-// watching waits until all fronts have a watch and are served by a node.
+// watching waits until all fronts have started a watch and have had an attempt at node.
 func (l *Lab) watching(ctx context.Context, fronts []*Front, discoveries []*Discovery, node *Node) error {
 	return inTurn(fronts, func(i int, f *Front) error {
 		return f.await(ctx, func() bool {
@@ -164,7 +164,7 @@
 	})
 }
 
-// inTurn goes through fronts with their places, up to the first error.
+// inTurn calls do for each front in order, up to the first error.
 func inTurn(fronts []*Front, do func(int, *Front) error) error {
 	for i, f := range fronts {
 		if err := do(i, f); err != nil {
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// follow makes a change, waits until all fronts have gone over from one node to another, and tells what it took.
+// follow makes a change, waits until all fronts have switched from one node to the other, and returns what the change cost.
 func (l *Lab) follow(ctx context.Context, fronts []*Front, discoveries []*Discovery, from, to *Node, change func() error) (heard, error) {
 	out := heard{fronts: len(fronts)}
 	count := func(sign int64) {
--- a/internal/lab/processes/clients.go
+++ b/internal/lab/processes/clients.go
@@ -14,19 +14,19 @@
 	"otterturn/internal/net/protocol"
 )
 
-// client is a connection that a client keeps to a front.
+// client is a client's persistent connection to a front.
 type client struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-// clientWorkers open and use connections at a time.
+// clientWorkers is the number of goroutines that use client connections concurrently.
 const clientWorkers = 64
 
-// clientPatience bounds each exchange of a client.
+// clientPatience is the time limit for connecting and for each exchange of a client.
 const clientPatience = 30 * time.Second
 
-// open opens connections until there are so many, and has each do something.
+// open adds connections until there are many, and calls do for each.
 func (f *Front) open(has []*client, many int, do func(*client) error) ([]*client, error) {
 	for len(has) < many {
 		c, err := net.DialTimeout("tcp", f.config.listen, clientPatience)
@@ -38,7 +38,7 @@
 	return has, each(has, do)
 }
 
-// each has clients do something, some at a time, and returns the first error.
+// each calls do for all clients, with clientWorkers at a time, and returns an error if any call failed.
 func each(clients []*client, do func(*client) error) error {
 	work := make(chan *client)
 	failed := make(chan error, clientWorkers)
@@ -73,7 +73,7 @@
 	}
 }
 
-// send sends a request for a shard, and its answer is left to come.
+// send sends a request for a shard without reading the answer.
 func (f *Front) send(ctx context.Context, c *client, set protocol.Settings, shard int) error {
 	c.SetDeadline(time.Now().Add(clientPatience))
 	r, err := protocol.FormatRequest(ctx, f.config.listen, set, f.request(set, 0, shard, uint64(sent.Load())))
@@ -94,12 +94,12 @@
 	}
 	io.Copy(io.Discard, resp.Body)
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d", resp.StatusCode)
+		return fmt.Errorf("front answered with status %d", resp.StatusCode)
 	}
 	return nil
 }
 
-// bodyBytes is the length of a body that is sent in part, short of what is passed on in pieces.
+// bodyBytes is the length of a partly sent body, below the length from which the front streams bodies.
 const bodyBytes = 60 << 10
 
 // sendPart sends the head of a write and the first bytes of its body.
--- a/internal/lab/processes/compare.go
+++ b/internal/lab/processes/compare.go
@@ -8,11 +8,11 @@
 	"otterturn/internal/lab/hollow"
 )
 
-// mostTries is how often a scenario is played until the machine had time for it.
+// mostTries bounds how often a scenario is run when the machine was too busy.
 const mostTries = 3
 
-// inTime plays a scenario until this process was never late by much, which says nothing of what comes out, and tells how
-// late it was.
+// inTime repeats a scenario until this process woke up in time throughout, up to mostTries. The choice depends on lateness
+// alone, not on the outcome. It returns the largest lateness of the last run.
 func (l *Lab) inTime(ctx context.Context, s Scenario) (o Outcome, late time.Duration, tries int, err error) {
 	for tries = 1; ; tries++ {
 		watch := watchLateness()
@@ -21,7 +21,7 @@
 		if err != nil {
 			return o, late, tries, fmt.Errorf("%s: %w", s.Name, err)
 		}
-		l.logf("%s, %d fronts before %d nodes, %.0f s, try %d, late by %v at most: %s", s.Name, s.Fronts, s.Nodes, s.Span.Seconds(), tries,
+		l.logf("%s, %d fronts, %d nodes, %.0f s, try %d, late by at most %v: %s", s.Name, s.Fronts, s.Nodes, s.Span.Seconds(), tries,
 			late.Round(time.Millisecond), o)
 		if late <= lateMost || tries == mostTries {
 			return o, late, tries, nil
@@ -29,7 +29,7 @@
 	}
 }
 
-// compare plays the scenarios with real fronts and with hollow ones.
+// compare runs the scenarios with real fronts and with hollow ones.
 func (l *Lab) compare(ctx context.Context) ([]Row, error) {
 	var rows []Row
 	for _, s := range Scenarios {
@@ -57,7 +57,7 @@
 	return rows, nil
 }
 
-// played tells whether the machine had time for a run.
+// played describes the lateness of a run and whether its result is reliable.
 func played(late time.Duration, tries int) string {
 	text := fmt.Sprintf("try %d, late by %v at most", tries, late.Round(time.Millisecond))
 	if late > lateMost {
--- a/internal/lab/processes/config.go
+++ b/internal/lab/processes/config.go
@@ -8,57 +8,57 @@
 	"otterturn/internal/net/protocol"
 )
 
-// Entry is a node on discovery's list, as the platform writes it.
+// Entry is a node on discovery's list, in the platform's format.
 type Entry struct {
 	Host   string `json:"host"`
 	Dial   string `json:"dial"`
 	Site   string `json:"site"`
-	Block  int    `json:"block"` // the shard whose data it has
+	Block  int    `json:"block"` // the shard that the node has
 	Health string `json:"health"`
 	Born   int64  `json:"born_ms"`
 
-	changed int64 // version of the list that brought it
+	changed int64 // version of the list with the latest change of the entry
 }
 
-// nowhere is an address that nobody listens at, for nodes that are listed and asked for nothing.
+// nowhere is an address without a listener, for nodes that are listed and get no requests.
 const nowhere = "127.255.255.254:9"
 
-// entry is that of a node that runs, and is warm unless it was born just now.
+// entry returns the entry of a running node with an old start time, so that fronts take it for warm.
 func entry(shard int, dial string) Entry {
 	return Entry{Host: fmt.Sprintf("s-%08x", shard), Dial: dial, Site: zones[shard%len(zones)], Block: shard, Health: "up", Born: born}
 }
 
-// born is the start of nodes that have run for long, in milliseconds.
+// born is the start time of nodes that have run for long, in Unix milliseconds.
 const born = 1_700_000_000_000
 
-// zones are those of two regions.
+// zones are the names of five zones in each of two regions.
 var zones = []string{"r1-z1", "r1-z2", "r1-z3", "r1-z4", "r1-z5", "r2-z1", "r2-z2", "r2-z3", "r2-z4", "r2-z5"}
 
-// config is what a front is started with.
+// config is the configuration of one front.
 type config struct {
 	listen, discovery, control string
 	fronts, number             int
-	asked                      bool // discovery has to be asked; else changes are pushed to an agent of the front's own
+	asked                      bool // fronts ask one discovery; otherwise changes are pushed to one agent per front
 	memoryMB, sockets          int
-	giveUp                     time.Duration // what clients wait at most
-	traced                     bool          // collections of the heap are told
-	units                      int           // of a request at most, 0 for one each
+	giveUp                     time.Duration // maximum wait of clients
+	traced                     bool          // the front logs its garbage collections
+	units                      int           // maximum of a request; 0 for one unit each
 	nodes                      []Entry
 	shards                     int
 	peerListen                 string
 	peers                      []string
 }
 
-// Limits of a front for which nothing is scarce, and of one as the platform starts it today.
+// Limits of a front with ample resources, and those with which the platform starts a front today.
 const (
 	wideMemoryMB, wideSockets   = 1024, 16384
 	todayMemoryMB, todaySockets = 192, 1024
 )
 
-// patience is what clients wait at most, where nothing else is said.
+// patience is the default maximum wait of clients.
 const patience = 5 * time.Second
 
-// text is the file that RELAY_CONFIG names.
+// text encodes the configuration for the file that RELAY_CONFIG names.
 func (c config) text() ([]byte, error) {
 	type object = map[string]any
 	mode := "pushed"
@@ -95,7 +95,7 @@
 	})
 }
 
-// settings are what clients need to know of it.
+// settings returns the protocol settings that clients need.
 func (c config) settings() (protocol.Settings, error) {
 	text, err := c.text()
 	if err != nil {
--- a/internal/lab/processes/connections.go
+++ b/internal/lab/processes/connections.go
@@ -9,8 +9,8 @@
 	"otterturn/internal/net/protocol"
 )
 
-// connections measures what a connection that is kept to a node takes, and how many handshakes there are at the rate of
-// a pair of front and node, where connections may be kept and where there is no room.
+// connections measures the cost of a kept connection to a node, and the rate of handshakes at the request rate of a pair of
+// front and node: with enough sockets to keep all connections, and with too few.
 func (l *Lab) connections(ctx context.Context) ([]Row, error) {
 	rows, err := l.kept(ctx)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return append(rows, more...), err
 }
 
-// kept has a front open a connection to more and more nodes.
+// kept measures a front that keeps connections to more and more nodes.
 func (l *Lab) kept(ctx context.Context) ([]Row, error) {
 	front, _, end, err := l.beforeNodes(ctx, l.Plan.Kept)
 	if err != nil {
@@ -66,7 +66,7 @@
 	}, nil
 }
 
-// touch has nodes up to a number asked, each for the first time.
+// touch sends one request to each shard from next up to upTo; several goroutines share next.
 func (f *Front) touch(ctx context.Context, c *client, set protocol.Settings, next *atomic.Int64, upTo int64) error {
 	for {
 		shard := next.Add(1) - 1
@@ -79,20 +79,21 @@
 	}
 }
 
-// room is what a front may have.
+// room is a named set of limits of a front.
 type room struct {
 	name              string
 	memoryMB, sockets int
 }
 
-// shaken are the handshakes at all nodes of a front.
+// shaken is the result of a handshake measurement over all nodes of one front.
 type shaken struct {
 	point
-	handshakes float64 // a second
-	open       int64   // connections at the end
+	handshakes float64 // per second
+	open       int64   // connections open at the end
 }
 
-// handshakes has fronts with and without room for a connection to each node get the rate of a front.
+// handshakes loads fronts with and without enough sockets for one connection per node, at the request rate per pair of front
+// and node in the full fleet.
 func (l *Lab) handshakes(ctx context.Context) ([]Row, error) {
 	rooms := []room{{"kept, 16,384 sockets", wideMemoryMB, wideSockets}, {"as today, 192 MB and 1,024 sockets", todayMemoryMB, todaySockets}}
 	var rows []Row
@@ -116,7 +117,7 @@
 	return rows, nil
 }
 
-// shake counts handshakes once connections that were idle for long have been dropped.
+// shake counts handshakes after a first load period in which the front closes connections that were idle too long.
 func (l *Lab) shake(ctx context.Context, r room) (shaken, error) {
 	nodes, err := startNodes(l.Plan.Kept)
 	if err != nil {
@@ -139,7 +140,7 @@
 	return shaken{point: p, handshakes: float64(now-opened) / time.Since(began).Seconds(), open: open}, err
 }
 
-// connectionsAt counts the connections that nodes had so far, and have.
+// connectionsAt sums the connections that nodes have accepted so far and those open now.
 func connectionsAt(nodes []*Node) (opened, open int64) {
 	for _, n := range nodes {
 		opened += n.Opened.Load()
--- a/internal/lab/processes/discovery.go
+++ b/internal/lab/processes/discovery.go
@@ -11,26 +11,26 @@
 	"time"
 )
 
-// Discovery is a stand-in that answers as fast as it is asked, and counts what it sends. How much a discovery bears is
-// not measured here.
+// Discovery is a stand-in that answers each call without a rate limit and counts what it sends. The capacity of a real
+// discovery is not measured here.
 type Discovery struct {
 	Addr  string
-	Begun atomic.Int64 // calls that came
-	Calls atomic.Int64 // and that were answered
+	Begun atomic.Int64 // calls received
+	Calls atomic.Int64 // calls answered
 	Lines atomic.Int64 // entries of nodes sent
-	Sent  atomic.Int64 // bytes sent, heads included
+	Sent  atomic.Int64 // bytes sent, headers included
 
 	server  *http.Server
 	mu      sync.Mutex
 	version int64
 	nodes   []Entry
-	news    chan struct{} // closed, and made anew, with each change
+	news    chan struct{} // closed and replaced with each change
 }
 
-// firstVersion is that of the list that fronts are started with.
+// firstVersion is the version of the list that fronts are started with.
 const firstVersion = 1
 
-// startDiscovery serves a list on an address of its own.
+// startDiscovery serves a list at a new address.
 func startDiscovery(nodes []Entry) (*Discovery, error) {
 	d := &Discovery{version: firstVersion, nodes: slices.Clone(nodes), news: make(chan struct{})}
 	l, err := net.Listen("tcp", host()+":0")
@@ -43,10 +43,10 @@
 	return d, nil
 }
 
-// Close ends it with all of its connections.
+// Close closes the server and all of its connections.
 func (d *Discovery) Close() { d.server.Close() }
 
-// Change takes entries in, each in the place of the one of its name, and answers the calls that wait.
+// Change adds entries, replacing those with the same host, and wakes the calls that wait.
 func (d *Discovery) Change(entries ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,14 +64,14 @@
 	d.news = make(chan struct{})
 }
 
-// answer is what a call is answered with: the whole list, or what is newer than a version.
+// answer is the body of an answer: the whole list, or the entries changed after a version.
 type answer struct {
 	Seq   int64   `json:"seq"`
 	Whole bool    `json:"whole"`
 	Hosts []Entry `json:"hosts"`
 }
 
-// newer is what there is for a call, and what is closed with the next change.
+// newer returns the answer to a call, and a channel that is closed with the next change.
 func (d *Discovery) newer(than int64, whole bool) (answer, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,7 +84,7 @@
 	return out, d.news
 }
 
-// ServeHTTP answers a call at once, or as soon as there is news within the time that it may be held.
+// ServeHTTP answers a call at once if there are changes, otherwise with the next change or after hold_ms.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.Begun.Add(1)
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
--- a/internal/lab/processes/fit.go
+++ b/internal/lab/processes/fit.go
@@ -6,20 +6,21 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Fit is a straight line through measured points, by least squares.
+// Fit is the least-squares line through measured points.
 type Fit struct {
 	Slope, Intercept float64
-	Error            float64 // standard error of the slope; NaN where there are under three points
+	Error            float64 // standard error of the slope; NaN with fewer than three points
 	Residual         float64 // standard deviation of the points about the line, in the unit of y
 	Points           int
-	Faster           bool // the last point lies far above the line through the others: it grows faster than linearly
+	Faster           bool // the last point lies far above the line through the others: growth is faster than linear
 }
 
-// What counts as far above: so many residuals of the others, and so much of the point itself. Where the others hardly grow
-// it is chance. A square is found over sizes that double; what grows as n log n is not.
+// The last point counts as far above the line through the others if it exceeds it by 4 residuals of the others and by a
+// quarter of its own value, provided that the slope of the others exceeds twice its standard error; otherwise the excess may
+// be chance. Over sizes that double this detects quadratic growth, but not n log n.
 const farResiduals, farShare = 4, 0.25
 
-// fit lays a line through points.
+// fit fits a line and checks for growth faster than linear.
 func fit(x, y []float64) Fit {
 	f := line(x, y)
 	if last := len(x) - 1; last > 2 {
@@ -46,5 +47,5 @@
 	return f
 }
 
-// At is the line's height.
+// At returns the value of the line at x.
 func (f Fit) At(x float64) float64 { return f.Intercept + f.Slope*x }
--- a/internal/lab/processes/front.go
+++ b/internal/lab/processes/front.go
@@ -17,19 +17,19 @@
 	"time"
 )
 
-// startPatience is how long a front may take to serve, also on a busy machine.
+// startPatience bounds each wait for a front, such as for its start, also on a busy machine.
 const startPatience = 30 * time.Second
 
-// Front is a process of the built program.
+// Front is a running process of the built program.
 type Front struct {
 	config config
-	path   string // of its configuration
+	path   string // of the configuration file
 	cmd    *exec.Cmd
 	log    *tail
 	ended  chan struct{}
 }
 
-// start starts a front and waits until it serves. Nothing listens at its address before.
+// start starts a front at a new address and waits until it serves.
 func (l *Lab) start(ctx context.Context, c config) (*Front, error) {
 	c.listen, c.control = ownAddress(), ownAddress()
 	f := &Front{config: c, path: filepath.Join(l.dir, fmt.Sprintf("front-%d.json", l.started.Add(1))), log: &tail{}, ended: make(chan struct{})}
@@ -38,7 +38,7 @@
 	}
 	f.cmd = exec.CommandContext(ctx, l.Program)
 	f.cmd.Env = append(append(os.Environ(), l.Env...), "RELAY_CONFIG="+f.path)
-	if c.traced { // a collection's line tells what is live on the heap
+	if c.traced { // the line of a garbage collection has the size of the live heap
 		f.cmd.Env = append(f.cmd.Env, "GODEBUG=gctrace=1")
 	}
 	f.cmd.Stdout, f.cmd.Stderr = f.log, f.log
@@ -56,7 +56,7 @@
 	return f, nil
 }
 
-// startAll starts fronts that differ by their numbers, and what edit makes of each. All are ended where one fails.
+// startAll starts fronts whose configurations differ by number and by edit. If one fails, all are killed.
 func (l *Lab) startAll(ctx context.Context, many int, c config, edit func(*config)) ([]*Front, error) {
 	fronts, errs := make([]*Front, many), make([]error, many)
 	var all sync.WaitGroup
@@ -84,16 +84,16 @@
 	}
 }
 
-// Kill ends the process at once.
+// Kill kills the process and waits until it has ended.
 func (f *Front) Kill() {
 	f.cmd.Process.Kill()
 	<-f.ended
 }
 
-// Usage is what the process has taken so far.
+// Usage returns the resources that the process has used so far.
 func (f *Front) Usage() (Usage, error) { return ReadUsage(f.cmd.Process.Pid) }
 
-// write puts the configuration into its file, whole at any time.
+// write replaces the configuration file atomically.
 func (f *Front) write() error {
 	text, err := f.config.text()
 	if err != nil {
@@ -105,7 +105,7 @@
 	return os.Rename(f.path+".new", f.path)
 }
 
-// follow has the front read its configuration anew, with another discovery.
+// follow changes the front's discovery and makes it reload its configuration by SIGHUP.
 func (f *Front) follow(discovery string) error {
 	f.config.discovery = discovery
 	if err := f.write(); err != nil {
@@ -114,7 +114,7 @@
 	return f.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// await waits for a condition of a front that nothing announces, while the process lives.
+// await polls a condition until it holds, the process ends or startPatience has passed.
 func (f *Front) await(ctx context.Context, holds func() bool) error {
 	ctx, end := context.WithTimeout(ctx, startPatience)
 	defer end()
@@ -123,7 +123,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-f.ended:
-			return fmt.Errorf("the process ended")
+			return fmt.Errorf("front process ended")
 		case <-time.After(2 * time.Millisecond):
 		}
 	}
@@ -139,7 +139,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// figure reads one of the figures that the front has for its operators, -1 where it does not tell.
+// figure reads a metric from the front's /stats, -1 if it is not available.
 func (f *Front) figure(name string) int64 {
 	c, err := net.DialTimeout("tcp", f.config.control, time.Second)
 	if err != nil {
@@ -157,7 +157,7 @@
 	return n
 }
 
-// tail keeps the end of what a process has written.
+// tail keeps the last tailBytes of a process's output.
 type tail struct {
 	mu   sync.Mutex
 	text []byte
@@ -181,7 +181,7 @@
 
 var collection = regexp.MustCompile(`\d+->\d+->(\d+) MB`)
 
-// live is what the last collection found in use on the heap, in bytes, to a megabyte; 0 before the first one.
+// live returns the live heap in bytes, in steps of 1 MiB, as of the last garbage collection; 0 before the first one.
 func (t *tail) live() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/lab/processes/heard.go
+++ b/internal/lab/processes/heard.go
@@ -7,7 +7,7 @@
 	"otterturn/internal/limits"
 )
 
-// heardRows are those of changes by the number of fronts.
+// heardRows returns the rows on changes by the number of fronts.
 func (l *Lab) heardRows(asked bool, bare float64, pushed, reread []heard) []Row {
 	askers := 0
 	if asked {
@@ -51,7 +51,7 @@
 	return rows
 }
 
-// listRows are those of the whole list by its length.
+// listRows returns the rows on the whole list by its length.
 func (l *Lab) listRows(all []heard) []Row {
 	var bytes, took []float64
 	for _, h := range all {
--- a/internal/lab/processes/idle.go
+++ b/internal/lab/processes/idle.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// startsUp is how long a front may take behind its start until nothing of it is seen in its processor time.
+// startsUp is the wait after the start of a front until its processor time is free of start-up work.
 const startsUp = 2 * time.Second
 
-// idle measures what control takes of a front that gets no requests, by the nodes on its list. It has the addresses of
-// as many fronts as the fleet has.
+// idle measures the cost of control in a front without requests, by the number of listed nodes. The front is configured with
+// as many peers as the full fleet has.
 func (l *Lab) idle(ctx context.Context) ([]Row, error) {
 	var rows []Row
 	for _, asked := range []bool{false, true} {
@@ -28,7 +28,7 @@
 func (l *Lab) idleBy(ctx context.Context, asked bool) ([]Row, error) {
 	all, errs := make([]quietly, len(l.Plan.Lists)), make([]error, len(l.Plan.Lists))
 	var wait sync.WaitGroup
-	for i, many := range l.Plan.Lists { // these wait for all of the time
+	for i, many := range l.Plan.Lists { // concurrently: the fronts wait nearly all of the time
 		wait.Go(func() { all[i], errs[i] = l.idleFront(ctx, asked, many) })
 	}
 	wait.Wait()
@@ -39,7 +39,7 @@
 	for i, q := range all {
 		processor = append(processor, float64(q.Processor.Microseconds())/q.seconds)
 		memory, switches, bytes = append(memory, float64(q.Resident)), append(switches, float64(q.Switches)/q.seconds), append(bytes, q.sent/q.seconds)
-		l.logf("idle, %d nodes listed, %s: %.3f%% of a core, %.1f MB, %.0f wakeups a second, %.0f bytes a second of discovery", l.Plan.Lists[i], mode(asked),
+		l.logf("idle, %d nodes listed, %s: %.3f%% of a core, %.1f MB, %.0f wakeups per second, %.0f bytes per second of discovery", l.Plan.Lists[i], mode(asked),
 			processor[i]/1e4, memory[i]/(1<<20), switches[i], bytes[i])
 	}
 	counts, sized := floats(l.Plan.Lists), sizes(l.Plan.Lists, "nodes listed")
@@ -68,14 +68,14 @@
 	return "pushed to an agent each"
 }
 
-// quietly is what a front took that had nothing to do.
+// quietly is the usage of an idle front.
 type quietly struct {
 	Usage
-	sent    float64 // bytes of discovery
+	sent    float64 // bytes that discovery sent
 	seconds float64
 }
 
-// idleFront watches a front that has nothing to do, and what discovery sends it.
+// idleFront measures an idle front and what discovery sends to it.
 func (l *Lab) idleFront(ctx context.Context, asked bool, many int) (quietly, error) {
 	list := listed(many)
 	d, err := startDiscovery(list)
@@ -102,7 +102,7 @@
 	return quietly{after.Since(before), float64(d.Sent.Load() - had), time.Since(began).Seconds()}, err
 }
 
-// elsewhere are addresses of so many fronts that are not there.
+// elsewhere returns many peer addresses without a listener.
 func elsewhere(many int) []string {
 	var out []string
 	for i := range many {
--- a/internal/lab/processes/lateness.go
+++ b/internal/lab/processes/lateness.go
@@ -7,13 +7,13 @@
 
 const (
 	lateTick = 5 * time.Millisecond
-	// lateMost is how late this process may wake up at most, in a run that is held against virtual time: half of the interval
-	// of a silent node's first probes.
+	// lateMost is the largest acceptable lateness of this process in a run that is compared with virtual time: half of the
+	// interval between the first probes of a silent node.
 	lateMost = 100 * time.Millisecond
 )
 
-// lateness tells how late the measuring process woke up at most, which has the stand-ins: on a busy machine nodes answer as
-// much later, and fronts take that for trouble.
+// lateness measures how late the measuring process woke up at most. The stand-ins run in this process: on a busy machine
+// nodes answer late by as much, which fronts take for node failures.
 type lateness struct {
 	most atomic.Int64
 	done chan struct{}
@@ -37,7 +37,7 @@
 	return l
 }
 
-// end stops watching and tells the most.
+// end stops the measurement and returns the largest lateness.
 func (l *lateness) end() time.Duration {
 	close(l.done)
 	return time.Duration(l.most.Load())
--- a/internal/lab/processes/memory.go
+++ b/internal/lab/processes/memory.go
@@ -9,20 +9,20 @@
 	"otterturn/internal/net/protocol"
 )
 
-// memoryNodes are the nodes behind the front whose memory is measured.
+// memoryNodes is the number of nodes when the memory of a front is measured.
 const memoryNodes = 16
 
-// heldPatience is what clients wait whose requests are held: longer than a measurement.
+// heldPatience is the maximum wait of clients whose requests the nodes hold: longer than a measurement.
 const heldPatience = 60 * time.Second
 
-// settle is how long a front may take to read what was sent to it.
+// settle is the time in which a front reads what was sent to it.
 const settle = 400 * time.Millisecond
 
-// kind is what client connections are about while memory is measured.
+// kind is a state of client connections for which memory is measured.
 type kind struct {
 	name string
-	held bool // the nodes hold what they get
-	full bool // each connection has a whole request, which stays open
+	held bool // the nodes don't answer attempts
+	full bool // each connection has one completely sent request, which stays open
 	do   func(ctx context.Context, f *Front, c *client, set protocol.Settings, shard int) error
 }
 
@@ -41,7 +41,7 @@
 	}},
 }
 
-// memory measures what a client connection takes of memory and descriptors, idle and busy.
+// memory measures the memory and descriptors of a client connection, idle and busy.
 func (l *Lab) memory(ctx context.Context) ([]Row, error) {
 	var rows []Row
 	for _, k := range kinds {
@@ -82,7 +82,8 @@
 	}, nil
 }
 
-// connected is a new front's usage with so many connections of a kind. Garbage of an earlier size is none of it.
+// connected returns the usage of a new front with many connections of a kind. A new front has no garbage from a measurement
+// with fewer connections.
 func (l *Lab) connected(ctx context.Context, k kind, many int) (Usage, error) {
 	nodes, err := startNodes(memoryNodes)
 	if err != nil {
@@ -114,7 +115,7 @@
 	if err != nil {
 		return Usage{}, err
 	}
-	if k.full { // all of them are whole requests
+	if k.full { // wait until the front has read all of the requests
 		if err := front.await(ctx, func() bool { return front.figure("in_flight") == int64(many) }); err != nil {
 			return Usage{}, err
 		}
@@ -126,10 +127,10 @@
 	return u, err
 }
 
-// reckonedEach is what limits.For reckons of memory for a connection, a body included.
+// reckonedEach is the memory that limits.For assumes per client connection, in bytes, a body included.
 const reckonedEach = 96 << 10
 
-// reckoned is what the limits allow by their own sums.
+// reckoned returns the rows that limits.For computes, without a measurement.
 func reckoned() []Row {
 	allowed := func(memoryMB, sockets int) limits.Limits {
 		return limits.For(limits.Site{MemoryMB: memoryMB, Sockets: sockets, Open: 1 << 20})
--- a/internal/lab/processes/meter.go
+++ b/internal/lab/processes/meter.go
@@ -9,29 +9,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// host is a loopback address that this process alone uses: a port that was given back there is taken by nobody else.
+// host returns a loopback address derived from the process id, so that no other process takes a port that was released.
 func host() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 128+pid>>16&0x3f, pid>>8&0xff, pid&0xff)
 }
 
-// Ports for fronts, which open them later: below those that the kernel hands out.
+// Range of ports for fronts, which listen on them later: below the kernel's ephemeral ports.
 const firstPort, lastPort = 12_000, 32_000
 
 var ports atomic.Int64
 
-// ownAddress is an address that this process gives to one front alone. It isn't tried here: a process that is started
-// meanwhile would have the trial's socket for a moment, and the front find its address taken.
+// ownAddress returns an address for one front. It isn't tested by listening on it: a process started at the same time would
+// inherit the socket for a moment, and the front would find its address in use.
 func ownAddress() string {
 	return fmt.Sprintf("%s:%d", host(), firstPort+ports.Add(1)%(lastPort-firstPort))
 }
 
-// meter counts connections, and the bytes that pass over them. A counter that is nil is not kept.
+// meter is a listener that counts connections and their bytes. Nil counters are skipped.
 type meter struct {
 	net.Listener
 	opened, open, sent, received *atomic.Int64
-	wire                         *atomic.Int64 // both directions with the heads of IP and TCP, of connections that have ended
-	wired                        *atomic.Bool  // and that began while this was so
+	wire                         *atomic.Int64 // bytes in both directions, IP and TCP headers included, of closed connections
+	wired                        *atomic.Bool  // only connections accepted while this is set count in wire
 }
 
 func add(to *atomic.Int64, n int) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// Accept counts a connection in.
+// Accept accepts a connection and counts it.
 func (m *meter) Accept() (net.Conn, error) {
 	c, err := m.Listener.Accept()
 	if err != nil {
@@ -70,7 +70,7 @@
 	return n, err
 }
 
-// Close counts the connection out, once.
+// Close closes the connection and updates the counters on the first call.
 func (c *meteredConn) Close() error {
 	if !c.closed.Swap(true) {
 		add(c.meter.open, -1)
@@ -82,13 +82,13 @@
 }
 
 const (
-	segmentHead   = 52 // bytes of IPv4 and TCP ahead of a segment, its time stamps included
-	lastSegments  = 2  // a connection's own close, and the other side's word on it
-	handshakeMore = 16 // bytes by which the two segments of a handshake are longer
+	segmentHead   = 52 // bytes of IPv4 and TCP headers per segment, TCP timestamps included
+	lastSegments  = 2  // the FIN of this side and its acknowledgment
+	handshakeMore = 16 // extra bytes of the two SYN segments of a handshake
 )
 
-// wireBytes is what a connection has taken in both directions, by the kernel's count of its segments; 0 where that is not
-// to be had. The segments of its end are added.
+// wireBytes returns the bytes of a connection in both directions, by the kernel's count of its segments and with the segments
+// of its close added; 0 if the count is not available.
 func wireBytes(c net.Conn) int64 {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
--- a/internal/lab/processes/nodes.go
+++ b/internal/lab/processes/nodes.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// Node is a stand-in that answers each request at once, and counts what comes. The model of a node's cores and queues
-// (package model) is not wanted here: what a front takes is measured, not what it gets.
+// Node is a stand-in that answers each request at once and counts its input. It does without the model of a node's cores and
+// queues (package model), because the cost of the front is measured, not the service that it gets.
 type Node struct {
 	Addr     string
-	Mute     atomic.Bool  // it takes connections and requests, and answers nothing
-	Holds    atomic.Bool  // it answers probes alone, and holds attempts
+	Mute     atomic.Bool  // the node accepts connections and requests but answers nothing
+	Holds    atomic.Bool  // the node answers probes but not attempts
 	Opened   atomic.Int64 // connections so far
 	Open     atomic.Int64 // connections now
-	Requests atomic.Int64 // attempts that came
-	Probes   atomic.Int64 // probes that came
-	Received atomic.Int64 // bytes that came
-	Wire     atomic.Int64 // bytes of connections that began while it was mute and have ended, both ways, with the heads of IP and TCP
+	Requests atomic.Int64 // attempts received
+	Probes   atomic.Int64 // probes received
+	Received atomic.Int64 // bytes received
+	Wire     atomic.Int64 // bytes of closed connections that began while Mute was set, both ways, IP and TCP headers included
 
-	work func(*http.Request) time.Duration // what an attempt takes, nil for nothing; set before any comes
+	work func(*http.Request) time.Duration // working time of an attempt, nil for none; set before the first attempt
 
 	mu     sync.Mutex
 	server *http.Server
-	seen   map[string]span // by the front's mark
+	seen   map[string]span // by the front's mark in request ids
 }
 
-// span is when the first and the last attempt of a front came.
+// span holds the times of a front's first and last attempt.
 type span struct{ first, last time.Time }
 
 // answerBytes is the size of each answer's body.
@@ -38,10 +38,10 @@
 
 var answerBody = make([]byte, answerBytes)
 
-// quiet is the log of servers whose clients' ways are no news.
+// quiet discards the log of a node's server: broken client connections are expected.
 var quiet = log.New(io.Discard, "", 0)
 
-// startNodes starts so many nodes, each with an address of its own.
+// startNodes starts many nodes at separate addresses.
 func startNodes(many int) ([]*Node, error) {
 	var nodes []*Node
 	for range many {
@@ -55,7 +55,7 @@
 	return nodes, nil
 }
 
-// begin begins the node's process, at the address that it had before.
+// begin starts the node's server, after a kill at the same address as before.
 func (n *Node) begin() error {
 	l, err := net.Listen("tcp", n.Addr)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// kill ends the node's process: its connections break, and new ones are refused.
+// kill stops the node's server: its connections break, and new ones are refused.
 func (n *Node) kill() {
 	n.mu.Lock()
 	server := n.server
@@ -84,7 +84,7 @@
 	}
 }
 
-// entries lists nodes, one for each shard.
+// entries returns the list entries of nodes; node i has shard i.
 func entries(nodes []*Node) []Entry {
 	var out []Entry
 	for i, n := range nodes {
@@ -93,7 +93,7 @@
 	return out
 }
 
-// listed are entries of so many nodes that are asked for nothing.
+// listed returns entries of many nodes without a listener, which get no requests.
 func listed(many int) []Entry {
 	var out []Entry
 	for i := range many {
@@ -118,7 +118,7 @@
 	n.answer(w, r, answerBody, n.Mute.Load() || n.Holds.Load())
 }
 
-// answer answers, or waits until the front gives up.
+// answer writes the body, or waits until the front ends the request if holds is set.
 func (n *Node) answer(w http.ResponseWriter, r *http.Request, body []byte, holds bool) {
 	if holds {
 		<-r.Context().Done()
@@ -138,7 +138,7 @@
 	n.seen[front] = s
 }
 
-// came tells when attempts of a front came, and whether any did.
+// came returns the times of a front's first and last attempt, and whether there was any.
 func (n *Node) came(front string) (span, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/processes/processes.go
+++ b/internal/lab/processes/processes.go
@@ -1,7 +1,7 @@
-// Package processes measures the built program: fronts that run as processes of their own on loopback, before stand-in
-// nodes and a stand-in discovery in the measuring process. What a front takes is read from /proc, so that no wait
-// of a busy machine is among it; caches and cores that others share still raise processor time. The
-// figures are laid on straight lines, which give what a front would take at the size of the whole fleet.
+// Package processes measures the built program: fronts run as separate processes on loopback, with stand-in nodes and a
+// stand-in discovery in the measuring process. The usage of a front is read from /proc, which excludes the time that threads
+// wait on a busy machine; shared caches and cores still raise processor time. Straight lines are fitted to the figures and
+// extrapolated to the size of the whole fleet.
 package processes
 
 import (
@@ -13,40 +13,40 @@
 	"time"
 )
 
-// The size that the project is laid out for.
+// The size for which the project is designed.
 const (
 	sizeFronts      = 1200
 	sizeNodes       = 1800
 	sizeZoneNodes   = 180
-	sizeConnections = 3667 // of clients, a front
-	sizeRate        = 708  // requests a second, a front
+	sizeConnections = 3667 // of clients, per front
+	sizeRate        = 708  // requests per second per front
 )
 
-// Budgets of a front, and of the services that it asks.
+// Budgets of a front and of the services that it calls.
 const (
 	budgetProcessor = 5.0             // percent of a core, for control
 	budgetMemory    = 256.0           // MB
-	budgetBytes     = 16.0            // KB a second, for control
-	budgetChange    = 4000.0          // milliseconds until a change is in force
-	budgetProbes    = 50.0            // a second at each silent node
-	budgetLines     = 14_000.0 * 4    // that a discovery bears in the time for a change, by the best figure of docs/fleet.md
-	budgetListBytes = budgetBytes * 4 // KB of a front in the time for a change
+	budgetBytes     = 16.0            // KB per second, for control
+	budgetChange    = 4000.0          // milliseconds until a change is in effect
+	budgetProbes    = 50.0            // per second at each silent node
+	budgetLines     = 14_000.0 * 4    // entries that a discovery can send in the 4 s of budgetChange, by the best figure of docs/fleet.md
+	budgetListBytes = budgetBytes * 4 // KB per front in the 4 s of budgetChange
 	budgetCore      = 100.0           // percent, of the one core that a front has for requests
 )
 
-// Plan says which sizes are measured.
+// Plan holds the sizes to measure.
 type Plan struct {
-	Rates       []float64     // requests a second, on one front
-	Nodes       int           // before that
-	Span        time.Duration // of each rate, and of what is watched while idle
-	Connections []int         // of clients, on one front
-	Fronts      []int         // that hear of a change, or share a silent node
-	Lists       []int         // nodes on the list
-	Silence     time.Duration // that a silent node is watched
-	Kept        int           // nodes to which a connection each is kept
+	Rates       []float64     // requests per second to one front
+	Nodes       int           // behind that front
+	Span        time.Duration // duration of each rate, and of the measurements of idle fronts
+	Connections []int         // of clients, to one front
+	Fronts      []int         // numbers of fronts for changes and for a silent node
+	Lists       []int         // numbers of nodes on the list
+	Silence     time.Duration // duration of the measurements of a silent node and of handshakes
+	Kept        int           // nodes to which one connection each is kept
 }
 
-// Full is the plan behind the page of figures.
+// Full returns the plan whose figures the page holds.
 func Full() Plan {
 	return Plan{
 		Rates: []float64{100, 200, 400, sizeRate, 1000}, Nodes: sizeZoneNodes, Span: 6 * time.Second,
@@ -55,24 +55,24 @@
 	}
 }
 
-// Lab runs measurements of one build.
+// Lab measures one build of the program.
 type Lab struct {
-	Program string   // the built otterturn
-	Env     []string // that it is started with, beside this process's
+	Program string   // path of the built otterturn
+	Env     []string // added to this process's environment
 	Plan    Plan
-	Log     io.Writer // hears what is measured as it goes
+	Log     io.Writer // receives results as they are measured
 
 	dir     string
 	started atomic.Int64
 }
 
-// Measure is one of the measurements, by its name.
+// Measure is a named measurement.
 type Measure struct {
 	Name string
 	run  func(*Lab, context.Context) ([]Row, error)
 }
 
-// Measures are all of them, in the order in which they are run.
+// Measures holds all measurements in the order in which they run.
 var Measures = []Measure{
 	{"requests", (*Lab).requests},
 	{"memory", (*Lab).memory},
@@ -83,8 +83,8 @@
 	{"compare", (*Lab).compare},
 }
 
-// Run runs the measures named, or all where none is, one after the other. What was measured before a failure is returned
-// with it.
+// Run runs the named measurements, or all if no name is given, in sequence. After a failure it returns the error with the rows
+// measured so far.
 func (l *Lab) Run(ctx context.Context, names ...string) ([]Row, error) {
 	dir, err := os.MkdirTemp("", "processes")
 	if err != nil {
@@ -112,10 +112,9 @@
 	return rows, nil
 }
 
-// logf tells a line of what is measured.
 func (l *Lab) logf(format string, values ...any) { fmt.Fprintf(l.Log, format+"\n", values...) }
 
-// rest waits, or until ctx ends.
+// rest waits for a time, or until ctx ends.
 func rest(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/lab/processes/processes_test.go
+++ b/internal/lab/processes/processes_test.go
@@ -14,7 +14,7 @@
 	"otterturn/internal/standin"
 )
 
-// asFront in the environment has the test's own binary be a front, as the built program is.
+// asFront is the environment variable that makes the test binary run as a front, like the built program.
 const asFront = "OTTERTURN_TEST_FRONT"
 
 func TestMain(m *testing.M) {
@@ -28,7 +28,7 @@
 	os.Exit(m.Run())
 }
 
-// lab is a laboratory of few sizes.
+// lab returns a Lab with few small sizes.
 func lab(t *testing.T) *Lab {
 	t.Helper()
 	return &Lab{
@@ -37,7 +37,7 @@
 	}
 }
 
-// logWriter hands lines to a test's log.
+// logWriter writes lines to the log of a test.
 type logWriter struct{ t *testing.T }
 
 func (w logWriter) Write(p []byte) (int, error) {
@@ -45,8 +45,8 @@
 	return len(p), nil
 }
 
-// Ten times as many requests take more processor time, though not ten times as much: a machine that is too slow for them
-// serves fewer.
+// Ten times the request rate takes more processor time. The test doesn't ask for ten times as much, because a slow machine
+// serves fewer requests than wanted.
 func TestRequestsTakeProcessorTime(t *testing.T) {
 	points, err := lab(t).rates(t.Context())
 	if err != nil {
@@ -54,16 +54,16 @@
 	}
 	few, many := points[0], points[1]
 	if few.served <= 0 || many.served < 2*few.served || many.processor < 1.5*few.processor {
-		t.Errorf("%+v and %+v", few, many)
+		t.Errorf("at 20 requests per second %+v, at 200 %+v", few, many)
 	}
 }
 
-// Connections with a request that is held take memory and a descriptor each.
+// Each connection with a held request takes memory and a descriptor.
 func TestConnectionsTakeMemoryAndDescriptors(t *testing.T) {
 	l, many := lab(t), 300
 	held := kinds[1]
 	if !held.held || !held.full {
-		t.Fatalf("%s: not of requests that are held", held.name)
+		t.Fatalf("%s: not the kind with held requests", held.name)
 	}
 	none, err := l.connected(t.Context(), held, 0)
 	if err != nil {
@@ -74,11 +74,11 @@
 		t.Fatal(err)
 	}
 	if each := (some.Resident - none.Resident) / int64(many); each < 4<<10 || some.Descriptors < none.Descriptors+many {
-		t.Errorf("%d bytes each, %d descriptors of %d", each, some.Descriptors, none.Descriptors)
+		t.Errorf("%d bytes per connection, %d descriptors with connections, %d without", each, some.Descriptors, none.Descriptors)
 	}
 }
 
-// A change brings the entries that changed, to each front; SIGHUP brings the whole list, to each front.
+// After a change discovery sends each front the changed entries; after SIGHUP it sends each front the whole list.
 func TestLinesOfAChange(t *testing.T) {
 	for _, asked := range []bool{false, true} {
 		const fronts, listed = 2, 30
@@ -87,12 +87,12 @@
 			t.Fatal(err)
 		}
 		if pushed.lines < 2*fronts || reread.lines < fronts*listed || reread.bytes < 5*pushed.bytes {
-			t.Errorf("asked %v: %+v, %+v", asked, pushed, reread)
+			t.Errorf("asked %v: change %+v, SIGHUP %+v", asked, pushed, reread)
 		}
 	}
 }
 
-// What one front sends another comes from the address by which that one knows it.
+// A relayed message arrives from the address that the recipient has for the sender.
 func TestRelayKeepsWhoSaidIt(t *testing.T) {
 	r, err := newRelay(3)
 	if err != nil {
@@ -117,10 +117,10 @@
 	text := make([]byte, 16)
 	n, from, err := last.ReadFrom(text)
 	if err != nil || string(text[:n]) != "hello" || from.String() != r.peers(2)[0] {
-		t.Errorf("%q from %v, %v: not %s", text[:n], from, err, r.peers(2)[0])
+		t.Errorf("received %q from %v, error %v; the sender's address is %s", text[:n], from, err, r.peers(2)[0])
 	}
 	if r.Messages.Load() != 1 || r.Bytes.Load() != int64(n) {
-		t.Errorf("%d messages, %d bytes", r.Messages.Load(), r.Bytes.Load())
+		t.Errorf("relay counted %d messages, %d bytes", r.Messages.Load(), r.Bytes.Load())
 	}
 }
 
@@ -128,23 +128,23 @@
 	x := []float64{1, 2, 3, 4}
 	straight := fit(x, []float64{5, 7, 9, 11})
 	if math.Abs(straight.Slope-2) > 1e-9 || math.Abs(straight.Intercept-3) > 1e-9 || straight.Error > 1e-9 || straight.Faster {
-		t.Errorf("%+v", straight)
+		t.Errorf("points on a line: %+v", straight)
 	}
 	rough := fit(x, []float64{1, 3, 3, 5.5})
 	if want := math.Sqrt(rough.Residual * rough.Residual / 5); math.Abs(rough.Slope-1.35) > 1e-9 || math.Abs(rough.Error-want) > 1e-9 {
-		t.Errorf("%+v", rough)
+		t.Errorf("points off a line: %+v", rough)
 	}
 	if !fit([]float64{1, 2, 3, 4, 8}, []float64{1, 2.01, 3, 4, 64}).Faster {
-		t.Error("a square was not found to grow faster")
+		t.Error("quadratic growth was not detected")
 	}
 }
 
-// Each named measure can be had, and one that fails says which it was.
+// Run accepts the name of a measurement, and the error of a failed one begins with its name.
 func TestMeasuresAreNamed(t *testing.T) {
 	ended, end := context.WithCancel(t.Context())
 	end()
 	l := &Lab{Program: "/nowhere/otterturn", Plan: Full(), Log: io.Discard}
 	if _, err := l.Run(ended, "requests"); err == nil || err.Error()[:9] != "requests:" {
-		t.Errorf("%v", err)
+		t.Errorf("error of a failed measurement: %v", err)
 	}
 }
--- a/internal/lab/processes/relay.go
+++ b/internal/lab/processes/relay.go
@@ -7,19 +7,19 @@
 	"sync/atomic"
 )
 
-// longestMessage is room for a message between fronts.
+// longestMessage is the buffer size for a message between fronts, in bytes.
 const longestMessage = 2048
 
-// relay passes messages between fronts on, and counts them. Each front knows another one by a socket of the relay's, which
-// is that pair's alone.
+// relay forwards messages between fronts and counts them. It has one socket for each ordered pair of fronts, whose address
+// stands for the one front in the other's list of peers.
 type relay struct {
-	fronts   []netip.AddrPort // where each hears messages
-	sockets  [][]*net.UDPConn // by who hears, then by who seems to say it
+	fronts   []netip.AddrPort // addresses at which fronts receive messages
+	sockets  [][]*net.UDPConn // indexed by the front that has the address as a peer, then by the front that it stands for
 	Messages atomic.Int64
 	Bytes    atomic.Int64
 }
 
-// newRelay opens the sockets for so many fronts.
+// newRelay opens the sockets for many fronts and starts forwarding.
 func newRelay(many int) (*relay, error) {
 	r := &relay{sockets: make([][]*net.UDPConn, many)}
 	for i := range many {
@@ -41,7 +41,7 @@
 	return r, nil
 }
 
-// peers are the addresses by which a front knows all: its own, and the relay's in the place of the others'.
+// peers returns the list of peers of a front: its own address, and the relay's addresses in place of the others.
 func (r *relay) peers(of int) []string {
 	var out []string
 	for j, c := range r.sockets[of] {
@@ -54,7 +54,7 @@
 	return out
 }
 
-// pass hands on what a front says to another, until the relay is closed.
+// pass forwards messages from one front to another until the relay is closed.
 func (r *relay) pass(from, to int) {
 	buffer := make([]byte, longestMessage)
 	for {
@@ -64,7 +64,7 @@
 		}
 		r.Messages.Add(1)
 		r.Bytes.Add(int64(n))
-		r.sockets[to][from].WriteToUDPAddrPort(buffer[:n], r.fronts[to]) // messages may be lost
+		r.sockets[to][from].WriteToUDPAddrPort(buffer[:n], r.fronts[to]) // errors are ignored: messages may be lost
 	}
 }
 
--- a/internal/lab/processes/report.go
+++ b/internal/lab/processes/report.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// Row is a measure: the line through its points, and what it comes to at the size of the whole fleet.
+// Row is a result: the line through the measured points, and its value at the size of the whole fleet.
 type Row struct {
 	Measure string
-	Sizes   string  // that were measured
-	Fit     Fit     // without points where a figure was measured once, at size
+	Sizes   string  // measured sizes
+	Fit     Fit     // without points if the value was measured once, at the size of the fleet
 	Unit    string  // of the slope
-	Value   float64 // at size
+	Value   float64 // at the size of the fleet
 	In      string  // unit of the value and of the budget
 	Budget  float64 // 0 for none
 	Note    string
 }
 
-// Ratio is the value's share of its budget, 0 where there is none.
+// Ratio returns the value divided by its budget, 0 without a budget.
 func (r Row) Ratio() float64 {
 	if r.Budget == 0 {
 		return 0
@@ -27,10 +27,10 @@
 	return r.Value / r.Budget
 }
 
-// columns are the table's heads.
+// columns holds the headings of the table.
 var columns = []string{"measure", "sizes", "slope", "residual", "at 1,200 x 1,800", "budget", "ratio", "note"}
 
-// cells are a row as it is written.
+// cells returns the texts of a row's cells.
 func (r Row) cells() []string {
 	slope, residual, budget, ratio := "measured at size", "", "none", ""
 	if r.Fit.Points > 0 {
@@ -46,7 +46,7 @@
 	return []string{r.Measure, r.Sizes, slope, residual, short(r.Value) + " " + r.In, budget, ratio, r.Note}
 }
 
-// short writes a number to three figures.
+// short formats a number with three significant digits, from 100 as an integer.
 func short(v float64) string {
 	if math.IsNaN(v) {
 		return "?"
@@ -65,7 +65,7 @@
 	}
 }
 
-// Text writes rows for a screen.
+// Text writes rows for a terminal.
 func Text(out io.Writer, rows []Row) {
 	for _, r := range rows {
 		c := r.cells()
@@ -76,7 +76,7 @@
 	}
 }
 
-// Worst is the line of the row that is furthest over its budget.
+// Worst describes the row with the largest ratio to its budget.
 func Worst(rows []Row) string {
 	worst := Row{}
 	for _, r := range rows {
@@ -90,7 +90,7 @@
 	return fmt.Sprintf("worst ratio: %s, %s: %s %s of %s", short(worst.Ratio()), worst.Measure, short(worst.Value), worst.In, short(worst.Budget))
 }
 
-// sizes writes what was measured.
+// sizes formats the measured sizes.
 func sizes[T any](all []T, of string) string {
 	var words []string
 	for _, v := range all {
@@ -99,7 +99,7 @@
 	return strings.Join(words, ", ") + " " + of
 }
 
-// floats are numbers for a fit.
+// floats converts numbers for a fit.
 func floats[T int | int64 | float64](all []T) []float64 {
 	var out []float64
 	for _, v := range all {
@@ -119,7 +119,7 @@
 
 `
 
-// Page writes rows as the page of figures. load tells how busy the machine was.
+// Page writes rows as the page of figures. load describes how busy the machine was.
 func Page(out io.Writer, rows []Row, load string) {
 	fmt.Fprintf(out, "%s%s\n\n", pageHead, load)
 	Markdown(out, rows)
--- a/internal/lab/processes/requests.go
+++ b/internal/lab/processes/requests.go
@@ -8,7 +8,7 @@
 	"otterturn/internal/lab/load"
 )
 
-// requests measures the processor time of a request: one front gets some requests a second after the other.
+// requests measures the processor time of a request: one front is loaded at several rates in sequence.
 func (l *Lab) requests(ctx context.Context) ([]Row, error) {
 	points, err := l.rates(ctx)
 	if err != nil {
@@ -33,17 +33,17 @@
 	}, nil
 }
 
-// point is what a front took at one rate.
+// point is the usage of a front at one request rate.
 type point struct {
-	wanted    float64 // requests a second
-	served    float64 // and that were served
-	processor float64 // microseconds of it a second
+	wanted    float64 // requests per second
+	served    float64 // requests per second that were served
+	processor float64 // microseconds of processor time per second
 }
 
-// most is the share of what is wanted that has to be served for a point to count as at its rate.
+// most is the share of the wanted rate that has to be served for a point to be reliable.
 const most = 0.95
 
-// short tells where fewer were served than wanted.
+// short returns a remark if too few of the wanted requests were served.
 func (p point) short() string {
 	if p.served >= most*p.wanted {
 		return ""
@@ -51,14 +51,14 @@
 	return fmt.Sprintf("; only %.0f%% of the wanted rate came about on a busy machine: not to be relied on", 100*p.served/p.wanted)
 }
 
-// rates has one front get each rate of the plan.
+// rates measures one front at each rate of the plan.
 func (l *Lab) rates(ctx context.Context) ([]point, error) {
 	front, nodes, end, err := l.beforeNodes(ctx, l.Plan.Nodes)
 	if err != nil {
 		return nil, err
 	}
 	defer end()
-	if _, err := front.ask(ctx, l.Plan.Rates[len(l.Plan.Rates)-1], l.Plan.Span/3, len(nodes)); err != nil { // heap and connections come up
+	if _, err := front.ask(ctx, l.Plan.Rates[len(l.Plan.Rates)-1], l.Plan.Span/3, len(nodes)); err != nil { // warm-up: the heap grows and connections open
 		return nil, err
 	}
 	var points []point
@@ -72,7 +72,7 @@
 	return points, nil
 }
 
-// rate has a front get requests for a while.
+// rate measures a front at one request rate.
 func (l *Lab) rate(ctx context.Context, front *Front, rate float64, span time.Duration, shards int) (point, error) {
 	before, err := front.Usage()
 	if err != nil {
@@ -87,12 +87,12 @@
 	seconds := time.Since(began).Seconds()
 	taken := after.Since(before)
 	out := point{wanted: rate, served: float64(p.Ended[load.Served]) / seconds, processor: float64(taken.Processor.Microseconds()) / seconds}
-	l.logf("%.0f requests a second wanted before %d nodes: %.0f served a second, %d refused, %d failed; %.2f%% of a core, %.0f us a request; %.1f MB",
+	l.logf("%.0f requests per second wanted, %d nodes: %.0f served per second, %d refused, %d failed; %.2f%% of a core, %.0f us per request; %.1f MB",
 		rate, shards, out.served, p.Ended[load.Refused], p.Ended[load.Failed], out.processor/1e4, out.processor/out.served, megabytes(after.Resident))
 	return out, err
 }
 
-// beforeNodes starts so many nodes and a front with wide limits before them; end ends all of them.
+// beforeNodes starts many nodes and a front with ample limits that uses them; end stops all of them.
 func (l *Lab) beforeNodes(ctx context.Context, many int) (front *Front, nodes []*Node, end func(), err error) {
 	nodes, err = startNodes(many)
 	if err != nil {
@@ -109,7 +109,7 @@
 	}, nil
 }
 
-// before starts one front before nodes, with a discovery that has the same list.
+// before starts one front that uses nodes, and a discovery with the same list.
 func (l *Lab) before(ctx context.Context, nodes []Entry, memoryMB, sockets int) (*Front, func(), error) {
 	d, err := startDiscovery(nodes)
 	if err != nil {
--- a/internal/lab/processes/scenario.go
+++ b/internal/lab/processes/scenario.go
@@ -11,14 +11,15 @@
 	"otterturn/internal/net/protocol"
 )
 
-// Scenario is a small case that real and hollow fronts can both play: nodes with a shard each, all in one zone, and after
-// three seconds an event at one of them. Requests have one to three units, come at random times and go to all shards alike.
+// Scenario is a small case that both real and hollow fronts can run: nodes with one shard each, all in one zone, and an event
+// at one of them after three seconds. Requests have one to three units, come at random times and are spread evenly over all
+// shards.
 type Scenario struct {
 	Name   string
 	Fronts int
 	Nodes  int
-	Rate   float64       // requests a second of each front
-	Span   time.Duration // from the event on
+	Rate   float64       // requests per second per front
+	Span   time.Duration // time measured, from the event on
 	Event  Happening
 }
 
@@ -27,49 +28,49 @@
 
 // The kinds of Happening.
 const (
-	FallsSilent Happening = iota // it takes connections and requests, and answers nothing; the list does not tell
-	BeginsAnew                   // its process ends, and begins anew, cold, a second later, as the list tells then
+	FallsSilent Happening = iota // the node accepts connections and requests but answers nothing; discovery doesn't report it
+	BeginsAnew                   // the node's process ends and starts again a second later as a cold node; discovery reports the new start
 )
 
-// Scenarios are those by which both are held against each other. Each pair of front and node has more requests than at the
-// size of the fleet, so that chance tells less.
+// Scenarios holds the scenarios in which real and hollow fronts are compared. Each pair of front and node has more requests
+// than at the size of the fleet, which makes the results less random.
 var Scenarios = []Scenario{
 	{"a node falls silent", 8, 12, 120, 12 * time.Second, FallsSilent},
 	{"a node begins anew", 8, 12, 120, 8 * time.Second, BeginsAnew},
 }
 
-// Ahead of the event clients ask for so long; a dead process begins anew after so long.
+// Time of load before the event, and time from the end of a node's process to its restart.
 const (
 	scenarioWarm = 3 * time.Second
 	deadFor      = time.Second
 )
 
-// What requests of a scenario cost and how long their clients wait.
+// Cost of requests in a scenario and the maximum wait of their clients.
 const (
 	scenarioUnits    = 3
-	unitTime         = 5 * time.Millisecond // of a core; each request has one
+	unitTime         = 5 * time.Millisecond // processor time per unit; each request has a core to itself
 	scenarioPatience = 2500 * time.Millisecond
 	coldFrom         = 0.2
 	ramp             = 17 * time.Second
 )
 
-// Outcome is what one front sent from the event on, on the mean of all.
+// Outcome is what a front sent from the event on, as the mean over all fronts.
 type Outcome struct {
-	Probes       float64 // at the node that the event is about
+	Probes       float64 // at the node of the event
 	Attempts     float64 // at that node
 	Messages     float64 // to other fronts
-	MessageBytes float64 // of these, without heads of UDP
-	Served       float64 // requests, those ahead of the event included
+	MessageBytes float64 // of these, without UDP headers
+	Served       float64 // requests, those before the event included
 	Refused      float64
 	Failed       float64
 }
 
 func (o Outcome) String() string {
-	return fmt.Sprintf("a front: %.1f probes, %.1f attempts, %.1f messages of %.0f bytes in all; %.0f served, %.0f refused, %.1f failed",
+	return fmt.Sprintf("per front: %.1f probes, %.1f attempts, %.1f messages of %.0f bytes in total; %.0f served, %.0f refused, %.1f failed",
 		o.Probes, o.Attempts, o.Messages, o.MessageBytes, o.Served, o.Refused, o.Failed)
 }
 
-// Play plays a scenario with real processes.
+// Play runs a scenario with real processes.
 func (l *Lab) Play(ctx context.Context, s Scenario) (Outcome, error) {
 	nodes, err := startNodes(s.Nodes)
 	if err != nil {
@@ -77,7 +78,7 @@
 	}
 	defer closeNodes(nodes)
 	stage := &stage{scenario: s, nodes: nodes, list: entries(nodes)}
-	for i := range stage.list { // names as long as the hollow fleet's
+	for i := range stage.list { // names as long as those of the hollow fronts' nodes, so that messages have equal lengths
 		stage.list[i].Host, stage.list[i].Site = fmt.Sprintf("storage-%04d.zone-00.region-0", i), zones[0]
 	}
 	if stage.discovery, err = startDiscovery(stage.list); err != nil {
@@ -102,7 +103,7 @@
 	return stage.play(ctx)
 }
 
-// stage is a scenario that is played.
+// stage is a run of a scenario.
 type stage struct {
 	scenario  Scenario
 	nodes     []*Node
@@ -110,10 +111,10 @@
 	discovery *Discovery
 	relay     *relay
 	fronts    []*Front
-	cold      atomic.Pointer[time.Time] // when the node began anew, nil before
+	cold      atomic.Pointer[time.Time] // when the node was restarted, nil before
 }
 
-// play has clients ask ahead of the event and behind it, without a pause, and counts from the event on.
+// play sends requests without a pause before and after the event, and counts from the event on.
 func (s *stage) play(ctx context.Context) (Outcome, error) {
 	set, err := s.fronts[0].config.settings()
 	if err != nil {
@@ -150,7 +151,7 @@
 	return out, ended.err
 }
 
-// happen has the event happen, and lets the scenario's time pass.
+// happen triggers the event and waits for the rest of the scenario's time.
 func (s *stage) happen(ctx context.Context) error {
 	node, began := s.nodes[0], time.Now()
 	switch s.scenario.Event {
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// takes is how long a node works on a request, which has a core of its own.
+// takes returns the time that a node works on a request, with a core to itself.
 func (s *stage) takes(r *http.Request, set protocol.Settings, n *Node) time.Duration {
 	m, err := protocol.ParseRequest(r, set)
 	if err != nil {
@@ -185,7 +186,7 @@
 	return time.Duration(m.Units * float64(unitTime) / share)
 }
 
-// count is what a front has sent so far, on the mean.
+// count returns what a front has sent so far, as the mean over all fronts.
 func (s *stage) count() Outcome {
 	n := float64(len(s.fronts))
 	return Outcome{
--- a/internal/lab/processes/silent.go
+++ b/internal/lab/processes/silent.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	silentNodes = 4                                           // one of them falls silent
-	silentRate  = 40.0                                        // requests a second of each front
-	pairRate    = silentNodes * sizeRate / float64(sizeNodes) // that of a front where each pair has what it has at size
+	silentNodes = 4                                           // one of them becomes silent
+	silentRate  = 40.0                                        // requests per second per front
+	pairRate    = silentNodes * sizeRate / float64(sizeNodes) // requests per second per front at which each pair of front and node has the rate of the full fleet
 	warmUp      = 2 * time.Second
 )
 
-// silence is what fronts send to a node that takes connections and answers nothing.
+// silence is what fronts send to a node that accepts connections and answers nothing.
 type silence struct {
 	fronts                          int
 	seconds                         float64
 	probes, attempts, bytes, opened int64
-	wire                            int64 // both ways, with the heads of IP and TCP, of connections that began and ended meanwhile
-	peak                            int64 // probes in the second that had most
+	wire                            int64 // both ways, IP and TCP headers included, of connections that began and ended in that time
+	peak                            int64 // most probes in any second
 }
 
-// silent measures probes and attempts at a node that falls silent, by the number of fronts: at a rate at which all fronts
-// find out at once, and at that of the whole fleet.
+// silent measures probes and attempts at a node that becomes silent, by the number of fronts: at a rate at which all fronts
+// detect it at once, and at the rate of the whole fleet.
 func (l *Lab) silent(ctx context.Context) ([]Row, error) {
 	var rows []Row
 	for _, rate := range []float64{silentRate, pairRate} {
 		all, errs := make([]silence, len(l.Plan.Fronts)), make([]error, len(l.Plan.Fronts))
 		var wait sync.WaitGroup
-		for i, many := range l.Plan.Fronts { // these wait for most of the time
+		for i, many := range l.Plan.Fronts { // concurrently: the fronts wait most of the time
 			wait.Go(func() { all[i], errs[i] = l.silentBefore(ctx, many, rate) })
 		}
 		wait.Wait()
@@ -46,7 +46,7 @@
 func (l *Lab) silentRows(all []silence, rate float64) []Row {
 	var probes, peaks, attempts, bytes, opened, wire []float64
 	for _, s := range all {
-		l.logf("%d fronts of %s requests a second, a node silent for %.0f s: %d probes, %d in one second, %d attempts, %d connections, %d bytes came, %d on the wire",
+		l.logf("%d fronts, %s requests per second each, a node silent for %.0f s: %d probes, at most %d in one second, %d attempts, %d connections, %d bytes received, %d on the wire",
 			s.fronts, short(rate), s.seconds, s.probes, s.peak, s.attempts, s.opened, s.bytes, s.wire)
 		probes, peaks = append(probes, float64(s.probes)/s.seconds), append(peaks, float64(s.peak))
 		opened, wire = append(opened, float64(s.opened)), append(wire, float64(s.wire))
@@ -54,7 +54,7 @@
 	}
 	counts := floats(l.Plan.Fronts)
 	sized, each := sizes(l.Plan.Fronts, "fronts"), fmt.Sprintf(", %s requests a second a pair", short(rate/silentNodes))
-	budget := func(of float64) float64 { // more requests than at size ask for more probes: these are held against the others
+	budget := func(of float64) float64 { // a rate above that of the full fleet causes more probes, so the budget doesn't apply
 		if rate > pairRate {
 			return 0
 		}
@@ -87,7 +87,7 @@
 	}
 }
 
-// silentBefore has fronts serve before some nodes, one of which falls silent.
+// silentBefore starts fronts and nodes and measures them while one node is silent.
 func (l *Lab) silentBefore(ctx context.Context, many int, rate float64) (silence, error) {
 	nodes, err := startNodes(silentNodes)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return l.watchSilence(ctx, fronts, nodes, rate)
 }
 
-// watchSilence has the first node fall silent under requests, and counts what comes to it.
+// watchSilence makes the first node silent under load and counts what it receives.
 func (l *Lab) watchSilence(ctx context.Context, fronts []*Front, nodes []*Node, rate float64) (silence, error) {
 	asks, end := context.WithTimeout(ctx, changesFor)
 	defer end()
@@ -136,7 +136,7 @@
 	out.bytes += mute.Received.Load()
 	out.opened += mute.Opened.Load()
 	out.wire += mute.Wire.Load()
-	out.seconds = time.Since(began).Seconds() // as far as bytes go, what is out at the end is not among it
+	out.seconds = time.Since(began).Seconds() // the bytes of connections still open at the end are not counted in wire
 	end()
 	return out, <-done
 }
--- a/internal/lab/processes/traffic.go
+++ b/internal/lab/processes/traffic.go
@@ -14,22 +14,22 @@
 	"otterturn/scheduler"
 )
 
-// mostOpen bounds the requests of one load that are open at once.
+// mostOpen bounds the open requests of one load.
 const mostOpen = 4096
 
-// sent numbers requests, whose ids have to be their own.
+// sent counts requests, which makes their ids unique.
 var sent atomic.Int64
 
-// mark names a front in the ids of the requests that it gets.
+// mark returns the prefix of the ids of the requests sent to the front.
 func (f *Front) mark() string { return fmt.Sprintf("f%d", f.config.number) }
 
-// frontOf reads a front's mark from an attempt.
+// frontOf returns the mark of the front that sent an attempt.
 func frontOf(r *http.Request) string {
 	mark, _, _ := strings.Cut(r.Header.Get("X-Correlation-Id"), "-")
 	return mark
 }
 
-// request is one of a unit for a shard.
+// request returns a request of one unit for a shard.
 func (f *Front) request(set protocol.Settings, class, shard int, piece uint64) scheduler.Request {
 	return scheduler.Request{
 		ID: fmt.Sprintf("%s-%d-%d", f.mark(), time.Now().UnixNano(), sent.Add(1)), Class: class,
@@ -38,10 +38,10 @@
 	}
 }
 
-// volumes are so many as are asked for.
+// volumes is the number of volumes that requests use.
 const volumes = 64
 
-// ask has a front get requests, open-loop, for shards that are drawn from the first ones.
+// ask sends an open-loop load to a front, for random shards below the given number.
 func (f *Front) ask(ctx context.Context, rate float64, span time.Duration, shards int) (load.Progress, error) {
 	set, err := f.config.settings()
 	if err != nil {
@@ -60,7 +60,7 @@
 	return load.Run(ctx, settings, send, func(load.Progress) {}), nil
 }
 
-// askAll has all fronts get the same, at once.
+// askAll sends the same load to all fronts concurrently.
 func askAll(ctx context.Context, fronts []*Front, rate float64, span time.Duration, shards int) ([]load.Progress, error) {
 	type outcome struct {
 		at       int
--- a/internal/lab/processes/usage.go
+++ b/internal/lab/processes/usage.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Usage is what a process has taken, as /proc tells.
+// Usage is the resource usage of a process, as read from /proc.
 type Usage struct {
-	Processor   time.Duration // user and system time since its start; on a busy machine no wait is among it
-	Resident    int64         // bytes, shared pages of the program's file included
-	Anonymous   int64         // bytes of these that no file backs: heap, stacks and what the run time keeps
+	Processor   time.Duration // user and system time since its start, without time spent waiting for a core
+	Resident    int64         // bytes, with shared pages of the executable
+	Anonymous   int64         // bytes of these without a backing file: heap, stacks and memory of the Go runtime
 	Descriptors int
 	Threads     int
-	Switches    int64 // times that a thread went to sleep by itself since the start
+	Switches    int64 // voluntary context switches of all threads since the start
 }
 
-// Since is what was taken since an earlier reading. Memory, descriptors and threads are those of now.
+// Since returns the processor time and switches since an earlier reading. Memory, descriptors and threads stay as read now.
 func (u Usage) Since(before Usage) Usage {
 	u.Processor -= before.Processor
 	u.Switches -= before.Switches
@@ -28,8 +28,8 @@
 }
 
 // ReadUsage reads a process's usage from /proc. Processor time is summed over its threads, in nanoseconds from schedstat:
-// stat counts in ticks of 10 ms, which is what an idle front takes in some seconds. A thread that ended is not counted;
-// the run time ends none of its own.
+// stat counts in ticks of 10 ms, as much as an idle front takes in several seconds. Threads that have ended are not counted;
+// the Go runtime ends none of its own.
 func ReadUsage(pid int) (Usage, error) {
 	var u Usage
 	memory, err := os.ReadFile(fmt.Sprintf("/proc/%d/smaps_rollup", pid))
@@ -44,7 +44,7 @@
 	return u, errors.Join(err1, err2, err3, u.addThreads(pid))
 }
 
-// addThreads adds up the processor time and the sleeps of all threads.
+// addThreads adds the processor time and the voluntary context switches of all threads.
 func (u *Usage) addThreads(pid int) error {
 	folder := fmt.Sprintf("/proc/%d/task", pid)
 	threads, err := os.ReadDir(folder)
@@ -59,7 +59,7 @@
 		}
 		nanoseconds, err := strconv.ParseInt(strings.Fields(string(text))[0], 10, 64)
 		if err != nil {
-			return fmt.Errorf("schedstat: %w", err)
+			return fmt.Errorf("processor time in schedstat: %w", err)
 		}
 		u.Processor += time.Duration(nanoseconds)
 		status, err := os.ReadFile(folder + "/" + t.Name() + "/status")
@@ -80,7 +80,7 @@
 	return n << 10, err
 }
 
-// field reads the number behind a name that begins a line.
+// field reads the number that follows a name at the start of a line.
 func field(text []byte, name string) (int64, error) {
 	for line := range bytes.Lines(text) {
 		words := strings.Fields(string(line))
@@ -88,5 +88,5 @@
 			return strconv.ParseInt(words[1], 10, 64)
 		}
 	}
-	return 0, fmt.Errorf("/proc: no %s", name)
+	return 0, fmt.Errorf("/proc: field %s is missing", name)
 }
--- a/internal/lab/processes/whole.go
+++ b/internal/lab/processes/whole.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// rounds are the requests that each client of a whole front has.
+// rounds is the number of requests per client when a front is measured at full size.
 const rounds = 3
 
-// whole measures a front at its size: all client connections, each with some requests behind it, before all nodes, to
-// which a connection each is kept.
+// whole measures a front at full size: with all client connections, each after some requests, and with one kept connection to
+// each of all nodes.
 func (l *Lab) whole(ctx context.Context) ([]Row, error) {
 	front, nodes, end, err := l.beforeNodes(ctx, l.Plan.Kept)
 	if err != nil {
