--- a/internal/lab/processes/beside_test.go
+++ b/internal/lab/processes/beside_test.go
@@ -8,30 +8,30 @@
 )
 
 // Hollow fronts support the event of each scenario and send the traffic that it causes: probes or messages.
-func TestScenariosAreHadHollow(t *testing.T) {
+func TestHollowFrontsRunEachScenario(t *testing.T) {
 	for _, s := range Scenarios {
 		s.Fronts, s.Rate = 3, 60
-		all, err := playHollow(s, 1)
+		all, err := runHollow(s, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, p := range all {
-			if s.Event == FallsSilent && p.Probes == 0 || s.Event == BeginsAnew && (p.Messages == 0 || p.MessageBytes < p.Messages) {
+			if s.Event == BecomesSilent && p.Probes == 0 || s.Event == Restarts && (p.Messages == 0 || p.MessageBytes < p.Messages) {
 				t.Errorf("%s: hollow fronts sent no traffic for the event: %+v", s.Name, p)
 			}
 		}
 	}
 }
 
-func TestAgreementIsATenth(t *testing.T) {
+func TestAgreementAllowsTenPercentDifference(t *testing.T) {
 	all := []hollow.PerFront{{Probes: 9}, {Probes: 11}}
 	for real, agree := range map[float64]bool{10: true, 10.9: true, 11.2: false, 8.8: false, 0: false} {
-		text := beside(real, all, func(p hollow.PerFront) float64 { return p.Probes })
+		text := describeAgreement(real, all, func(p hollow.PerFront) float64 { return p.Probes })
 		if strings.Contains(text, "agree") != agree {
 			t.Errorf("%v compared with 9 and 11: %s", real, text)
 		}
 	}
-	if text := beside(1, []hollow.PerFront{{}, {}}, func(p hollow.PerFront) float64 { return p.Probes }); strings.Contains(text, "agree") {
+	if text := describeAgreement(1, []hollow.PerFront{{}, {}}, func(p hollow.PerFront) float64 { return p.Probes }); strings.Contains(text, "agree") {
 		t.Errorf("1 compared with a mean of 0: %s", text)
 	}
 }
--- a/internal/lab/processes/changes.go
+++ b/internal/lab/processes/changes.go
@@ -9,57 +9,57 @@
 )
 
 const (
-	probeRate    = 200.0                  // maximum requests per second per front; they show to 5 ms when a change takes effect
-	probeSum     = 1600.0                 // and of all fronts: more would load the machine and distort the figures
-	changesFor   = 60 * time.Second       // maximum duration of the requests
-	afterwards   = 300 * time.Millisecond // wait after a change, to see the last requests at the former node
-	smallestList = 112
+	observationRate = 200.0                  // maximum requests per second per front; they show to 5 ms when a change takes effect
+	maxTotalRate    = 1600.0                 // and of all fronts: more would load the machine and distort the figures
+	maxLoadTime     = 60 * time.Second       // maximum duration of the requests
+	lastRequestWait = 300 * time.Millisecond // wait after a change, to see the last requests at the former node
+	baseListLength  = 112
 )
 
-// heard is the cost of a change of the endpoint list.
-type heard struct {
-	fronts, listed int
-	inForce        []float64 // milliseconds until the first request at the new node, per front
-	former         []float64 // milliseconds until the last request at the former node, per front
-	calls, lines   int64     // calls that discovery answered, and entries in the answers
-	bytes          int64
+// changeCost is the cost of a change of the endpoint list.
+type changeCost struct {
+	fronts, listedNodes int
+	newNodeMs           []float64 // milliseconds until the first request at the new node, per front
+	oldNodeMs           []float64 // milliseconds until the last request at the former node, per front
+	calls, entries      int64     // calls that discovery answered, and entries in the answers
+	bytes               int64
 }
 
-// changes measures how long a change takes until it is in effect at all fronts, and what discovery sends for it.
-func (l *Lab) changes(ctx context.Context) ([]Row, error) {
+// measureChanges measures how long a change takes until it is in effect at all fronts, and what discovery sends for it.
+func (l *Lab) measureChanges(ctx context.Context) ([]Row, error) {
 	var rows []Row
-	bare := 0.0 // milliseconds after SIGHUP with agents, where no front delays the start of its watch
-	for _, asked := range []bool{false, true} {
-		var pushed, reread []heard
-		for _, many := range l.Plan.Fronts {
-			p, r, err := l.change(ctx, asked, many, smallestList)
+	agentReloadMs := 0.0 // milliseconds after SIGHUP with agents, where no front delays the start of its watch
+	for _, onRequest := range []bool{false, true} {
+		var pushed, reloaded []changeCost
+		for _, count := range l.Plan.Fronts {
+			p, r, err := l.measureChange(ctx, onRequest, count, baseListLength)
 			if err != nil {
 				return rows, err
 			}
-			pushed, reread = append(pushed, p), append(reread, r)
+			pushed, reloaded = append(pushed, p), append(reloaded, r)
 		}
-		if !asked {
-			bare = slices.Max(reread[len(reread)-1].inForce)
+		if !onRequest {
+			agentReloadMs = slices.Max(reloaded[len(reloaded)-1].newNodeMs)
 		}
-		rows = append(rows, l.heardRows(asked, bare, pushed, reread)...)
+		rows = append(rows, l.changeRows(onRequest, agentReloadMs, pushed, reloaded)...)
 	}
-	var sized []heard
+	var byLength []changeCost
 	for _, listed := range l.Plan.Lists {
-		_, r, err := l.change(ctx, false, 1, listed)
+		_, r, err := l.measureChange(ctx, false, 1, listed)
 		if err != nil {
 			return rows, err
 		}
-		sized = append(sized, r)
+		byLength = append(byLength, r)
 	}
-	return append(rows, l.listRows(sized)...), nil
+	return append(rows, l.listLengthRows(byLength)...), nil
 }
 
-// change starts fronts that all request one shard from one node. First discovery reports that a second node has the shard.
+// measureChange starts fronts that all request one shard from one node. First discovery reports that a second node has the shard.
 // Then SIGHUP switches the fronts to another discovery, which lists a third node for it.
-func (l *Lab) change(ctx context.Context, asked bool, many, listed int) (pushed, reread heard, err error) {
+func (l *Lab) measureChange(ctx context.Context, onRequest bool, count, listLength int) (pushed, reloaded changeCost, err error) {
 	nodes, err := startNodes(3)
 	if err != nil {
-		return heard{}, heard{}, err
+		return changeCost{}, changeCost{}, err
 	}
 	defer closeNodes(nodes)
 	at := func(n int, name string) Entry {
@@ -67,78 +67,78 @@
 		e.Host = name
 		return e
 	}
-	list := listedWith(listed, at(0, "s-first"))
-	before, err := l.discoveries(asked, many, list)
+	list := listBeginningWith(listLength, at(0, "s-first"))
+	before, err := l.startDiscoveries(onRequest, count, list)
 	defer closeDiscoveries(before)
 	if err != nil {
-		return heard{}, heard{}, err
+		return changeCost{}, changeCost{}, err
 	}
-	c := config{asked: asked, memoryMB: todayMemoryMB, sockets: todaySockets, giveUp: patience, nodes: list, shards: listed}
-	fronts, err := l.startAll(ctx, many, c, func(c *config) { c.discovery = before[c.number%len(before)].Addr })
+	c := config{onRequest: onRequest, memoryMB: todayMemoryMB, sockets: todaySockets, clientTimeout: defaultClientTimeout, nodes: list, shards: listLength}
+	fronts, err := l.startAll(ctx, count, c, func(c *config) { c.discovery = before[c.number%len(before)].Addr })
 	if err != nil {
-		return heard{}, heard{}, err
+		return changeCost{}, changeCost{}, err
 	}
 	defer killAll(fronts)
-	asks, end := context.WithCancel(ctx)
-	defer end()
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	defer stopLoad()
 	done := make(chan error, 1)
 	go func() {
-		_, err := askAll(asks, fronts, min(probeRate, probeSum/float64(many)), changesFor, 1)
+		_, err := sendLoadToAll(loadCtx, fronts, min(observationRate, maxTotalRate/float64(count)), maxLoadTime, 1)
 		done <- err
 	}()
-	if err := l.watching(ctx, fronts, before, nodes[0]); err != nil {
-		return heard{}, heard{}, err
+	if err := l.awaitWatches(ctx, fronts, before, nodes[0]); err != nil {
+		return changeCost{}, changeCost{}, err
 	}
-	gone := at(0, "s-first")
-	gone.Health = "removed"
-	if pushed, err = l.follow(ctx, fronts, before, nodes[0], nodes[1], func() error {
+	removed := at(0, "s-first")
+	removed.Health = "removed"
+	if pushed, err = l.measureSwitch(ctx, fronts, before, nodes[0], nodes[1], func() error {
 		for _, d := range before {
-			d.Change(gone, at(1, "s-second"))
+			d.Change(removed, at(1, "s-second"))
 		}
 		return nil
 	}); err != nil {
-		return heard{}, heard{}, err
+		return changeCost{}, changeCost{}, err
 	}
-	after, err := l.discoveries(asked, many, listedWith(listed, at(2, "s-third")))
+	after, err := l.startDiscoveries(onRequest, count, listBeginningWith(listLength, at(2, "s-third")))
 	defer closeDiscoveries(after)
 	if err != nil {
-		return heard{}, heard{}, err
+		return changeCost{}, changeCost{}, err
 	}
-	reread, err = l.follow(ctx, fronts, after, nodes[1], nodes[2], func() error {
+	reloaded, err = l.measureSwitch(ctx, fronts, after, nodes[1], nodes[2], func() error {
 		for i, f := range fronts {
-			if err := f.follow(after[i%len(after)].Addr); err != nil {
+			if err := f.switchDiscovery(after[i%len(after)].Addr); err != nil {
 				return err
 			}
 		}
 		return nil
 	})
-	end()
-	pushed.listed, reread.listed = listed, listed
-	l.logHeard(asked, "reported by discovery", pushed)
-	l.logHeard(asked, "by SIGHUP", reread)
+	stopLoad()
+	pushed.listedNodes, reloaded.listedNodes = listLength, listLength
+	l.logChange(onRequest, "reported by discovery", pushed)
+	l.logChange(onRequest, "by SIGHUP", reloaded)
 	<-done
-	return pushed, reread, err
+	return pushed, reloaded, err
 }
 
-func (l *Lab) logHeard(asked bool, how string, h heard) {
+func (l *Lab) logChange(onRequest bool, how string, cost changeCost) {
 	l.logf("%d fronts, %d nodes listed, %s, %s: in effect within %s ms, last request at the former node after %s ms; %d calls, %d lines, %d bytes",
-		h.fronts, h.listed, mode(asked), how, short(slices.Max(h.inForce)), short(slices.Max(h.former)), h.calls, h.lines, h.bytes)
+		cost.fronts, cost.listedNodes, modeName(onRequest), how, formatNumber(slices.Max(cost.newNodeMs)), formatNumber(slices.Max(cost.oldNodeMs)), cost.calls, cost.entries, cost.bytes)
 }
 
-// listedWith returns a list of many nodes that begins with first; the others are unreachable.
-func listedWith(many int, first Entry) []Entry {
-	out := listed(many)
+// listBeginningWith returns a list of many nodes that begins with first; the others are unreachable.
+func listBeginningWith(count int, first Entry) []Entry {
+	out := unusedEntries(count)
 	out[0] = first
 	return out
 }
 
-// discoveries starts one discovery for all fronts if fronts ask it, otherwise one per front.
-func (l *Lab) discoveries(asked bool, many int, list []Entry) ([]*Discovery, error) {
-	if asked {
-		many = 1
+// startDiscoveries starts one discovery for all fronts if fronts ask it, otherwise one per front.
+func (l *Lab) startDiscoveries(onRequest bool, count int, list []Entry) ([]*Discovery, error) {
+	if onRequest {
+		count = 1
 	}
 	var out []*Discovery
-	for range many {
+	for range count {
 		d, err := startDiscovery(list)
 		if err != nil {
 			return out, err
@@ -154,18 +154,18 @@
 	}
 }
 
-// watching waits until all fronts have started a watch and have had an attempt at node.
-func (l *Lab) watching(ctx context.Context, fronts []*Front, discoveries []*Discovery, node *Node) error {
-	return inTurn(fronts, func(i int, f *Front) error {
+// awaitWatches waits until all fronts have started a watch and have had an attempt at node.
+func (l *Lab) awaitWatches(ctx context.Context, fronts []*Front, discoveries []*Discovery, node *Node) error {
+	return forEachFront(fronts, func(i int, f *Front) error {
 		return f.await(ctx, func() bool {
-			_, served := node.came(f.mark())
-			return served && discoveries[i%len(discoveries)].Begun.Load() >= int64(len(fronts)/len(discoveries))
+			_, served := node.attemptTimes(f.idPrefix())
+			return served && discoveries[i%len(discoveries)].CallsReceived.Load() >= int64(len(fronts)/len(discoveries))
 		})
 	})
 }
 
-// inTurn calls do for each front in order, up to the first error.
-func inTurn(fronts []*Front, do func(int, *Front) error) error {
+// forEachFront calls do for each front in order, up to the first error.
+func forEachFront(fronts []*Front, do func(int, *Front) error) error {
 	for i, f := range fronts {
 		if err := do(i, f); err != nil {
 			return fmt.Errorf("front %d: %w", i, err)
@@ -174,39 +174,39 @@
 	return nil
 }
 
-// follow makes a change, waits until all fronts have switched from one node to the other, and returns what the change cost.
-func (l *Lab) follow(ctx context.Context, fronts []*Front, discoveries []*Discovery, from, to *Node, change func() error) (heard, error) {
-	out := heard{fronts: len(fronts)}
-	count := func(sign int64) {
+// switchDiscovery makes a change, waits until all fronts have switched from one node to the other, and returns what the change cost.
+func (l *Lab) measureSwitch(ctx context.Context, fronts []*Front, discoveries []*Discovery, from, to *Node, change func() error) (changeCost, error) {
+	cost := changeCost{fronts: len(fronts)}
+	addCounters := func(sign int64) {
 		for _, d := range discoveries {
-			out.calls += sign * d.Calls.Load()
-			out.lines += sign * d.Lines.Load()
-			out.bytes += sign * d.Sent.Load()
+			cost.calls += sign * d.CallsAnswered.Load()
+			cost.entries += sign * d.EntriesSent.Load()
+			cost.bytes += sign * d.BytesSent.Load()
 		}
 	}
-	count(-1)
+	addCounters(-1)
 	began := time.Now()
 	if err := change(); err != nil {
-		return out, err
+		return cost, err
 	}
-	err := inTurn(fronts, func(_ int, f *Front) error {
+	err := forEachFront(fronts, func(_ int, f *Front) error {
 		return f.await(ctx, func() bool {
-			_, served := to.came(f.mark())
+			_, served := to.attemptTimes(f.idPrefix())
 			return served
 		})
 	})
 	if err != nil {
-		return out, err
+		return cost, err
 	}
-	count(1)
-	rest(ctx, afterwards)
+	addCounters(1)
+	wait(ctx, lastRequestWait)
 	for _, f := range fronts {
-		last, _ := from.came(f.mark())
-		first, _ := to.came(f.mark())
-		out.inForce = append(out.inForce, milliseconds(first.first.Sub(began)))
-		out.former = append(out.former, math.Max(0, milliseconds(last.last.Sub(began))))
+		last, _ := from.attemptTimes(f.idPrefix())
+		first, _ := to.attemptTimes(f.idPrefix())
+		cost.newNodeMs = append(cost.newNodeMs, milliseconds(first.first.Sub(began)))
+		cost.oldNodeMs = append(cost.oldNodeMs, math.Max(0, milliseconds(last.last.Sub(began))))
 	}
-	return out, nil
+	return cost, nil
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/lab/processes/clients.go
+++ b/internal/lab/processes/clients.go
@@ -17,34 +17,34 @@
 // client is a client's persistent connection to a front.
 type client struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
 // clientWorkers is the number of goroutines that use client connections concurrently.
 const clientWorkers = 64
 
-// clientPatience is the time limit for connecting and for each exchange of a client.
-const clientPatience = 30 * time.Second
+// exchangeTimeout is the time limit for connecting and for each exchange of a client.
+const exchangeTimeout = 30 * time.Second
 
-// open adds connections until there are many, and calls do for each.
-func (f *Front) open(has []*client, many int, do func(*client) error) ([]*client, error) {
-	for len(has) < many {
-		c, err := net.DialTimeout("tcp", f.config.listen, clientPatience)
+// connect adds connections until there are many, and calls do for each.
+func (f *Front) connect(clients []*client, count int, do func(*client) error) ([]*client, error) {
+	for len(clients) < count {
+		c, err := net.DialTimeout("tcp", f.config.listen, exchangeTimeout)
 		if err != nil {
-			return has, err
+			return clients, err
 		}
-		has = append(has, &client{c, bufio.NewReaderSize(c, 2<<10)})
+		clients = append(clients, &client{c, bufio.NewReaderSize(c, 2<<10)})
 	}
-	return has, each(has, do)
+	return clients, forEachClient(clients, do)
 }
 
-// each calls do for all clients, with clientWorkers at a time, and returns an error if any call failed.
-func each(clients []*client, do func(*client) error) error {
+// forEachClient calls do for all clients, with clientWorkers at a time, and returns an error if any call failed.
+func forEachClient(clients []*client, do func(*client) error) error {
 	work := make(chan *client)
 	failed := make(chan error, clientWorkers)
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range clientWorkers {
-		all.Go(func() {
+		workers.Go(func() {
 			var first error
 			for c := range work {
 				if err := do(c); err != nil && first == nil {
@@ -58,7 +58,7 @@
 		work <- c
 	}
 	close(work)
-	all.Wait()
+	workers.Wait()
 	for range clientWorkers {
 		if err := <-failed; err != nil {
 			return err
@@ -74,9 +74,9 @@
 }
 
 // send sends a request for a shard without reading the answer.
-func (f *Front) send(ctx context.Context, c *client, set protocol.Settings, shard int) error {
-	c.SetDeadline(time.Now().Add(clientPatience))
-	r, err := protocol.FormatRequest(ctx, f.config.listen, set, f.request(set, 0, shard, uint64(sent.Load())))
+func (f *Front) send(ctx context.Context, c *client, settings protocol.Settings, shard int) error {
+	c.SetDeadline(time.Now().Add(exchangeTimeout))
+	r, err := protocol.FormatRequest(ctx, f.config.listen, settings, f.newRequest(settings, 0, shard, uint64(requestCount.Load())))
 	if err != nil {
 		return err
 	}
@@ -84,11 +84,11 @@
 }
 
 // exchange sends a request for a shard and reads its answer.
-func (f *Front) exchange(ctx context.Context, c *client, set protocol.Settings, shard int) error {
-	if err := f.send(ctx, c, set, shard); err != nil {
+func (f *Front) exchange(ctx context.Context, c *client, settings protocol.Settings, shard int) error {
+	if err := f.send(ctx, c, settings, shard); err != nil {
 		return err
 	}
-	resp, err := http.ReadResponse(c.in, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return err
 	}
@@ -102,10 +102,10 @@
 // bodyBytes is the length of a partly sent body, below the length from which the front streams bodies.
 const bodyBytes = 60 << 10
 
-// sendPart sends the head of a write and the first bytes of its body.
-func (f *Front) sendPart(ctx context.Context, c *client, set protocol.Settings, shard, bytes int) error {
-	c.SetDeadline(time.Now().Add(clientPatience))
-	r, err := protocol.FormatRequest(ctx, f.config.listen, set, f.request(set, 1, shard, uint64(sent.Load())))
+// sendPartialBody sends the head of a write and the first bytes of its body.
+func (f *Front) sendPartialBody(ctx context.Context, c *client, settings protocol.Settings, shard, bytes int) error {
+	c.SetDeadline(time.Now().Add(exchangeTimeout))
+	r, err := protocol.FormatRequest(ctx, f.config.listen, settings, f.newRequest(settings, 1, shard, uint64(requestCount.Load())))
 	if err != nil {
 		return err
 	}
--- a/internal/lab/processes/compare.go
+++ b/internal/lab/processes/compare.go
@@ -8,59 +8,59 @@
 	"otterturn/internal/lab/hollow"
 )
 
-// mostTries bounds how often a scenario is run when the machine was too busy.
-const mostTries = 3
+// maxTries bounds how often a scenario is run when the machine was too busy.
+const maxTries = 3
 
-// inTime repeats a scenario until this process woke up in time throughout, up to mostTries. The choice depends on lateness
+// runInTime repeats a scenario until this process woke up in time throughout, up to maxTries. The choice depends on lateness
 // alone, not on the outcome. It returns the largest lateness of the last run.
-func (l *Lab) inTime(ctx context.Context, s Scenario) (o Outcome, late time.Duration, tries int, err error) {
+func (l *Lab) runInTime(ctx context.Context, s Scenario) (outcome Outcome, late time.Duration, tries int, err error) {
 	for tries = 1; ; tries++ {
-		watch := watchLateness()
-		o, err = l.Play(ctx, s)
-		late = watch.end()
+		watch := startLateness()
+		outcome, err = l.RunScenario(ctx, s)
+		late = watch.stop()
 		if err != nil {
-			return o, late, tries, fmt.Errorf("%s: %w", s.Name, err)
+			return outcome, late, tries, fmt.Errorf("%s: %w", s.Name, err)
 		}
 		l.logf("%s, %d fronts, %d nodes, %.0f s, try %d, late by at most %v: %s", s.Name, s.Fronts, s.Nodes, s.Span.Seconds(), tries,
-			late.Round(time.Millisecond), o)
-		if late <= lateMost || tries == mostTries {
-			return o, late, tries, nil
+			late.Round(time.Millisecond), outcome)
+		if late <= maxLateness || tries == maxTries {
+			return outcome, late, tries, nil
 		}
 	}
 }
 
-// compare runs the scenarios with real fronts and with hollow ones.
-func (l *Lab) compare(ctx context.Context) ([]Row, error) {
+// compareWithHollow runs the scenarios with real fronts and with hollow ones.
+func (l *Lab) compareWithHollow(ctx context.Context) ([]Row, error) {
 	var rows []Row
 	for _, s := range Scenarios {
-		o, late, tries, err := l.inTime(ctx, s)
+		outcome, late, tries, err := l.runInTime(ctx, s)
 		if err != nil {
 			return rows, err
 		}
-		same, err := playHollow(s, hollowSeeds)
+		hollowRuns, err := runHollow(s, hollowRuns)
 		if err != nil {
 			return rows, err
 		}
-		row := func(what string, real float64, of func(hollow.PerFront) float64) Row {
+		row := func(what string, realValue float64, value func(hollow.PerFront) float64) Row {
 			return Row{
 				Measure: "real beside hollow, " + s.Name + ": " + what, Sizes: fmt.Sprintf("%d fronts, %d nodes, %.0f s", s.Fronts, s.Nodes, s.Span.Seconds()),
-				Value: real, In: "a front", Note: beside(real, same, of) + "; " + played(late, tries),
+				Value: realValue, ValueUnit: "a front", Note: describeAgreement(realValue, hollowRuns, value) + "; " + describeLateness(late, tries),
 			}
 		}
-		if s.Event == FallsSilent {
-			rows = append(rows, row("probes of it", o.Probes, func(p hollow.PerFront) float64 { return p.Probes }))
+		if s.Event == BecomesSilent {
+			rows = append(rows, row("probes of it", outcome.Probes, func(p hollow.PerFront) float64 { return p.Probes }))
 			continue
 		}
-		rows = append(rows, row("messages to other fronts", o.Messages, func(p hollow.PerFront) float64 { return p.Messages }),
-			row("bytes of these", o.MessageBytes, func(p hollow.PerFront) float64 { return p.MessageBytes }))
+		rows = append(rows, row("messages to other fronts", outcome.Messages, func(p hollow.PerFront) float64 { return p.Messages }),
+			row("bytes of these", outcome.MessageBytes, func(p hollow.PerFront) float64 { return p.MessageBytes }))
 	}
 	return rows, nil
 }
 
-// played describes the lateness of a run and whether its result is reliable.
-func played(late time.Duration, tries int) string {
+// describeLateness describes the lateness of a run and whether its result is reliable.
+func describeLateness(late time.Duration, tries int) string {
 	text := fmt.Sprintf("try %d, late by %v at most", tries, late.Round(time.Millisecond))
-	if late > lateMost {
+	if late > maxLateness {
 		text += ": the machine was too busy, not to be relied on"
 	}
 	return text
--- a/internal/lab/processes/config.go
+++ b/internal/lab/processes/config.go
@@ -17,19 +17,19 @@
 	Health string `json:"health"`
 	Born   int64  `json:"born_ms"`
 
-	changed int64 // version of the list with the latest change of the entry
+	version int64 // version of the list with the latest change of the entry
 }
 
-// nowhere is an address without a listener, for nodes that are listed and get no requests.
-const nowhere = "127.255.255.254:9"
+// unusedAddress is an address without a listener, for nodes that are listed and get no requests.
+const unusedAddress = "127.255.255.254:9"
 
 // entry returns the entry of a running node with an old start time, so that fronts take it for warm.
 func entry(shard int, dial string) Entry {
-	return Entry{Host: fmt.Sprintf("s-%08x", shard), Dial: dial, Site: zones[shard%len(zones)], Block: shard, Health: "up", Born: born}
+	return Entry{Host: fmt.Sprintf("s-%08x", shard), Dial: dial, Site: zones[shard%len(zones)], Block: shard, Health: "up", Born: oldStartMs}
 }
 
-// born is the start time of nodes that have run for long, in Unix milliseconds.
-const born = 1_700_000_000_000
+// oldStartMs is the start time of nodes that have run for long, in Unix milliseconds.
+const oldStartMs = 1_700_000_000_000
 
 // zones are the names of five zones in each of two regions.
 var zones = []string{"r1-z1", "r1-z2", "r1-z3", "r1-z4", "r1-z5", "r2-z1", "r2-z2", "r2-z3", "r2-z4", "r2-z5"}
@@ -38,11 +38,11 @@
 type config struct {
 	listen, discovery, control string
 	fronts, number             int
-	asked                      bool // fronts ask one discovery; otherwise changes are pushed to one agent per front
+	onRequest                  bool // fronts ask one discovery; otherwise changes are pushed to one agent per front
 	memoryMB, sockets          int
-	giveUp                     time.Duration // maximum wait of clients
-	traced                     bool          // the front logs its garbage collections
-	units                      int           // maximum of a request; 0 for one unit each
+	clientTimeout              time.Duration // maximum wait of clients
+	traceGC                    bool          // the front logs its garbage collections
+	maxUnits                   int           // maximum of a request; 0 for one unit each
 	nodes                      []Entry
 	shards                     int
 	peerListen                 string
@@ -51,22 +51,22 @@
 
 // Limits of a front with ample resources, and those with which the platform starts a front today.
 const (
-	wideMemoryMB, wideSockets   = 1024, 16384
+	ampleMemoryMB, ampleSockets = 1024, 16384
 	todayMemoryMB, todaySockets = 192, 1024
 )
 
-// patience is the default maximum wait of clients.
-const patience = 5 * time.Second
+// defaultClientTimeout is the default maximum wait of clients.
+const defaultClientTimeout = 5 * time.Second
 
-// text encodes the configuration for the file that RELAY_CONFIG names.
-func (c config) text() ([]byte, error) {
+// encode encodes the configuration for the file that RELAY_CONFIG names.
+func (c config) encode() ([]byte, error) {
 	type object = map[string]any
 	mode := "pushed"
-	if c.asked {
+	if c.onRequest {
 		mode = "on_request"
 	}
 	class := func(name string) object {
-		return object{"name": name, "aimUs": 300_000, "giveUpUs": c.giveUp.Microseconds(), "semantics": "retryable", "credit": 1}
+		return object{"name": name, "aimUs": 300_000, "giveUpUs": c.clientTimeout.Microseconds(), "semantics": "retryable", "credit": 1}
 	}
 	return json.Marshal(object{
 		"name": fmt.Sprintf("front-%d", c.number), "listen": c.listen, "discovery": c.discovery, "control": c.control,
@@ -97,7 +97,7 @@
 
 // settings returns the protocol settings that clients need.
 func (c config) settings() (protocol.Settings, error) {
-	text, err := c.text()
+	text, err := c.encode()
 	if err != nil {
 		return protocol.Settings{}, err
 	}
--- a/internal/lab/processes/connections.go
+++ b/internal/lab/processes/connections.go
@@ -9,29 +9,29 @@
 	"otterturn/internal/net/protocol"
 )
 
-// connections measures the cost of a kept connection to a node, and the rate of handshakes at the request rate of a pair of
+// measureConnections measures the cost of a kept connection to a node, and the rate of handshakes at the request rate of a pair of
 // front and node: with enough sockets to keep all connections, and with too few.
-func (l *Lab) connections(ctx context.Context) ([]Row, error) {
-	rows, err := l.kept(ctx)
+func (l *Lab) measureConnections(ctx context.Context) ([]Row, error) {
+	rows, err := l.measureKeptConnections(ctx)
 	if err != nil {
 		return nil, err
 	}
-	more, err := l.handshakes(ctx)
+	more, err := l.measureHandshakes(ctx)
 	return append(rows, more...), err
 }
 
-// kept measures a front that keeps connections to more and more nodes.
-func (l *Lab) kept(ctx context.Context) ([]Row, error) {
-	front, _, end, err := l.beforeNodes(ctx, l.Plan.Kept)
+// measureKeptConnections measures a front that keeps connections to more and more nodes.
+func (l *Lab) measureKeptConnections(ctx context.Context) ([]Row, error) {
+	front, _, stop, err := l.startFrontAndNodes(ctx, l.Plan.Kept)
 	if err != nil {
 		return nil, err
 	}
-	defer end()
-	set, err := front.config.settings()
+	defer stop()
+	settings, err := front.config.settings()
 	if err != nil {
 		return nil, err
 	}
-	clients, err := front.open(nil, clientWorkers, func(*client) error { return nil })
+	clients, err := front.connect(nil, clientWorkers, func(*client) error { return nil })
 	defer closeClients(clients)
 	if err != nil {
 		return nil, err
@@ -41,7 +41,7 @@
 	var memory, files []float64
 	for quarter := range 5 {
 		upTo := int64(l.Plan.Kept * quarter / 4)
-		if err := each(clients, func(c *client) error { return front.touch(ctx, c, set, &next, upTo) }); err != nil {
+		if err := forEachClient(clients, func(c *client) error { return front.requestEachShard(ctx, c, settings, &next, upTo) }); err != nil {
 			return nil, err
 		}
 		next.Store(upTo)
@@ -52,96 +52,96 @@
 		l.logf("%d nodes with a connection kept: %.1f MB, %d descriptors", upTo, megabytes(u.Resident), u.Descriptors)
 		counts, memory, files = append(counts, int(upTo)), append(memory, float64(u.Resident)), append(files, float64(u.Descriptors))
 	}
-	sized := sizes(counts, "nodes")
-	m, d := fit(floats(counts), memory), fit(floats(counts), files)
+	sized := formatSizes(counts, "nodes")
+	m, d := fit(toFloats(counts), memory), fit(toFloats(counts), files)
 	return []Row{
 		{
-			Measure: "memory of a node with a connection kept to it", Sizes: sized, Fit: m, Unit: "bytes", Value: m.Slope * sizeNodes / (1 << 20), In: "MB",
+			Measure: "memory of a node with a connection kept to it", Sizes: sized, Fit: m, SlopeUnit: "bytes", Value: m.Slope * sizeNodes / (1 << 20), ValueUnit: "MB",
 			Budget: budgetMemory, Note: "what the scheduler keeps of a node that was used, and garbage of one request, are among it",
 		},
 		{
-			Measure: "descriptors of a kept connection", Sizes: sized, Fit: d, Unit: "descriptors", Value: d.Slope * sizeNodes, In: "descriptors",
+			Measure: "descriptors of a kept connection", Sizes: sized, Fit: d, SlopeUnit: "descriptors", Value: d.Slope * sizeNodes, ValueUnit: "descriptors",
 			Note: "today's sockets are 1,024; at a node 1,200 connections, one of each front",
 		},
 	}, nil
 }
 
-// touch sends one request to each shard from next up to upTo; several goroutines share next.
-func (f *Front) touch(ctx context.Context, c *client, set protocol.Settings, next *atomic.Int64, upTo int64) error {
+// requestEachShard sends one request to each shard from next up to upTo; several goroutines share next.
+func (f *Front) requestEachShard(ctx context.Context, c *client, settings protocol.Settings, next *atomic.Int64, upTo int64) error {
 	for {
 		shard := next.Add(1) - 1
 		if shard >= upTo {
 			return nil
 		}
-		if err := f.exchange(ctx, c, set, int(shard)); err != nil {
+		if err := f.exchange(ctx, c, settings, int(shard)); err != nil {
 			return err
 		}
 	}
 }
 
-// room is a named set of limits of a front.
-type room struct {
+// namedLimits is a named set of limits of a front.
+type namedLimits struct {
 	name              string
 	memoryMB, sockets int
 }
 
-// shaken is the result of a handshake measurement over all nodes of one front.
-type shaken struct {
-	point
+// handshakeResult is the result of a handshake measurement over all nodes of one front.
+type handshakeResult struct {
+	ratePoint
 	handshakes float64 // per second
 	open       int64   // connections open at the end
 }
 
-// handshakes loads fronts with and without enough sockets for one connection per node, at the request rate per pair of front
+// measureHandshakes loads fronts with and without enough sockets for one connection per node, at the request rate per pair of front
 // and node in the full fleet.
-func (l *Lab) handshakes(ctx context.Context) ([]Row, error) {
-	rooms := []room{{"kept, 16,384 sockets", wideMemoryMB, wideSockets}, {"as today, 192 MB and 1,024 sockets", todayMemoryMB, todaySockets}}
+func (l *Lab) measureHandshakes(ctx context.Context) ([]Row, error) {
+	variants := []namedLimits{{"kept, 16,384 sockets", ampleMemoryMB, ampleSockets}, {"as today, 192 MB and 1,024 sockets", todayMemoryMB, todaySockets}}
 	var rows []Row
-	for _, r := range rooms {
-		s, err := l.shake(ctx, r)
+	for _, variant := range variants {
+		result, err := l.countHandshakes(ctx, variant)
 		if err != nil {
 			return rows, err
 		}
-		sized := fmt.Sprintf("%.0f requests a second served before %d nodes", s.served, l.Plan.Kept)
+		sized := fmt.Sprintf("%.0f requests a second served before %d nodes", result.served, l.Plan.Kept)
 		rows = append(rows,
 			Row{
-				Measure: "handshakes of a front with nodes: " + r.name, Sizes: sized, Value: s.handshakes, In: "a second",
+				Measure: "handshakes of a front with nodes: " + variant.name, Sizes: sized, Value: result.handshakes, ValueUnit: "a second",
 				Note: fmt.Sprintf("%d connections open, %s handshakes a second at each node of 1,200 fronts%s",
-					s.open, short(s.handshakes/float64(l.Plan.Kept)*sizeFronts), s.short()),
+					result.open, formatNumber(result.handshakes/float64(l.Plan.Kept)*sizeFronts), result.shortfallNote()),
 			},
 			Row{
-				Measure: "processor time of a request before all nodes: " + r.name, Sizes: sized, Value: s.processor / s.served * sizeRate / 1e4,
-				In: "% of a core", Budget: budgetCore, Note: fmt.Sprintf("%s us a request, idle time included%s", short(s.processor/s.served), s.short()),
+				Measure: "processor time of a request before all nodes: " + variant.name, Sizes: sized, Value: result.processor / result.served * sizeRate / 1e4,
+				ValueUnit: "% of a core", Budget: budgetCore, Note: fmt.Sprintf("%s us a request, idle time included%s", formatNumber(result.processor/result.served), result.shortfallNote()),
 			})
 	}
 	return rows, nil
 }
 
-// shake counts handshakes after a first load period in which the front closes connections that were idle too long.
-func (l *Lab) shake(ctx context.Context, r room) (shaken, error) {
+// countHandshakes counts handshakes after a first load period in which the front closes connections that were idle too long.
+func (l *Lab) countHandshakes(ctx context.Context, frontLimits namedLimits) (handshakeResult, error) {
 	nodes, err := startNodes(l.Plan.Kept)
 	if err != nil {
-		return shaken{}, err
+		return handshakeResult{}, err
 	}
 	defer closeNodes(nodes)
-	front, end, err := l.before(ctx, entries(nodes), r.memoryMB, r.sockets)
+	front, stop, err := l.startFrontFor(ctx, entries(nodes), frontLimits.memoryMB, frontLimits.sockets)
 	if err != nil {
-		return shaken{}, err
+		return handshakeResult{}, err
 	}
-	defer end()
+	defer stop()
 	rate := sizeRate / float64(sizeNodes) * float64(len(nodes))
-	if _, err := front.ask(ctx, rate, l.Plan.Silence, len(nodes)); err != nil {
-		return shaken{}, err
+	if _, err := front.sendLoad(ctx, rate, l.Plan.Silence, len(nodes)); err != nil {
+		return handshakeResult{}, err
 	}
-	opened, _ := connectionsAt(nodes)
+	opened, _ := countConnections(nodes)
 	began := time.Now()
-	p, err := l.rate(ctx, front, rate, l.Plan.Silence, len(nodes))
-	now, open := connectionsAt(nodes)
-	return shaken{point: p, handshakes: float64(now-opened) / time.Since(began).Seconds(), open: open}, err
+	p, err := l.measureRate(ctx, front, rate, l.Plan.Silence, len(nodes))
+	now, open := countConnections(nodes)
+	return handshakeResult{ratePoint: p, handshakes: float64(now-opened) / time.Since(began).Seconds(), open: open}, err
 }
 
-// connectionsAt sums the connections that nodes have accepted so far and those open now.
-func connectionsAt(nodes []*Node) (opened, open int64) {
+// countConnections sums the connections that nodes have accepted so far and those open now.
+func countConnections(nodes []*Node) (opened, open int64) {
 	for _, n := range nodes {
 		opened += n.Opened.Load()
 		open += n.Open.Load()
--- a/internal/lab/processes/discovery.go
+++ b/internal/lab/processes/discovery.go
@@ -14,17 +14,17 @@
 // Discovery is a stand-in that answers each call without a rate limit and counts what it sends. The capacity of a real
 // discovery is not measured here.
 type Discovery struct {
-	Addr  string
-	Begun atomic.Int64 // calls received
-	Calls atomic.Int64 // calls answered
-	Lines atomic.Int64 // entries of nodes sent
-	Sent  atomic.Int64 // bytes sent, headers included
+	Addr          string
+	CallsReceived atomic.Int64 // calls received
+	CallsAnswered atomic.Int64 // calls answered
+	EntriesSent   atomic.Int64 // entries of nodes sent
+	BytesSent     atomic.Int64 // bytes sent, headers included
 
 	server  *http.Server
 	mu      sync.Mutex
 	version int64
 	nodes   []Entry
-	news    chan struct{} // closed and replaced with each change
+	changed chan struct{} // closed and replaced with each change
 }
 
 // firstVersion is the version of the list that fronts are started with.
@@ -32,14 +32,14 @@
 
 // startDiscovery serves a list at a new address.
 func startDiscovery(nodes []Entry) (*Discovery, error) {
-	d := &Discovery{version: firstVersion, nodes: slices.Clone(nodes), news: make(chan struct{})}
-	l, err := net.Listen("tcp", host()+":0")
+	d := &Discovery{version: firstVersion, nodes: slices.Clone(nodes), changed: make(chan struct{})}
+	l, err := net.Listen("tcp", ownHost()+":0")
 	if err != nil {
 		return nil, err
 	}
 	d.Addr = l.Addr().String()
 	d.server = &http.Server{Handler: d}
-	go d.server.Serve(&meter{Listener: l, sent: &d.Sent})
+	go d.server.Serve(&meter{Listener: l, sent: &d.BytesSent})
 	return d, nil
 }
 
@@ -52,7 +52,7 @@
 	defer d.mu.Unlock()
 	d.version++
 	for _, e := range entries {
-		e.changed = d.version
+		e.version = d.version
 		at := slices.IndexFunc(d.nodes, func(has Entry) bool { return has.Host == e.Host })
 		if at < 0 {
 			d.nodes = append(d.nodes, e)
@@ -60,8 +60,8 @@
 			d.nodes[at] = e
 		}
 	}
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // answer is the body of an answer: the whole list, or the entries changed after a version.
@@ -71,37 +71,37 @@
 	Hosts []Entry `json:"hosts"`
 }
 
-// newer returns the answer to a call, and a channel that is closed with the next change.
-func (d *Discovery) newer(than int64, whole bool) (answer, <-chan struct{}) {
+// changesSince returns the answer to a call, and a channel that is closed with the next change.
+func (d *Discovery) changesSince(version int64, whole bool) (answer, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := answer{Seq: d.version, Whole: whole, Hosts: []Entry{}}
 	for _, e := range d.nodes {
-		if e.changed > than || whole && e.Health != "removed" {
+		if e.version > version || whole && e.Health != "removed" {
 			out.Hosts = append(out.Hosts, e)
 		}
 	}
-	return out, d.news
+	return out, d.changed
 }
 
 // ServeHTTP answers a call at once if there are changes, otherwise with the next change or after hold_ms.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	d.Begun.Add(1)
+	d.CallsReceived.Add(1)
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	whole := err != nil
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	out, news := d.newer(from, whole)
+	out, changed := d.changesSince(from, whole)
 	if !whole && len(out.Hosts) == 0 {
 		select {
-		case <-news:
-			out, _ = d.newer(from, false)
+		case <-changed:
+			out, _ = d.changesSince(from, false)
 		case <-time.After(time.Duration(hold) * time.Millisecond):
 		case <-r.Context().Done():
 			return
 		}
 	}
-	d.Calls.Add(1)
-	d.Lines.Add(int64(len(out.Hosts)))
+	d.CallsAnswered.Add(1)
+	d.EntriesSent.Add(int64(len(out.Hosts)))
 	text, err := json.Marshal(out)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/internal/lab/processes/front.go
+++ b/internal/lab/processes/front.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// startPatience bounds each wait for a front, such as for its start, also on a busy machine.
-const startPatience = 30 * time.Second
+// frontTimeout bounds each wait for a front, such as for its start, also on a busy machine.
+const frontTimeout = 30 * time.Second
 
 // Front is a running process of the built program.
 type Front struct {
@@ -31,14 +31,14 @@
 
 // start starts a front at a new address and waits until it serves.
 func (l *Lab) start(ctx context.Context, c config) (*Front, error) {
-	c.listen, c.control = ownAddress(), ownAddress()
+	c.listen, c.control = newAddress(), newAddress()
 	f := &Front{config: c, path: filepath.Join(l.dir, fmt.Sprintf("front-%d.json", l.started.Add(1))), log: &tail{}, ended: make(chan struct{})}
-	if err := f.write(); err != nil {
+	if err := f.writeConfig(); err != nil {
 		return nil, err
 	}
 	f.cmd = exec.CommandContext(ctx, l.Program)
 	f.cmd.Env = append(append(os.Environ(), l.Env...), "RELAY_CONFIG="+f.path)
-	if c.traced { // the line of a garbage collection has the size of the live heap
+	if c.traceGC { // the line of a garbage collection has the size of the live heap
 		f.cmd.Env = append(f.cmd.Env, "GODEBUG=gctrace=1")
 	}
 	f.cmd.Stdout, f.cmd.Stderr = f.log, f.log
@@ -49,7 +49,7 @@
 		f.cmd.Wait()
 		close(f.ended)
 	}()
-	if err := f.await(ctx, f.ready); err != nil {
+	if err := f.await(ctx, f.isReady); err != nil {
 		f.Kill()
 		return nil, fmt.Errorf("front %d does not serve: %w\n%s", c.number, err, f.log)
 	}
@@ -57,12 +57,12 @@
 }
 
 // startAll starts fronts whose configurations differ by number and by edit. If one fails, all are killed.
-func (l *Lab) startAll(ctx context.Context, many int, c config, edit func(*config)) ([]*Front, error) {
-	fronts, errs := make([]*Front, many), make([]error, many)
+func (l *Lab) startAll(ctx context.Context, count int, c config, edit func(*config)) ([]*Front, error) {
+	fronts, errs := make([]*Front, count), make([]error, count)
 	var all sync.WaitGroup
-	for i := range many {
+	for i := range count {
 		own := c
-		own.fronts, own.number = many, i
+		own.fronts, own.number = count, i
 		edit(&own)
 		all.Go(func() { fronts[i], errs[i] = l.start(ctx, own) })
 	}
@@ -93,9 +93,9 @@
 // Usage returns the resources that the process has used so far.
 func (f *Front) Usage() (Usage, error) { return ReadUsage(f.cmd.Process.Pid) }
 
-// write replaces the configuration file atomically.
-func (f *Front) write() error {
-	text, err := f.config.text()
+// writeConfig replaces the configuration file atomically.
+func (f *Front) writeConfig() error {
+	text, err := f.config.encode()
 	if err != nil {
 		return err
 	}
@@ -105,19 +105,19 @@
 	return os.Rename(f.path+".new", f.path)
 }
 
-// follow changes the front's discovery and makes it reload its configuration by SIGHUP.
-func (f *Front) follow(discovery string) error {
+// switchDiscovery changes the front's discovery and makes it reload its configuration by SIGHUP.
+func (f *Front) switchDiscovery(discovery string) error {
 	f.config.discovery = discovery
-	if err := f.write(); err != nil {
+	if err := f.writeConfig(); err != nil {
 		return err
 	}
 	return f.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// await polls a condition until it holds, the process ends or startPatience has passed.
+// await polls a condition until it holds, the process ends or frontTimeout has passed.
 func (f *Front) await(ctx context.Context, holds func() bool) error {
-	ctx, end := context.WithTimeout(ctx, startPatience)
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, frontTimeout)
+	defer cancel()
 	for !holds() {
 		select {
 		case <-ctx.Done():
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func (f *Front) ready() bool {
+func (f *Front) isReady() bool {
 	resp, err := http.Get("http://" + f.config.listen + "/ready")
 	if err != nil {
 		return false
@@ -139,8 +139,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// figure reads a metric from the front's /stats, -1 if it is not available.
-func (f *Front) figure(name string) int64 {
+// metric reads a metric from the front's /stats, -1 if it is not available.
+func (f *Front) metric(name string) int64 {
 	c, err := net.DialTimeout("tcp", f.config.control, time.Second)
 	if err != nil {
 		return -1
@@ -179,13 +179,13 @@
 	return string(t.text)
 }
 
-var collection = regexp.MustCompile(`\d+->\d+->(\d+) MB`)
+var gcHeapSizes = regexp.MustCompile(`\d+->\d+->(\d+) MB`)
 
-// live returns the live heap in bytes, in steps of 1 MiB, as of the last garbage collection; 0 before the first one.
-func (t *tail) live() int64 {
+// liveHeap returns the live heap in bytes, in steps of 1 MiB, as of the last garbage collection; 0 before the first one.
+func (t *tail) liveHeap() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := collection.FindAllSubmatch(t.text, -1)
+	all := gcHeapSizes.FindAllSubmatch(t.text, -1)
 	if len(all) == 0 {
 		return 0
 	}
--- a/internal/lab/processes/idle.go
+++ b/internal/lab/processes/idle.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// startsUp is the wait after the start of a front until its processor time is free of start-up work.
-const startsUp = 2 * time.Second
+// startUpTime is the wait after the start of a front until its processor time is free of start-up work.
+const startUpTime = 2 * time.Second
 
-// idle measures the cost of control in a front without requests, by the number of listed nodes. The front is configured with
+// measureIdle measures the cost of control in a front without requests, by the number of listed nodes. The front is configured with
 // as many peers as the full fleet has.
-func (l *Lab) idle(ctx context.Context) ([]Row, error) {
+func (l *Lab) measureIdle(ctx context.Context) ([]Row, error) {
 	var rows []Row
-	for _, asked := range []bool{false, true} {
-		more, err := l.idleBy(ctx, asked)
+	for _, onRequest := range []bool{false, true} {
+		more, err := l.idleRows(ctx, onRequest)
 		if err != nil {
 			return rows, err
 		}
@@ -25,11 +25,11 @@
 	return rows, nil
 }
 
-func (l *Lab) idleBy(ctx context.Context, asked bool) ([]Row, error) {
-	all, errs := make([]quietly, len(l.Plan.Lists)), make([]error, len(l.Plan.Lists))
+func (l *Lab) idleRows(ctx context.Context, onRequest bool) ([]Row, error) {
+	all, errs := make([]idleUsage, len(l.Plan.Lists)), make([]error, len(l.Plan.Lists))
 	var wait sync.WaitGroup
 	for i, many := range l.Plan.Lists { // concurrently: the fronts wait nearly all of the time
-		wait.Go(func() { all[i], errs[i] = l.idleFront(ctx, asked, many) })
+		wait.Go(func() { all[i], errs[i] = l.measureIdleFront(ctx, onRequest, many) })
 	}
 	wait.Wait()
 	if err := errors.Join(errs...); err != nil {
@@ -38,74 +38,74 @@
 	var processor, memory, switches, bytes []float64
 	for i, q := range all {
 		processor = append(processor, float64(q.Processor.Microseconds())/q.seconds)
-		memory, switches, bytes = append(memory, float64(q.Resident)), append(switches, float64(q.Switches)/q.seconds), append(bytes, q.sent/q.seconds)
-		l.logf("idle, %d nodes listed, %s: %.3f%% of a core, %.1f MB, %.0f wakeups per second, %.0f bytes per second of discovery", l.Plan.Lists[i], mode(asked),
+		memory, switches, bytes = append(memory, float64(q.Resident)), append(switches, float64(q.Switches)/q.seconds), append(bytes, q.discoveryBytes/q.seconds)
+		l.logf("idle, %d nodes listed, %s: %.3f%% of a core, %.1f MB, %.0f wakeups per second, %.0f bytes per second of discovery", l.Plan.Lists[i], modeName(onRequest),
 			processor[i]/1e4, memory[i]/(1<<20), switches[i], bytes[i])
 	}
-	counts, sized := floats(l.Plan.Lists), sizes(l.Plan.Lists, "nodes listed")
+	counts, sized := toFloats(l.Plan.Lists), formatSizes(l.Plan.Lists, "nodes listed")
 	time, size, wakes, heard := fit(counts, processor), fit(counts, memory), fit(counts, switches), fit(counts, bytes)
-	with := ", " + mode(asked)
+	with := ", " + modeName(onRequest)
 	return []Row{
 		{
-			Measure: "processor time of control when idle" + with, Sizes: sized, Fit: time, Unit: "us a second a node", Value: time.At(sizeNodes) / 1e4,
-			In: "% of a core", Budget: budgetProcessor, Note: fmt.Sprintf("%s wakeups of a thread a second", short(wakes.At(sizeNodes))),
+			Measure: "processor time of control when idle" + with, Sizes: sized, Fit: time, SlopeUnit: "us a second a node", Value: time.At(sizeNodes) / 1e4,
+			ValueUnit: "% of a core", Budget: budgetProcessor, Note: fmt.Sprintf("%s wakeups of a thread a second", formatNumber(wakes.At(sizeNodes))),
 		},
 		{
-			Measure: "memory of a listed node" + with, Sizes: sized, Fit: size, Unit: "bytes", Value: size.At(sizeNodes) / (1 << 20), In: "MB", Budget: budgetMemory,
+			Measure: "memory of a listed node" + with, Sizes: sized, Fit: size, SlopeUnit: "bytes", Value: size.At(sizeNodes) / (1 << 20), ValueUnit: "MB", Budget: budgetMemory,
 			Note: "a front without clients, 1,200 fronts named",
 		},
 		{
-			Measure: "bytes of discovery when idle" + with, Sizes: sized, Fit: heard, Unit: "bytes a second a node",
-			Value: heard.At(sizeNodes) / 1024, In: "KB a second", Budget: budgetBytes, Note: "watches without news",
+			Measure: "bytes of discovery when idle" + with, Sizes: sized, Fit: heard, SlopeUnit: "bytes a second a node",
+			Value: heard.At(sizeNodes) / 1024, ValueUnit: "KB a second", Budget: budgetBytes, Note: "watches without news",
 		},
 	}, nil
 }
 
-func mode(asked bool) string {
-	if asked {
+func modeName(onRequest bool) string {
+	if onRequest {
 		return "one discovery, asked"
 	}
 	return "pushed to an agent each"
 }
 
-// quietly is the usage of an idle front.
-type quietly struct {
+// idleUsage is the usage of an idle front.
+type idleUsage struct {
 	Usage
-	sent    float64 // bytes that discovery sent
-	seconds float64
+	discoveryBytes float64 // bytes that discovery sent
+	seconds        float64
 }
 
-// idleFront measures an idle front and what discovery sends to it.
-func (l *Lab) idleFront(ctx context.Context, asked bool, many int) (quietly, error) {
-	list := listed(many)
+// measureIdleFront measures an idle front and what discovery sends to it.
+func (l *Lab) measureIdleFront(ctx context.Context, onRequest bool, listLength int) (idleUsage, error) {
+	list := unusedEntries(listLength)
 	d, err := startDiscovery(list)
 	if err != nil {
-		return quietly{}, err
+		return idleUsage{}, err
 	}
 	defer d.Close()
 	front, err := l.start(ctx, config{
-		discovery: d.Addr, asked: asked, fronts: sizeFronts, peerListen: ownAddress(), peers: elsewhere(sizeFronts),
-		memoryMB: int(budgetMemory), sockets: wideSockets, giveUp: patience, nodes: list, shards: many,
+		discovery: d.Addr, onRequest: onRequest, fronts: sizeFronts, peerListen: newAddress(), peers: unusedPeers(sizeFronts),
+		memoryMB: int(budgetMemory), sockets: ampleSockets, clientTimeout: defaultClientTimeout, nodes: list, shards: listLength,
 	})
 	if err != nil {
-		return quietly{}, err
+		return idleUsage{}, err
 	}
 	defer front.Kill()
-	rest(ctx, startsUp)
+	wait(ctx, startUpTime)
 	before, err := front.Usage()
 	if err != nil {
-		return quietly{}, err
+		return idleUsage{}, err
 	}
-	began, had := time.Now(), d.Sent.Load()
-	rest(ctx, l.Plan.Span)
+	began, sentBefore := time.Now(), d.BytesSent.Load()
+	wait(ctx, l.Plan.Span)
 	after, err := front.Usage()
-	return quietly{after.Since(before), float64(d.Sent.Load() - had), time.Since(began).Seconds()}, err
+	return idleUsage{after.Since(before), float64(d.BytesSent.Load() - sentBefore), time.Since(began).Seconds()}, err
 }
 
-// elsewhere returns many peer addresses without a listener.
-func elsewhere(many int) []string {
+// unusedPeers returns many peer addresses without a listener.
+func unusedPeers(count int) []string {
 	var out []string
-	for i := range many {
+	for i := range count {
 		out = append(out, fmt.Sprintf("127.255.%d.%d:9", i/250, i%250+1))
 	}
 	return out
--- a/internal/lab/processes/memory.go
+++ b/internal/lab/processes/memory.go
@@ -12,21 +12,21 @@
 // memoryNodes is the number of nodes when the memory of a front is measured.
 const memoryNodes = 16
 
-// heldPatience is the maximum wait of clients whose requests the nodes hold: longer than a measurement.
-const heldPatience = 60 * time.Second
+// heldClientTimeout is the maximum wait of clients whose requests the nodes hold: longer than a measurement.
+const heldClientTimeout = 60 * time.Second
 
-// settle is the time in which a front reads what was sent to it.
-const settle = 400 * time.Millisecond
+// settleTime is the time in which a front reads what was sent to it.
+const settleTime = 400 * time.Millisecond
 
-// kind is a state of client connections for which memory is measured.
-type kind struct {
-	name string
-	held bool // the nodes don't answer attempts
-	full bool // each connection has one completely sent request, which stays open
-	do   func(ctx context.Context, f *Front, c *client, set protocol.Settings, shard int) error
+// connectionState is a state of client connections for which memory is measured.
+type connectionState struct {
+	name         string
+	held         bool // the nodes don't answer attempts
+	wholeRequest bool // each connection has one completely sent request, which stays open
+	do           func(ctx context.Context, f *Front, c *client, set protocol.Settings, shard int) error
 }
 
-var kinds = []kind{
+var connectionStates = []connectionState{
 	{"idle, one request done", false, false, func(ctx context.Context, f *Front, c *client, set protocol.Settings, shard int) error {
 		return f.exchange(ctx, c, set, shard)
 	}},
@@ -34,31 +34,31 @@
 		return f.send(ctx, c, set, shard)
 	}},
 	{"busy, half of a body of 60 KiB sent", true, false, func(ctx context.Context, f *Front, c *client, set protocol.Settings, shard int) error {
-		return f.sendPart(ctx, c, set, shard, bodyBytes/2)
+		return f.sendPartialBody(ctx, c, set, shard, bodyBytes/2)
 	}},
 	{"busy, all but a byte of a body of 60 KiB sent", true, false, func(ctx context.Context, f *Front, c *client, set protocol.Settings, shard int) error {
-		return f.sendPart(ctx, c, set, shard, bodyBytes-1)
+		return f.sendPartialBody(ctx, c, set, shard, bodyBytes-1)
 	}},
 }
 
-// memory measures the memory and descriptors of a client connection, idle and busy.
-func (l *Lab) memory(ctx context.Context) ([]Row, error) {
+// measureMemory measures the memory and descriptors of a client connection, idle and busy.
+func (l *Lab) measureMemory(ctx context.Context) ([]Row, error) {
 	var rows []Row
-	for _, k := range kinds {
-		more, err := l.memoryOf(ctx, k)
+	for _, k := range connectionStates {
+		more, err := l.connectionMemory(ctx, k)
 		if err != nil {
 			return rows, fmt.Errorf("%s: %w", k.name, err)
 		}
 		rows = append(rows, more...)
 	}
-	whole, err := l.whole(ctx)
-	return append(append(rows, whole...), reckoned()...), err
+	whole, err := l.measureFullSize(ctx)
+	return append(append(rows, whole...), computedRows()...), err
 }
 
-func (l *Lab) memoryOf(ctx context.Context, k kind) ([]Row, error) {
+func (l *Lab) connectionMemory(ctx context.Context, k connectionState) ([]Row, error) {
 	var used []Usage
 	for _, many := range l.Plan.Connections {
-		u, err := l.connected(ctx, k, many)
+		u, err := l.usageWithClients(ctx, k, many)
 		if err != nil {
 			return nil, err
 		}
@@ -68,30 +68,30 @@
 	for _, u := range used {
 		resident, descriptors = append(resident, float64(u.Resident)), append(descriptors, float64(u.Descriptors))
 	}
-	counts, sized := floats(l.Plan.Connections), sizes(l.Plan.Connections, "connections")
+	counts, sized := toFloats(l.Plan.Connections), formatSizes(l.Plan.Connections, "connections")
 	memory, files := fit(counts, resident), fit(counts, descriptors)
 	return []Row{
 		{
-			Measure: "memory of a client connection: " + k.name, Sizes: sized, Fit: memory, Unit: "bytes", Value: megabytes(int64(memory.At(sizeConnections))),
-			In: "MB", Budget: budgetMemory, Note: fmt.Sprintf("at 3,667; limits.For reckons %d bytes each", reckonedEach),
+			Measure: "memory of a client connection: " + k.name, Sizes: sized, Fit: memory, SlopeUnit: "bytes", Value: megabytes(int64(memory.At(sizeConnections))),
+			ValueUnit: "MB", Budget: budgetMemory, Note: fmt.Sprintf("at 3,667; limits.For reckons %d bytes each", bytesPerConnection),
 		},
 		{
-			Measure: "descriptors of a client connection: " + k.name, Sizes: sized, Fit: files, Unit: "descriptors", Value: files.At(sizeConnections) + sizeNodes,
-			In: "descriptors", Note: "at 3,667, and one kept connection to each of 1,800 nodes; today's sockets are 1,024",
+			Measure: "descriptors of a client connection: " + k.name, Sizes: sized, Fit: files, SlopeUnit: "descriptors", Value: files.At(sizeConnections) + sizeNodes,
+			ValueUnit: "descriptors", Note: "at 3,667, and one kept connection to each of 1,800 nodes; today's sockets are 1,024",
 		},
 	}, nil
 }
 
-// connected returns the usage of a new front with many connections of a kind. A new front has no garbage from a measurement
+// usageWithClients returns the usage of a new front with many connections of a kind. A new front has no garbage from a measurement
 // with fewer connections.
-func (l *Lab) connected(ctx context.Context, k kind, many int) (Usage, error) {
+func (l *Lab) usageWithClients(ctx context.Context, state connectionState, count int) (Usage, error) {
 	nodes, err := startNodes(memoryNodes)
 	if err != nil {
 		return Usage{}, err
 	}
 	defer closeNodes(nodes)
 	list := entries(nodes)
-	c := config{fronts: 1, memoryMB: wideMemoryMB, sockets: wideSockets, giveUp: heldPatience, nodes: list, shards: len(list), traced: true}
+	c := config{fronts: 1, memoryMB: ampleMemoryMB, sockets: ampleSockets, clientTimeout: heldClientTimeout, nodes: list, shards: len(list), traceGC: true}
 	d, err := startDiscovery(list)
 	if err != nil {
 		return Usage{}, err
@@ -103,54 +103,54 @@
 		return Usage{}, err
 	}
 	defer front.Kill()
-	set, err := front.config.settings()
+	settings, err := front.config.settings()
 	if err != nil {
 		return Usage{}, err
 	}
 	for _, n := range nodes {
-		n.Holds.Store(k.held)
+		n.HoldsAttempts.Store(state.held)
 	}
-	clients, err := front.open(nil, many, func(c *client) error { return k.do(ctx, front, c, set, int(sent.Load())%len(nodes)) })
+	clients, err := front.connect(nil, count, func(c *client) error { return state.do(ctx, front, c, settings, int(requestCount.Load())%len(nodes)) })
 	defer closeClients(clients)
 	if err != nil {
 		return Usage{}, err
 	}
-	if k.full { // wait until the front has read all of the requests
-		if err := front.await(ctx, func() bool { return front.figure("in_flight") == int64(many) }); err != nil {
+	if state.wholeRequest { // wait until the front has read all of the requests
+		if err := front.await(ctx, func() bool { return front.metric("in_flight") == int64(count) }); err != nil {
 			return Usage{}, err
 		}
 	}
-	rest(ctx, settle)
+	wait(ctx, settleTime)
 	u, err := front.Usage()
-	l.logf("%d connections, %s: %.1f MB resident, %.1f MB live on the heap at the last collection, %d descriptors, %d in flight", many, k.name,
-		megabytes(u.Resident), megabytes(front.log.live()), u.Descriptors, front.figure("in_flight"))
+	l.logf("%d connections, %s: %.1f MB resident, %.1f MB live on the heap at the last collection, %d descriptors, %d in flight", count, state.name,
+		megabytes(u.Resident), megabytes(front.log.liveHeap()), u.Descriptors, front.metric("in_flight"))
 	return u, err
 }
 
-// reckonedEach is the memory that limits.For assumes per client connection, in bytes, a body included.
-const reckonedEach = 96 << 10
+// bytesPerConnection is the memory that limits.For assumes per client connection, in bytes, a body included.
+const bytesPerConnection = 96 << 10
 
-// reckoned returns the rows that limits.For computes, without a measurement.
-func reckoned() []Row {
+// computedRows returns the rows that limits.For computes, without a measurement.
+func computedRows() []Row {
 	allowed := func(memoryMB, sockets int) limits.Limits {
 		return limits.For(limits.Site{MemoryMB: memoryMB, Sockets: sockets, Open: 1 << 20})
 	}
-	today, wide := allowed(todayMemoryMB, todaySockets), allowed(int(budgetMemory), wideSockets)
-	least := int(budgetMemory)
-	for allowed(least, wideSockets).Clients.Conns < sizeConnections {
-		least++
+	today, wide := allowed(todayMemoryMB, todaySockets), allowed(int(budgetMemory), ampleSockets)
+	minMemoryMB := int(budgetMemory)
+	for allowed(minMemoryMB, ampleSockets).Clients.Conns < sizeConnections {
+		minMemoryMB++
 	}
-	files := todaySockets
-	for allowed(1<<20, files).Clients.KeptConns < sizeConnections {
-		files++
+	minSockets := todaySockets
+	for allowed(1<<20, minSockets).Clients.KeptConns < sizeConnections {
+		minSockets++
 	}
 	return []Row{
 		{
-			Measure: "memory that limits.For wants for 3,667 client connections", Sizes: "reckoned", Value: float64(least), In: "MB", Budget: budgetMemory,
+			Measure: "memory that limits.For wants for 3,667 client connections", Sizes: "reckoned", Value: float64(minMemoryMB), ValueUnit: "MB", Budget: budgetMemory,
 			Note: fmt.Sprintf("256 MB allow %d clients and %d to nodes", wide.Clients.Conns, wide.Nodes.Conns),
 		},
 		{
-			Measure: "sockets that limits.For wants to keep 3,667 idle clients", Sizes: "reckoned", Value: float64(files), In: "descriptors",
+			Measure: "sockets that limits.For wants to keep 3,667 idle clients", Sizes: "reckoned", Value: float64(minSockets), ValueUnit: "descriptors",
 			Note: fmt.Sprintf("192 MB and 1,024 sockets allow %d clients, %d of them kept idle, %d to nodes",
 				today.Clients.Conns, today.Clients.KeptConns, today.Nodes.Conns),
 		},
--- a/internal/lab/processes/meter.go
+++ b/internal/lab/processes/meter.go
@@ -9,21 +9,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// host returns a loopback address derived from the process id, so that no other process takes a port that was released.
-func host() string {
+// ownHost returns a loopback address derived from the process id, so that no other process takes a port that was released.
+func ownHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 128+pid>>16&0x3f, pid>>8&0xff, pid&0xff)
 }
 
 // Range of ports for fronts, which listen on them later: below the kernel's ephemeral ports.
-const firstPort, lastPort = 12_000, 32_000
+const minPort, maxPort = 12_000, 32_000
 
 var ports atomic.Int64
 
-// ownAddress returns an address for one front. It isn't tested by listening on it: a process started at the same time would
+// newAddress returns an address for one front. It isn't tested by listening on it: a process started at the same time would
 // inherit the socket for a moment, and the front would find its address in use.
-func ownAddress() string {
-	return fmt.Sprintf("%s:%d", host(), firstPort+ports.Add(1)%(lastPort-firstPort))
+func newAddress() string {
+	return fmt.Sprintf("%s:%d", ownHost(), minPort+ports.Add(1)%(maxPort-minPort))
 }
 
 // meter is a listener that counts connections and their bytes. Nil counters are skipped.
@@ -31,12 +31,12 @@
 	net.Listener
 	opened, open, sent, received *atomic.Int64
 	wire                         *atomic.Int64 // bytes in both directions, IP and TCP headers included, of closed connections
-	wired                        *atomic.Bool  // only connections accepted while this is set count in wire
+	countsWire                   *atomic.Bool  // only connections accepted while this is set count in wire
 }
 
-func add(to *atomic.Int64, n int) {
-	if to != nil {
-		to.Add(int64(n))
+func addTo(counter *atomic.Int64, n int) {
+	if counter != nil {
+		counter.Add(int64(n))
 	}
 }
 
@@ -46,35 +46,35 @@
 	if err != nil {
 		return nil, err
 	}
-	add(m.opened, 1)
-	add(m.open, 1)
-	return &meteredConn{Conn: c, meter: m, wired: m.wired != nil && m.wired.Load()}, nil
+	addTo(m.opened, 1)
+	addTo(m.open, 1)
+	return &meteredConn{Conn: c, meter: m, countsWire: m.countsWire != nil && m.countsWire.Load()}, nil
 }
 
 type meteredConn struct {
 	net.Conn
-	meter  *meter
-	wired  bool
-	closed atomic.Bool
+	meter      *meter
+	countsWire bool
+	closed     atomic.Bool
 }
 
 func (c *meteredConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	add(c.meter.received, n)
+	addTo(c.meter.received, n)
 	return n, err
 }
 
 func (c *meteredConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	add(c.meter.sent, n)
+	addTo(c.meter.sent, n)
 	return n, err
 }
 
 // Close closes the connection and updates the counters on the first call.
 func (c *meteredConn) Close() error {
 	if !c.closed.Swap(true) {
-		add(c.meter.open, -1)
-		if c.wired {
+		addTo(c.meter.open, -1)
+		if c.countsWire {
 			c.meter.wire.Add(wireBytes(c.Conn))
 		}
 	}
@@ -82,9 +82,9 @@
 }
 
 const (
-	segmentHead   = 52 // bytes of IPv4 and TCP headers per segment, TCP timestamps included
-	lastSegments  = 2  // the FIN of this side and its acknowledgment
-	handshakeMore = 16 // extra bytes of the two SYN segments of a handshake
+	segmentHeaderBytes = 52 // bytes of IPv4 and TCP headers per segment, TCP timestamps included
+	closingSegments    = 2  // the FIN of this side and its acknowledgment
+	synExtraBytes      = 16 // extra bytes of the two SYN segments of a handshake
 )
 
 // wireBytes returns the bytes of a connection in both directions, by the kernel's count of its segments and with the segments
@@ -102,8 +102,8 @@
 	raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil {
-			segments := int64(info.Segs_in) + int64(info.Segs_out) + lastSegments
-			total = segments*segmentHead + handshakeMore + int64(info.Bytes_received) + int64(info.Bytes_acked)
+			segments := int64(info.Segs_in) + int64(info.Segs_out) + closingSegments
+			total = segments*segmentHeaderBytes + synExtraBytes + int64(info.Bytes_received) + int64(info.Bytes_acked)
 		}
 	})
 	return total
--- a/internal/lab/processes/nodes.go
+++ b/internal/lab/processes/nodes.go
@@ -13,40 +13,40 @@
 // Node is a stand-in that answers each request at once and counts its input. It does without the model of a node's cores and
 // queues (package model), because the cost of the front is measured, not the service that it gets.
 type Node struct {
-	Addr     string
-	Mute     atomic.Bool  // the node accepts connections and requests but answers nothing
-	Holds    atomic.Bool  // the node answers probes but not attempts
-	Opened   atomic.Int64 // connections so far
-	Open     atomic.Int64 // connections now
-	Requests atomic.Int64 // attempts received
-	Probes   atomic.Int64 // probes received
-	Received atomic.Int64 // bytes received
-	Wire     atomic.Int64 // bytes of closed connections that began while Mute was set, both ways, IP and TCP headers included
-
-	work func(*http.Request) time.Duration // working time of an attempt, nil for none; set before the first attempt
+	Addr          string
+	Silent        atomic.Bool  // the node accepts connections and requests but answers nothing
+	HoldsAttempts atomic.Bool  // the node answers probes but not attempts
+	Opened        atomic.Int64 // connections so far
+	Open          atomic.Int64 // connections now
+	Requests      atomic.Int64 // attempts received
+	Probes        atomic.Int64 // probes received
+	Received      atomic.Int64 // bytes received
+	Wire          atomic.Int64 // bytes of closed connections that began while Mute was set, both ways, IP and TCP headers included
+
+	workTime func(*http.Request) time.Duration // working time of an attempt, nil for none; set before the first attempt
 
 	mu     sync.Mutex
 	server *http.Server
-	seen   map[string]span // by the front's mark in request ids
+	seen   map[string]attemptSpan // by the front's mark in request ids
 }
 
-// span holds the times of a front's first and last attempt.
-type span struct{ first, last time.Time }
+// attemptSpan holds the times of a front's first and last attempt.
+type attemptSpan struct{ first, last time.Time }
 
 // answerBytes is the size of each answer's body.
 const answerBytes = 1 << 10
 
 var answerBody = make([]byte, answerBytes)
 
-// quiet discards the log of a node's server: broken client connections are expected.
-var quiet = log.New(io.Discard, "", 0)
+// discardLog discards the log of a node's server: broken client connections are expected.
+var discardLog = log.New(io.Discard, "", 0)
 
 // startNodes starts many nodes at separate addresses.
-func startNodes(many int) ([]*Node, error) {
+func startNodes(count int) ([]*Node, error) {
 	var nodes []*Node
-	for range many {
-		n := &Node{Addr: host() + ":0", seen: map[string]span{}}
-		if err := n.begin(); err != nil {
+	for range count {
+		n := &Node{Addr: ownHost() + ":0", seen: map[string]attemptSpan{}}
+		if err := n.start(); err != nil {
 			closeNodes(nodes)
 			return nil, err
 		}
@@ -55,23 +55,23 @@
 	return nodes, nil
 }
 
-// begin starts the node's server, after a kill at the same address as before.
-func (n *Node) begin() error {
+// start starts the node's server, after a kill at the same address as before.
+func (n *Node) start() error {
 	l, err := net.Listen("tcp", n.Addr)
 	if err != nil {
 		return err
 	}
 	n.Addr = l.Addr().String()
-	server := &http.Server{Handler: n, ErrorLog: quiet}
+	server := &http.Server{Handler: n, ErrorLog: discardLog}
 	n.mu.Lock()
 	n.server = server
 	n.mu.Unlock()
-	go server.Serve(&meter{Listener: l, opened: &n.Opened, open: &n.Open, received: &n.Received, wire: &n.Wire, wired: &n.Mute})
+	go server.Serve(&meter{Listener: l, opened: &n.Opened, open: &n.Open, received: &n.Received, wire: &n.Wire, countsWire: &n.Silent})
 	return nil
 }
 
-// kill stops the node's server: its connections break, and new ones are refused.
-func (n *Node) kill() {
+// stop stops the node's server: its connections break, and new ones are refused.
+func (n *Node) stop() {
 	n.mu.Lock()
 	server := n.server
 	n.mu.Unlock()
@@ -80,7 +80,7 @@
 
 func closeNodes(nodes []*Node) {
 	for _, n := range nodes {
-		n.kill()
+		n.stop()
 	}
 }
 
@@ -93,11 +93,11 @@
 	return out
 }
 
-// listed returns entries of many nodes without a listener, which get no requests.
-func listed(many int) []Entry {
+// unusedEntries returns entries of many nodes without a listener, which get no requests.
+func unusedEntries(count int) []Entry {
 	var out []Entry
-	for i := range many {
-		out = append(out, entry(i, nowhere))
+	for i := range count {
+		out = append(out, entry(i, unusedAddress))
 	}
 	return out
 }
@@ -106,16 +106,16 @@
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/health" {
 		n.Probes.Add(1)
-		n.answer(w, r, nil, n.Mute.Load())
+		n.answer(w, r, nil, n.Silent.Load())
 		return
 	}
 	n.Requests.Add(1)
-	n.note(frontOf(r), time.Now())
+	n.recordAttempt(idPrefixOf(r), time.Now())
 	io.Copy(io.Discard, r.Body)
-	if n.work != nil {
-		time.Sleep(n.work(r))
+	if n.workTime != nil {
+		time.Sleep(n.workTime(r))
 	}
-	n.answer(w, r, answerBody, n.Mute.Load() || n.Holds.Load())
+	n.answer(w, r, answerBody, n.Silent.Load() || n.HoldsAttempts.Load())
 }
 
 // answer writes the body, or waits until the front ends the request if holds is set.
@@ -127,7 +127,7 @@
 	w.Write(body)
 }
 
-func (n *Node) note(front string, at time.Time) {
+func (n *Node) recordAttempt(front string, at time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s, known := n.seen[front]
@@ -138,8 +138,8 @@
 	n.seen[front] = s
 }
 
-// came returns the times of a front's first and last attempt, and whether there was any.
-func (n *Node) came(front string) (span, bool) {
+// attemptTimes returns the times of a front's first and last attempt, and whether there was any.
+func (n *Node) attemptTimes(front string) (attemptSpan, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s, known := n.seen[front]
--- a/internal/lab/processes/processes.go
+++ b/internal/lab/processes/processes.go
@@ -74,13 +74,13 @@
 
 // Measures holds all measurements in the order in which they run.
 var Measures = []Measure{
-	{"requests", (*Lab).requests},
-	{"memory", (*Lab).memory},
-	{"changes", (*Lab).changes},
-	{"idle", (*Lab).idle},
-	{"silent", (*Lab).silent},
-	{"connections", (*Lab).connections},
-	{"compare", (*Lab).compare},
+	{"requests", (*Lab).measureRequests},
+	{"memory", (*Lab).measureMemory},
+	{"changes", (*Lab).measureChanges},
+	{"idle", (*Lab).measureIdle},
+	{"silent", (*Lab).measureSilent},
+	{"connections", (*Lab).measureConnections},
+	{"compare", (*Lab).compareWithHollow},
 }
 
 // Run runs the named measurements, or all if no name is given, in sequence. After a failure it returns the error with the rows
@@ -114,10 +114,10 @@
 
 func (l *Lab) logf(format string, values ...any) { fmt.Fprintf(l.Log, format+"\n", values...) }
 
-// rest waits for a time, or until ctx ends.
-func rest(ctx context.Context, wait time.Duration) {
+// wait waits for a time, or until ctx ends.
+func wait(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(wait):
+	case <-time.After(duration):
 	}
 }
--- a/internal/lab/processes/processes_test.go
+++ b/internal/lab/processes/processes_test.go
@@ -28,8 +28,8 @@
 	os.Exit(m.Run())
 }
 
-// lab returns a Lab with few small sizes.
-func lab(t *testing.T) *Lab {
+// testLab returns a Lab with few small sizes.
+func testLab(t *testing.T) *Lab {
 	t.Helper()
 	return &Lab{
 		Program: os.Args[0], Env: []string{asFront + "=1"}, Log: logWriter{t}, dir: t.TempDir(),
@@ -47,8 +47,8 @@
 
 // Ten times the request rate takes more processor time. The test doesn't ask for ten times as much, because a slow machine
 // serves fewer requests than wanted.
-func TestRequestsTakeProcessorTime(t *testing.T) {
-	points, err := lab(t).rates(t.Context())
+func TestHigherRateTakesMoreProcessorTime(t *testing.T) {
+	points, err := testLab(t).measureRates(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,16 +60,16 @@
 
 // Each connection with a held request takes memory and a descriptor.
 func TestConnectionsTakeMemoryAndDescriptors(t *testing.T) {
-	l, many := lab(t), 300
-	held := kinds[1]
-	if !held.held || !held.full {
+	l, many := testLab(t), 300
+	held := connectionStates[1]
+	if !held.held || !held.wholeRequest {
 		t.Fatalf("%s: not the kind with held requests", held.name)
 	}
-	none, err := l.connected(t.Context(), held, 0)
+	none, err := l.usageWithClients(t.Context(), held, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	some, err := l.connected(t.Context(), held, many)
+	some, err := l.usageWithClients(t.Context(), held, many)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,21 +79,21 @@
 }
 
 // After a change discovery sends each front the changed entries; after SIGHUP it sends each front the whole list.
-func TestLinesOfAChange(t *testing.T) {
-	for _, asked := range []bool{false, true} {
+func TestEntriesSentForChangeAndReload(t *testing.T) {
+	for _, onRequest := range []bool{false, true} {
 		const fronts, listed = 2, 30
-		pushed, reread, err := lab(t).change(t.Context(), asked, fronts, listed)
+		pushed, reloaded, err := testLab(t).measureChange(t.Context(), onRequest, fronts, listed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if pushed.lines < 2*fronts || reread.lines < fronts*listed || reread.bytes < 5*pushed.bytes {
-			t.Errorf("asked %v: change %+v, SIGHUP %+v", asked, pushed, reread)
+		if pushed.entries < 2*fronts || reloaded.entries < fronts*listed || reloaded.bytes < 5*pushed.bytes {
+			t.Errorf("asked %v: change %+v, SIGHUP %+v", onRequest, pushed, reloaded)
 		}
 	}
 }
 
 // A relayed message arrives from the address that the recipient has for the sender.
-func TestRelayKeepsWhoSaidIt(t *testing.T) {
+func TestRelayKeepsSenderAddress(t *testing.T) {
 	r, err := newRelay(3)
 	if err != nil {
 		t.Fatal(err)
@@ -109,38 +109,38 @@
 		return c
 	}
 	first, last := hears(0), hears(2)
-	to, err := net.ResolveUDPAddr("udp4", r.peers(0)[2])
+	to, err := net.ResolveUDPAddr("udp4", r.peersOf(0)[2])
 	if err != nil {
 		t.Fatal(err)
 	}
 	first.WriteTo([]byte("hello"), to)
 	text := make([]byte, 16)
 	n, from, err := last.ReadFrom(text)
-	if err != nil || string(text[:n]) != "hello" || from.String() != r.peers(2)[0] {
-		t.Errorf("received %q from %v, error %v; the sender's address is %s", text[:n], from, err, r.peers(2)[0])
+	if err != nil || string(text[:n]) != "hello" || from.String() != r.peersOf(2)[0] {
+		t.Errorf("received %q from %v, error %v; the sender's address is %s", text[:n], from, err, r.peersOf(2)[0])
 	}
 	if r.Messages.Load() != 1 || r.Bytes.Load() != int64(n) {
 		t.Errorf("relay counted %d messages, %d bytes", r.Messages.Load(), r.Bytes.Load())
 	}
 }
 
-func TestFit(t *testing.T) {
+func TestFitOfLinesAndQuadraticGrowth(t *testing.T) {
 	x := []float64{1, 2, 3, 4}
 	straight := fit(x, []float64{5, 7, 9, 11})
-	if math.Abs(straight.Slope-2) > 1e-9 || math.Abs(straight.Intercept-3) > 1e-9 || straight.Error > 1e-9 || straight.Faster {
+	if math.Abs(straight.Slope-2) > 1e-9 || math.Abs(straight.Intercept-3) > 1e-9 || straight.SlopeError > 1e-9 || straight.Superlinear {
 		t.Errorf("points on a line: %+v", straight)
 	}
 	rough := fit(x, []float64{1, 3, 3, 5.5})
-	if want := math.Sqrt(rough.Residual * rough.Residual / 5); math.Abs(rough.Slope-1.35) > 1e-9 || math.Abs(rough.Error-want) > 1e-9 {
+	if want := math.Sqrt(rough.Residual * rough.Residual / 5); math.Abs(rough.Slope-1.35) > 1e-9 || math.Abs(rough.SlopeError-want) > 1e-9 {
 		t.Errorf("points off a line: %+v", rough)
 	}
-	if !fit([]float64{1, 2, 3, 4, 8}, []float64{1, 2.01, 3, 4, 64}).Faster {
+	if !fit([]float64{1, 2, 3, 4, 8}, []float64{1, 2.01, 3, 4, 64}).Superlinear {
 		t.Error("quadratic growth was not detected")
 	}
 }
 
 // Run accepts the name of a measurement, and the error of a failed one begins with its name.
-func TestMeasuresAreNamed(t *testing.T) {
+func TestRunNamesFailedMeasurement(t *testing.T) {
 	ended, end := context.WithCancel(t.Context())
 	end()
 	l := &Lab{Program: "/nowhere/otterturn", Plan: Full(), Log: io.Discard}
--- a/internal/lab/processes/relay.go
+++ b/internal/lab/processes/relay.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// longestMessage is the buffer size for a message between fronts, in bytes.
-const longestMessage = 2048
+// maxMessageBytes is the buffer size for a message between fronts, in bytes.
+const maxMessageBytes = 2048
 
 // relay forwards messages between fronts and counts them. It has one socket for each ordered pair of fronts, whose address
 // stands for the one front in the other's list of peers.
@@ -20,12 +20,12 @@
 }
 
 // newRelay opens the sockets for many fronts and starts forwarding.
-func newRelay(many int) (*relay, error) {
-	r := &relay{sockets: make([][]*net.UDPConn, many)}
-	for i := range many {
-		r.fronts = append(r.fronts, netip.MustParseAddrPort(ownAddress()))
-		for range many {
-			c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(host())})
+func newRelay(count int) (*relay, error) {
+	r := &relay{sockets: make([][]*net.UDPConn, count)}
+	for i := range count {
+		r.fronts = append(r.fronts, netip.MustParseAddrPort(newAddress()))
+		for range count {
+			c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ownHost())})
 			if err != nil {
 				r.close()
 				return nil, fmt.Errorf("relay: %w", err)
@@ -33,20 +33,20 @@
 			r.sockets[i] = append(r.sockets[i], c)
 		}
 	}
-	for i := range many {
-		for j := range many {
-			go r.pass(i, j)
+	for i := range count {
+		for j := range count {
+			go r.forward(i, j)
 		}
 	}
 	return r, nil
 }
 
-// peers returns the list of peers of a front: its own address, and the relay's addresses in place of the others.
-func (r *relay) peers(of int) []string {
+// peersOf returns the list of peers of a front: its own address, and the relay's addresses in place of the others.
+func (r *relay) peersOf(front int) []string {
 	var out []string
-	for j, c := range r.sockets[of] {
-		if j == of {
-			out = append(out, r.fronts[of].String())
+	for j, c := range r.sockets[front] {
+		if j == front {
+			out = append(out, r.fronts[front].String())
 			continue
 		}
 		out = append(out, c.LocalAddr().String())
@@ -54,9 +54,9 @@
 	return out
 }
 
-// pass forwards messages from one front to another until the relay is closed.
-func (r *relay) pass(from, to int) {
-	buffer := make([]byte, longestMessage)
+// forward forwards messages from one front to another until the relay is closed.
+func (r *relay) forward(from, to int) {
+	buffer := make([]byte, maxMessageBytes)
 	for {
 		n, _, err := r.sockets[from][to].ReadFromUDPAddrPort(buffer)
 		if err != nil {
--- a/internal/lab/processes/report.go
+++ b/internal/lab/processes/report.go
@@ -9,14 +9,14 @@
 
 // Row is a result: the line through the measured points, and its value at the size of the whole fleet.
 type Row struct {
-	Measure string
-	Sizes   string  // measured sizes
-	Fit     Fit     // without points if the value was measured once, at the size of the fleet
-	Unit    string  // of the slope
-	Value   float64 // at the size of the fleet
-	In      string  // unit of the value and of the budget
-	Budget  float64 // 0 for none
-	Note    string
+	Measure   string
+	Sizes     string  // measured sizes
+	Fit       Fit     // without points if the value was measured once, at the size of the fleet
+	SlopeUnit string  // of the slope
+	Value     float64 // at the size of the fleet
+	ValueUnit string  // unit of the value and of the budget
+	Budget    float64 // 0 for none
+	Note      string
 }
 
 // Ratio returns the value divided by its budget, 0 without a budget.
@@ -27,27 +27,27 @@
 	return r.Value / r.Budget
 }
 
-// columns holds the headings of the table.
-var columns = []string{"measure", "sizes", "slope", "residual", "at 1,200 x 1,800", "budget", "ratio", "note"}
+// headings holds the headings of the table.
+var headings = []string{"measure", "sizes", "slope", "residual", "at 1,200 x 1,800", "budget", "ratio", "note"}
 
 // cells returns the texts of a row's cells.
 func (r Row) cells() []string {
 	slope, residual, budget, ratio := "measured at size", "", "none", ""
 	if r.Fit.Points > 0 {
-		slope = fmt.Sprintf("%s ± %s %s", short(r.Fit.Slope), short(r.Fit.Error), r.Unit)
-		residual = short(r.Fit.Residual)
-		if r.Fit.Faster {
+		slope = fmt.Sprintf("%s ± %s %s", formatNumber(r.Fit.Slope), formatNumber(r.Fit.SlopeError), r.SlopeUnit)
+		residual = formatNumber(r.Fit.Residual)
+		if r.Fit.Superlinear {
 			residual += ", grows faster than linearly"
 		}
 	}
 	if r.Budget > 0 {
-		budget, ratio = short(r.Budget)+" "+r.In, short(r.Ratio())
+		budget, ratio = formatNumber(r.Budget)+" "+r.ValueUnit, formatNumber(r.Ratio())
 	}
-	return []string{r.Measure, r.Sizes, slope, residual, short(r.Value) + " " + r.In, budget, ratio, r.Note}
+	return []string{r.Measure, r.Sizes, slope, residual, formatNumber(r.Value) + " " + r.ValueUnit, budget, ratio, r.Note}
 }
 
-// short formats a number with three significant digits, from 100 as an integer.
-func short(v float64) string {
+// shortfallNote formats a number with three significant digits, from 100 as an integer.
+func formatNumber(v float64) string {
 	if math.IsNaN(v) {
 		return "?"
 	}
@@ -59,7 +59,7 @@
 
 // Markdown writes rows as a table.
 func Markdown(out io.Writer, rows []Row) {
-	fmt.Fprintf(out, "| %s |\n|%s\n", strings.Join(columns, " | "), strings.Repeat(" --- |", len(columns)))
+	fmt.Fprintf(out, "| %s |\n|%s\n", strings.Join(headings, " | "), strings.Repeat(" --- |", len(headings)))
 	for _, r := range rows {
 		fmt.Fprintf(out, "| %s |\n", strings.Join(r.cells(), " | "))
 	}
@@ -87,11 +87,11 @@
 	if worst.Budget == 0 {
 		return "worst ratio: none, as no row has a budget"
 	}
-	return fmt.Sprintf("worst ratio: %s, %s: %s %s of %s", short(worst.Ratio()), worst.Measure, short(worst.Value), worst.In, short(worst.Budget))
+	return fmt.Sprintf("worst ratio: %s, %s: %s %s of %s", formatNumber(worst.Ratio()), worst.Measure, formatNumber(worst.Value), worst.ValueUnit, formatNumber(worst.Budget))
 }
 
-// sizes formats the measured sizes.
-func sizes[T any](all []T, of string) string {
+// formatSizes formats the measured sizes.
+func formatSizes[T any](all []T, of string) string {
 	var words []string
 	for _, v := range all {
 		words = append(words, fmt.Sprint(v))
@@ -99,8 +99,8 @@
 	return strings.Join(words, ", ") + " " + of
 }
 
-// floats converts numbers for a fit.
-func floats[T int | int64 | float64](all []T) []float64 {
+// toFloats converts numbers for a fit.
+func toFloats[T int | int64 | float64](all []T) []float64 {
 	var out []float64
 	for _, v := range all {
 		out = append(out, float64(v))
--- a/internal/lab/processes/requests.go
+++ b/internal/lab/processes/requests.go
@@ -8,9 +8,9 @@
 	"otterturn/internal/lab/load"
 )
 
-// requests measures the processor time of a request: one front is loaded at several rates in sequence.
-func (l *Lab) requests(ctx context.Context) ([]Row, error) {
-	points, err := l.rates(ctx)
+// measureRequests measures the processor time of a request: one front is loaded at several rates in sequence.
+func (l *Lab) measureRequests(ctx context.Context) ([]Row, error) {
+	points, err := l.measureRates(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -19,51 +19,51 @@
 		served, taken = append(served, p.served), append(taken, p.processor)
 	}
 	f := fit(served, taken)
-	rates := sizes(l.Plan.Rates, "requests a second")
+	rates := formatSizes(l.Plan.Rates, "requests a second")
 	percent := func(microseconds float64) float64 { return microseconds / 1e4 }
 	return []Row{
 		{
-			Measure: "processor time of a request", Sizes: rates, Fit: f, Unit: "us a request", Value: percent(f.At(sizeRate)), In: "% of a core",
+			Measure: "processor time of a request", Sizes: rates, Fit: f, SlopeUnit: "us a request", Value: percent(f.At(sizeRate)), ValueUnit: "% of a core",
 			Budget: budgetCore, Note: "at 708 requests a second; the data path's own core, not control's 5%",
 		},
 		{
-			Measure: "processor time without requests, by the same line", Sizes: rates, Value: percent(f.Intercept), In: "% of a core",
+			Measure: "processor time without requests, by the same line", Sizes: rates, Value: percent(f.Intercept), ValueUnit: "% of a core",
 			Note: "the line's height at 0 requests: few requests share fewer wakeups. What control takes is measured when idle",
 		},
 	}, nil
 }
 
-// point is the usage of a front at one request rate.
-type point struct {
+// ratePoint is the usage of a front at one request rate.
+type ratePoint struct {
 	wanted    float64 // requests per second
 	served    float64 // requests per second that were served
 	processor float64 // microseconds of processor time per second
 }
 
-// most is the share of the wanted rate that has to be served for a point to be reliable.
-const most = 0.95
+// minServedShare is the share of the wanted rate that has to be served for a point to be reliable.
+const minServedShare = 0.95
 
-// short returns a remark if too few of the wanted requests were served.
-func (p point) short() string {
-	if p.served >= most*p.wanted {
+// shortfallNote returns a remark if too few of the wanted requests were served.
+func (p ratePoint) shortfallNote() string {
+	if p.served >= minServedShare*p.wanted {
 		return ""
 	}
 	return fmt.Sprintf("; only %.0f%% of the wanted rate came about on a busy machine: not to be relied on", 100*p.served/p.wanted)
 }
 
-// rates measures one front at each rate of the plan.
-func (l *Lab) rates(ctx context.Context) ([]point, error) {
-	front, nodes, end, err := l.beforeNodes(ctx, l.Plan.Nodes)
+// measureRates measures one front at each rate of the plan.
+func (l *Lab) measureRates(ctx context.Context) ([]ratePoint, error) {
+	front, nodes, stop, err := l.startFrontAndNodes(ctx, l.Plan.Nodes)
 	if err != nil {
 		return nil, err
 	}
-	defer end()
-	if _, err := front.ask(ctx, l.Plan.Rates[len(l.Plan.Rates)-1], l.Plan.Span/3, len(nodes)); err != nil { // warm-up: the heap grows and connections open
+	defer stop()
+	if _, err := front.sendLoad(ctx, l.Plan.Rates[len(l.Plan.Rates)-1], l.Plan.Span/3, len(nodes)); err != nil { // warm-up: the heap grows and connections open
 		return nil, err
 	}
-	var points []point
+	var points []ratePoint
 	for _, rate := range l.Plan.Rates {
-		p, err := l.rate(ctx, front, rate, l.Plan.Span, len(nodes))
+		p, err := l.measureRate(ctx, front, rate, l.Plan.Span, len(nodes))
 		if err != nil {
 			return nil, err
 		}
@@ -72,51 +72,51 @@
 	return points, nil
 }
 
-// rate measures a front at one request rate.
-func (l *Lab) rate(ctx context.Context, front *Front, rate float64, span time.Duration, shards int) (point, error) {
+// measureRate measures a front at one request rate.
+func (l *Lab) measureRate(ctx context.Context, front *Front, rate float64, span time.Duration, shards int) (ratePoint, error) {
 	before, err := front.Usage()
 	if err != nil {
-		return point{}, err
+		return ratePoint{}, err
 	}
 	began := time.Now()
-	p, err := front.ask(ctx, rate, span, shards)
+	progress, err := front.sendLoad(ctx, rate, span, shards)
 	if err != nil {
-		return point{}, err
+		return ratePoint{}, err
 	}
 	after, err := front.Usage()
 	seconds := time.Since(began).Seconds()
 	taken := after.Since(before)
-	out := point{wanted: rate, served: float64(p.Ended[load.Served]) / seconds, processor: float64(taken.Processor.Microseconds()) / seconds}
+	out := ratePoint{wanted: rate, served: float64(progress.Ended[load.Served]) / seconds, processor: float64(taken.Processor.Microseconds()) / seconds}
 	l.logf("%.0f requests per second wanted, %d nodes: %.0f served per second, %d refused, %d failed; %.2f%% of a core, %.0f us per request; %.1f MB",
-		rate, shards, out.served, p.Ended[load.Refused], p.Ended[load.Failed], out.processor/1e4, out.processor/out.served, megabytes(after.Resident))
+		rate, shards, out.served, progress.Ended[load.Refused], progress.Ended[load.Failed], out.processor/1e4, out.processor/out.served, megabytes(after.Resident))
 	return out, err
 }
 
-// beforeNodes starts many nodes and a front with ample limits that uses them; end stops all of them.
-func (l *Lab) beforeNodes(ctx context.Context, many int) (front *Front, nodes []*Node, end func(), err error) {
-	nodes, err = startNodes(many)
+// startFrontAndNodes starts many nodes and a front with ample limits that uses them; end stops all of them.
+func (l *Lab) startFrontAndNodes(ctx context.Context, count int) (front *Front, nodes []*Node, stop func(), err error) {
+	nodes, err = startNodes(count)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	front, endFront, err := l.before(ctx, entries(nodes), wideMemoryMB, wideSockets)
+	front, stopFront, err := l.startFrontFor(ctx, entries(nodes), ampleMemoryMB, ampleSockets)
 	if err != nil {
 		closeNodes(nodes)
 		return nil, nil, nil, err
 	}
 	return front, nodes, func() {
-		endFront()
+		stopFront()
 		closeNodes(nodes)
 	}, nil
 }
 
-// before starts one front that uses nodes, and a discovery with the same list.
-func (l *Lab) before(ctx context.Context, nodes []Entry, memoryMB, sockets int) (*Front, func(), error) {
+// startFrontFor starts one front that uses nodes, and a discovery with the same list.
+func (l *Lab) startFrontFor(ctx context.Context, nodes []Entry, memoryMB, sockets int) (*Front, func(), error) {
 	d, err := startDiscovery(nodes)
 	if err != nil {
 		return nil, nil, err
 	}
 	front, err := l.start(ctx, config{
-		discovery: d.Addr, fronts: 1, memoryMB: memoryMB, sockets: sockets, giveUp: patience,
+		discovery: d.Addr, fronts: 1, memoryMB: memoryMB, sockets: sockets, clientTimeout: defaultClientTimeout,
 		nodes: nodes, shards: len(nodes),
 	})
 	if err != nil {
--- a/internal/lab/processes/usage.go
+++ b/internal/lab/processes/usage.go
@@ -36,8 +36,8 @@
 	if err != nil {
 		return Usage{}, err
 	}
-	resident, err1 := kilobytes(memory, "Rss:")
-	anonymous, err2 := kilobytes(memory, "Anonymous:")
+	resident, err1 := fieldBytes(memory, "Rss:")
+	anonymous, err2 := fieldBytes(memory, "Anonymous:")
 	u.Resident, u.Anonymous = resident, anonymous
 	descriptors, err3 := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	u.Descriptors = len(descriptors)
@@ -75,7 +75,7 @@
 	return nil
 }
 
-func kilobytes(text []byte, name string) (int64, error) {
+func fieldBytes(text []byte, name string) (int64, error) {
 	n, err := field(text, name)
 	return n << 10, err
 }
