--- a/internal/lab/processes/changes.go
+++ b/internal/lab/processes/changes.go
@@ -10,7 +10,7 @@
 
 const (
 	observationRate = 200.0                  // maximum requests per second per front; they show to 5 ms when a change takes effect
-	maxTotalRate    = 1600.0                 // and of all fronts: more would load the machine and distort the figures
+	maxTotalRate    = 1600.0                 // maximum of all fronts: more would load the machine and distort the figures
 	maxLoadTime     = 60 * time.Second       // maximum duration of the requests
 	lastRequestWait = 300 * time.Millisecond // wait after a change, to see the last requests at the former node
 	baseListLength  = 112
@@ -54,26 +54,29 @@
 	return append(rows, l.listLengthRows(byLength)...), nil
 }
 
-// measureChange starts fronts that all request one shard from one node. First discovery reports that a second node has the shard.
-// Then SIGHUP switches the fronts to another discovery, which lists a third node for it.
+// measureChange starts fronts that all request one shard from one node. First discovery reports that a second node has the
+// shard. Then SIGHUP switches the fronts to another discovery, which lists a third node for it.
 func (l *Lab) measureChange(ctx context.Context, onRequest bool, count, listLength int) (pushed, reloaded changeCost, err error) {
 	nodes, err := startNodes(3)
 	if err != nil {
 		return changeCost{}, changeCost{}, err
 	}
 	defer closeNodes(nodes)
-	at := func(n int, name string) Entry {
+	entryOf := func(n int, name string) Entry {
 		e := entry(0, nodes[n].Addr)
 		e.Host = name
 		return e
 	}
-	list := listBeginningWith(listLength, at(0, "s-first"))
+	list := listBeginningWith(listLength, entryOf(0, "s-first"))
 	before, err := l.startDiscoveries(onRequest, count, list)
 	defer closeDiscoveries(before)
 	if err != nil {
 		return changeCost{}, changeCost{}, err
 	}
-	c := config{onRequest: onRequest, memoryMB: todayMemoryMB, sockets: todaySockets, clientTimeout: defaultClientTimeout, nodes: list, shards: listLength}
+	c := config{
+		onRequest: onRequest, memoryMB: todayMemoryMB, sockets: todaySockets, clientTimeout: defaultClientTimeout, nodes: list,
+		shards: listLength,
+	}
 	fronts, err := l.startAll(ctx, count, c, func(c *config) { c.discovery = before[c.number%len(before)].Addr })
 	if err != nil {
 		return changeCost{}, changeCost{}, err
@@ -89,17 +92,17 @@
 	if err := l.awaitWatches(ctx, fronts, before, nodes[0]); err != nil {
 		return changeCost{}, changeCost{}, err
 	}
-	removed := at(0, "s-first")
+	removed := entryOf(0, "s-first")
 	removed.Health = "removed"
 	if pushed, err = l.measureSwitch(ctx, fronts, before, nodes[0], nodes[1], func() error {
 		for _, d := range before {
-			d.Change(removed, at(1, "s-second"))
+			d.Change(removed, entryOf(1, "s-second"))
 		}
 		return nil
 	}); err != nil {
 		return changeCost{}, changeCost{}, err
 	}
-	after, err := l.startDiscoveries(onRequest, count, listBeginningWith(listLength, at(2, "s-third")))
+	after, err := l.startDiscoveries(onRequest, count, listBeginningWith(listLength, entryOf(2, "s-third")))
 	defer closeDiscoveries(after)
 	if err != nil {
 		return changeCost{}, changeCost{}, err
@@ -121,11 +124,12 @@
 }
 
 func (l *Lab) logChange(onRequest bool, how string, cost changeCost) {
-	l.logf("%d fronts, %d nodes listed, %s, %s: in effect within %s ms, last request at the former node after %s ms; %d calls, %d lines, %d bytes",
-		cost.fronts, cost.listedNodes, modeName(onRequest), how, formatNumber(slices.Max(cost.newNodeMs)), formatNumber(slices.Max(cost.oldNodeMs)), cost.calls, cost.entries, cost.bytes)
+	l.logf("%d fronts, %d nodes listed, %s, %s: in effect within %s ms, last at the former node after %s ms; %d calls, %d entries, %d bytes",
+		cost.fronts, cost.listedNodes, modeName(onRequest), how, formatNumber(slices.Max(cost.newNodeMs)),
+		formatNumber(slices.Max(cost.oldNodeMs)), cost.calls, cost.entries, cost.bytes)
 }
 
-// listBeginningWith returns a list of many nodes that begins with first; the others are unreachable.
+// listBeginningWith returns a list of count nodes that begins with first; the others are unreachable.
 func listBeginningWith(count int, first Entry) []Entry {
 	out := unusedEntries(count)
 	out[0] = first
@@ -139,11 +143,11 @@
 	}
 	var out []*Discovery
 	for range count {
-		d, err := startDiscovery(list)
+		discovery, err := startDiscovery(list)
 		if err != nil {
 			return out, err
 		}
-		out = append(out, d)
+		out = append(out, discovery)
 	}
 	return out, nil
 }
@@ -174,11 +178,13 @@
 	return nil
 }
 
-// switchDiscovery makes a change, waits until all fronts have switched from one node to the other, and returns what the change cost.
-func (l *Lab) measureSwitch(ctx context.Context, fronts []*Front, discoveries []*Discovery, from, to *Node, change func() error) (changeCost, error) {
+// measureSwitch makes a change, waits until all fronts have switched from one node to the other, and returns the cost.
+func (l *Lab) measureSwitch(ctx context.Context, fronts []*Front, sources []*Discovery, from, to *Node, do func() error) (changeCost,
+	error,
+) {
 	cost := changeCost{fronts: len(fronts)}
 	addCounters := func(sign int64) {
-		for _, d := range discoveries {
+		for _, d := range sources {
 			cost.calls += sign * d.CallsAnswered.Load()
 			cost.entries += sign * d.EntriesSent.Load()
 			cost.bytes += sign * d.BytesSent.Load()
@@ -186,7 +192,7 @@
 	}
 	addCounters(-1)
 	began := time.Now()
-	if err := change(); err != nil {
+	if err := do(); err != nil {
 		return cost, err
 	}
 	err := forEachFront(fronts, func(_ int, f *Front) error {
--- a/internal/lab/processes/clients.go
+++ b/internal/lab/processes/clients.go
@@ -26,7 +26,7 @@
 // exchangeTimeout is the time limit for connecting and for each exchange of a client.
 const exchangeTimeout = 30 * time.Second
 
-// connect adds connections until there are many, and calls do for each.
+// connect adds connections until there are count, and calls do for each.
 func (f *Front) connect(clients []*client, count int, do func(*client) error) ([]*client, error) {
 	for len(clients) < count {
 		c, err := net.DialTimeout("tcp", f.config.listen, exchangeTimeout)
--- a/internal/lab/processes/compare.go
+++ b/internal/lab/processes/compare.go
@@ -37,14 +37,14 @@
 		if err != nil {
 			return rows, err
 		}
-		hollowRuns, err := runHollow(s, hollowRuns)
+		runs, err := runHollow(s, hollowRunCount)
 		if err != nil {
 			return rows, err
 		}
 		row := func(what string, realValue float64, value func(hollow.PerFront) float64) Row {
 			return Row{
 				Measure: "real beside hollow, " + s.Name + ": " + what, Sizes: fmt.Sprintf("%d fronts, %d nodes, %.0f s", s.Fronts, s.Nodes, s.Span.Seconds()),
-				Value: realValue, ValueUnit: "a front", Note: describeAgreement(realValue, hollowRuns, value) + "; " + describeLateness(late, tries),
+				Value: realValue, ValueUnit: "a front", Note: describeAgreement(realValue, runs, value) + "; " + describeLateness(late, tries),
 			}
 		}
 		if s.Event == BecomesSilent {
--- a/internal/lab/processes/config.go
+++ b/internal/lab/processes/config.go
@@ -10,12 +10,12 @@
 
 // Entry is a node on discovery's list, in the platform's format.
 type Entry struct {
-	Host   string `json:"host"`
-	Dial   string `json:"dial"`
-	Site   string `json:"site"`
-	Block  int    `json:"block"` // the shard that the node has
-	Health string `json:"health"`
-	Born   int64  `json:"born_ms"`
+	Host    string `json:"host"`
+	Dial    string `json:"dial"`
+	Zone    string `json:"site"`
+	Shard   int    `json:"block"` // the shard that the node has
+	Health  string `json:"health"`
+	StartMs int64  `json:"born_ms"`
 
 	version int64 // version of the list with the latest change of the entry
 }
@@ -25,7 +25,10 @@
 
 // entry returns the entry of a running node with an old start time, so that fronts take it for warm.
 func entry(shard int, dial string) Entry {
-	return Entry{Host: fmt.Sprintf("s-%08x", shard), Dial: dial, Site: zones[shard%len(zones)], Block: shard, Health: "up", Born: oldStartMs}
+	return Entry{
+		Host: fmt.Sprintf("s-%08x", shard), Dial: dial, Zone: zones[shard%len(zones)], Shard: shard, Health: "up",
+		StartMs: oldStartMs,
+	}
 }
 
 // oldStartMs is the start time of nodes that have run for long, in Unix milliseconds.
@@ -42,7 +45,7 @@
 	memoryMB, sockets          int
 	clientTimeout              time.Duration // maximum wait of clients
 	traceGC                    bool          // the front logs its garbage collections
-	maxUnits                   int           // maximum of a request; 0 for one unit each
+	maxUnits                   int           // maximum units of a request; 0 for one unit each
 	nodes                      []Entry
 	shards                     int
 	peerListen                 string
--- a/internal/lab/processes/connections.go
+++ b/internal/lab/processes/connections.go
@@ -9,8 +9,8 @@
 	"otterturn/internal/net/protocol"
 )
 
-// measureConnections measures the cost of a kept connection to a node, and the rate of handshakes at the request rate of a pair of
-// front and node: with enough sockets to keep all connections, and with too few.
+// measureConnections measures the cost of a kept connection to a node, and the rate of handshakes at the request rate of a
+// pair of front and node: with enough sockets to keep all connections, and with too few.
 func (l *Lab) measureConnections(ctx context.Context) ([]Row, error) {
 	rows, err := l.measureKeptConnections(ctx)
 	if err != nil {
@@ -22,7 +22,7 @@
 
 // measureKeptConnections measures a front that keeps connections to more and more nodes.
 func (l *Lab) measureKeptConnections(ctx context.Context) ([]Row, error) {
-	front, _, stop, err := l.startFrontAndNodes(ctx, l.Plan.Kept)
+	front, _, stop, err := l.startFrontAndNodes(ctx, l.Plan.KeptNodes)
 	if err != nil {
 		return nil, err
 	}
@@ -38,9 +38,9 @@
 	}
 	var next atomic.Int64
 	var counts []int
-	var memory, files []float64
+	var memory, descriptors []float64
 	for quarter := range 5 {
-		upTo := int64(l.Plan.Kept * quarter / 4)
+		upTo := int64(l.Plan.KeptNodes * quarter / 4)
 		if err := forEachClient(clients, func(c *client) error { return front.requestEachShard(ctx, c, settings, &next, upTo) }); err != nil {
 			return nil, err
 		}
@@ -50,17 +50,19 @@
 			return nil, err
 		}
 		l.logf("%d nodes with a connection kept: %.1f MB, %d descriptors", upTo, megabytes(u.Resident), u.Descriptors)
-		counts, memory, files = append(counts, int(upTo)), append(memory, float64(u.Resident)), append(files, float64(u.Descriptors))
+		counts, memory, descriptors = append(counts, int(upTo)), append(memory, float64(u.Resident)), append(descriptors, float64(u.Descriptors))
 	}
-	sized := formatSizes(counts, "nodes")
-	m, d := fit(toFloats(counts), memory), fit(toFloats(counts), files)
+	sizeText := formatSizes(counts, "nodes")
+	memoryFit, descriptorFit := fit(toFloats(counts), memory), fit(toFloats(counts), descriptors)
 	return []Row{
 		{
-			Measure: "memory of a node with a connection kept to it", Sizes: sized, Fit: m, SlopeUnit: "bytes", Value: m.Slope * sizeNodes / (1 << 20), ValueUnit: "MB",
+			Measure: "memory of a node with a connection kept to it", Sizes: sizeText, Fit: memoryFit, SlopeUnit: "bytes",
+			Value: memoryFit.Slope * sizeNodes / (1 << 20), ValueUnit: "MB",
 			Budget: budgetMemory, Note: "what the scheduler keeps of a node that was used, and garbage of one request, are among it",
 		},
 		{
-			Measure: "descriptors of a kept connection", Sizes: sized, Fit: d, SlopeUnit: "descriptors", Value: d.Slope * sizeNodes, ValueUnit: "descriptors",
+			Measure: "descriptors of a kept connection", Sizes: sizeText, Fit: descriptorFit, SlopeUnit: "descriptors",
+			Value: descriptorFit.Slope * sizeNodes, ValueUnit: "descriptors",
 			Note: "today's sockets are 1,024; at a node 1,200 connections, one of each front",
 		},
 	}, nil
@@ -92,26 +94,31 @@
 	open       int64   // connections open at the end
 }
 
-// measureHandshakes loads fronts with and without enough sockets for one connection per node, at the request rate per pair of front
-// and node in the full fleet.
+// measureHandshakes loads fronts with and without enough sockets for one connection per node, at the request rate per pair of
+// front and node in the full fleet.
 func (l *Lab) measureHandshakes(ctx context.Context) ([]Row, error) {
-	variants := []namedLimits{{"kept, 16,384 sockets", ampleMemoryMB, ampleSockets}, {"as today, 192 MB and 1,024 sockets", todayMemoryMB, todaySockets}}
+	variants := []namedLimits{
+		{"kept, 16,384 sockets", ampleMemoryMB, ampleSockets},
+		{"as today, 192 MB and 1,024 sockets", todayMemoryMB, todaySockets},
+	}
 	var rows []Row
 	for _, variant := range variants {
 		result, err := l.countHandshakes(ctx, variant)
 		if err != nil {
 			return rows, err
 		}
-		sized := fmt.Sprintf("%.0f requests a second served before %d nodes", result.served, l.Plan.Kept)
+		sizeText := fmt.Sprintf("%.0f requests a second served before %d nodes", result.served, l.Plan.KeptNodes)
 		rows = append(rows,
 			Row{
-				Measure: "handshakes of a front with nodes: " + variant.name, Sizes: sized, Value: result.handshakes, ValueUnit: "a second",
+				Measure: "handshakes of a front with nodes: " + variant.name, Sizes: sizeText, Value: result.handshakes, ValueUnit: "a second",
 				Note: fmt.Sprintf("%d connections open, %s handshakes a second at each node of 1,200 fronts%s",
-					result.open, formatNumber(result.handshakes/float64(l.Plan.Kept)*sizeFronts), result.shortfallNote()),
+					result.open, formatNumber(result.handshakes/float64(l.Plan.KeptNodes)*sizeFronts), result.shortfallNote()),
 			},
 			Row{
-				Measure: "processor time of a request before all nodes: " + variant.name, Sizes: sized, Value: result.processor / result.served * sizeRate / 1e4,
-				ValueUnit: "% of a core", Budget: budgetCore, Note: fmt.Sprintf("%s us a request, idle time included%s", formatNumber(result.processor/result.served), result.shortfallNote()),
+				Measure: "processor time of a request before all nodes: " + variant.name, Sizes: sizeText,
+				Value:     result.processor / result.served * sizeRate / 1e4,
+				ValueUnit: "% of a core", Budget: budgetCore, Note: fmt.Sprintf("%s us a request, idle time included%s",
+					formatNumber(result.processor/result.served), result.shortfallNote()),
 			})
 	}
 	return rows, nil
@@ -119,7 +126,7 @@
 
 // countHandshakes counts handshakes after a first load period in which the front closes connections that were idle too long.
 func (l *Lab) countHandshakes(ctx context.Context, frontLimits namedLimits) (handshakeResult, error) {
-	nodes, err := startNodes(l.Plan.Kept)
+	nodes, err := startNodes(l.Plan.KeptNodes)
 	if err != nil {
 		return handshakeResult{}, err
 	}
@@ -130,14 +137,14 @@
 	}
 	defer stop()
 	rate := sizeRate / float64(sizeNodes) * float64(len(nodes))
-	if _, err := front.sendLoad(ctx, rate, l.Plan.Silence, len(nodes)); err != nil {
+	if _, err := front.sendLoad(ctx, rate, l.Plan.SilentTime, len(nodes)); err != nil {
 		return handshakeResult{}, err
 	}
-	opened, _ := countConnections(nodes)
+	openedBefore, _ := countConnections(nodes)
 	began := time.Now()
-	p, err := l.measureRate(ctx, front, rate, l.Plan.Silence, len(nodes))
-	now, open := countConnections(nodes)
-	return handshakeResult{ratePoint: p, handshakes: float64(now-opened) / time.Since(began).Seconds(), open: open}, err
+	result, err := l.measureRate(ctx, front, rate, l.Plan.SilentTime, len(nodes))
+	openedAfter, open := countConnections(nodes)
+	return handshakeResult{ratePoint: result, handshakes: float64(openedAfter-openedBefore) / time.Since(began).Seconds(), open: open}, err
 }
 
 // countConnections sums the connections that nodes have accepted so far and those open now.
--- a/internal/lab/processes/discovery.go
+++ b/internal/lab/processes/discovery.go
@@ -15,10 +15,10 @@
 // discovery is not measured here.
 type Discovery struct {
 	Addr          string
-	CallsReceived atomic.Int64 // calls received
-	CallsAnswered atomic.Int64 // calls answered
-	EntriesSent   atomic.Int64 // entries of nodes sent
-	BytesSent     atomic.Int64 // bytes sent, headers included
+	CallsReceived atomic.Int64
+	CallsAnswered atomic.Int64
+	EntriesSent   atomic.Int64
+	BytesSent     atomic.Int64 // headers included
 
 	server  *http.Server
 	mu      sync.Mutex
@@ -53,11 +53,11 @@
 	d.version++
 	for _, e := range entries {
 		e.version = d.version
-		at := slices.IndexFunc(d.nodes, func(has Entry) bool { return has.Host == e.Host })
-		if at < 0 {
+		index := slices.IndexFunc(d.nodes, func(old Entry) bool { return old.Host == e.Host })
+		if index < 0 {
 			d.nodes = append(d.nodes, e)
 		} else {
-			d.nodes[at] = e
+			d.nodes[index] = e
 		}
 	}
 	close(d.changed)
--- a/internal/lab/processes/fit.go
+++ b/internal/lab/processes/fit.go
@@ -15,9 +15,9 @@
 	Superlinear      bool // the last point lies far above the line through the others: growth is faster than linear
 }
 
-// The last point counts as far above the line through the others if it exceeds it by 4 residuals of the others and by a
-// quarter of its own value, provided that the slope of the others exceeds twice its standard error; otherwise the excess may
-// be chance. Over sizes that double this detects quadratic growth, but not n log n.
+// Bounds for Superlinear: the last point counts as far above the line through the others if it exceeds it by 4 residuals of
+// the others and by a quarter of its own value, provided that the slope of the others exceeds twice its standard error;
+// otherwise the excess may be chance. Over sizes that double this detects quadratic growth, but not n log n.
 const minExcessResiduals, minExcessShare = 4, 0.25
 
 // fit fits a line and checks for growth faster than linear.
@@ -25,7 +25,8 @@
 	f := leastSquares(x, y)
 	if last := len(x) - 1; last > 2 {
 		others := leastSquares(x[:last], y[:last])
-		f.Superlinear = others.Slope > 2*others.SlopeError && y[last]-others.At(x[last]) > max(minExcessResiduals*others.Residual, minExcessShare*math.Abs(y[last]))
+		f.Superlinear = others.Slope > 2*others.SlopeError &&
+			y[last]-others.At(x[last]) > max(minExcessResiduals*others.Residual, minExcessShare*math.Abs(y[last]))
 	}
 	return f
 }
--- a/internal/lab/processes/front.go
+++ b/internal/lab/processes/front.go
@@ -59,14 +59,14 @@
 // startAll starts fronts whose configurations differ by number and by edit. If one fails, all are killed.
 func (l *Lab) startAll(ctx context.Context, count int, c config, edit func(*config)) ([]*Front, error) {
 	fronts, errs := make([]*Front, count), make([]error, count)
-	var all sync.WaitGroup
+	var starting sync.WaitGroup
 	for i := range count {
-		own := c
-		own.fronts, own.number = count, i
-		edit(&own)
-		all.Go(func() { fronts[i], errs[i] = l.start(ctx, own) })
+		frontConfig := c
+		frontConfig.fronts, frontConfig.number = count, i
+		edit(&frontConfig)
+		starting.Go(func() { fronts[i], errs[i] = l.start(ctx, frontConfig) })
 	}
-	all.Wait()
+	starting.Wait()
 	for _, err := range errs {
 		if err != nil {
 			killAll(fronts)
--- a/internal/lab/processes/whole.go
+++ b/internal/lab/processes/full_size.go
@@ -10,10 +10,10 @@
 // requestsPerClient is the number of requests per client when a front is measured at full size.
 const requestsPerClient = 3
 
-// measureFullSize measures a front at full size: with all client connections, each after some requests, and with one kept connection to
-// each of all nodes.
+// measureFullSize measures a front at full size: with all client connections, each after some requests, and with one kept
+// connection to each of all nodes.
 func (l *Lab) measureFullSize(ctx context.Context) ([]Row, error) {
-	front, nodes, stop, err := l.startFrontAndNodes(ctx, l.Plan.Kept)
+	front, nodes, stop, err := l.startFrontAndNodes(ctx, l.Plan.KeptNodes)
 	if err != nil {
 		return nil, err
 	}
@@ -36,15 +36,19 @@
 		return nil, err
 	}
 	u, err := front.Usage()
-	_, kept := countConnections(nodes)
+	_, nodeConnections := countConnections(nodes)
 	l.logf("%d connections, %d requests in %.1f s, %d connections to %d nodes: %.1f MB resident, %d descriptors",
-		count, count*requestsPerClient, time.Since(began).Seconds(), kept, len(nodes), megabytes(u.Resident), u.Descriptors)
-	sized := fmt.Sprintf("%d connections, %d nodes", count, len(nodes))
+		count, count*requestsPerClient, time.Since(began).Seconds(), nodeConnections, len(nodes), megabytes(u.Resident), u.Descriptors)
+	sizeText := fmt.Sprintf("%d connections, %d nodes", count, len(nodes))
 	return []Row{
 		{
-			Measure: "memory of a whole front, clients idle", Sizes: sized, Value: megabytes(u.Resident), ValueUnit: "MB", Budget: budgetMemory,
-			Note: fmt.Sprintf("%d requests on each connection, %d connections to nodes; the collector had room for 614 MB", requestsPerClient, kept),
+			Measure: "memory of a whole front, clients idle", Sizes: sizeText, Value: megabytes(u.Resident), ValueUnit: "MB", Budget: budgetMemory,
+			Note: fmt.Sprintf("%d requests on each connection, %d connections to nodes; the collector had room for 614 MB", requestsPerClient,
+				nodeConnections),
+		},
+		{
+			Measure: "descriptors of a whole front", Sizes: sizeText, Value: float64(u.Descriptors), ValueUnit: "descriptors",
+			Note: "today's sockets are 1,024",
 		},
-		{Measure: "descriptors of a whole front", Sizes: sized, Value: float64(u.Descriptors), ValueUnit: "descriptors", Note: "today's sockets are 1,024"},
 	}, err
 }
--- a/internal/lab/processes/beside.go
+++ b/internal/lab/processes/hollow.go
@@ -9,8 +9,8 @@
 	"otterturn/internal/lab/hollow"
 )
 
-// hollowRuns is the number of hollow-front runs, one per seed, with which each scenario is compared.
-const hollowRuns = 5
+// hollowRunCount is the number of hollow-front runs, one per seed, with which each scenario is compared.
+const hollowRunCount = 5
 
 // maxDifference is the largest relative difference between real and hollow fronts that counts as agreement.
 const maxDifference = 0.1
@@ -19,22 +19,22 @@
 var hollowEventNames = map[NodeEvent]string{BecomesSilent: "node", Restarts: "node-restart"}
 
 // runHollow runs a scenario with hollow fronts once per seed.
-func runHollow(s Scenario, seeds int) ([]hollow.PerFront, error) {
-	at := slices.IndexFunc(hollow.Events, func(e hollow.Event) bool { return e.Name == hollowEventNames[s.Event] })
-	if at < 0 {
-		return nil, fmt.Errorf("hollow fronts have no event %q", hollowEventNames[s.Event])
+func runHollow(scenario Scenario, seeds int) ([]hollow.PerFront, error) {
+	index := slices.IndexFunc(hollow.Events, func(e hollow.Event) bool { return e.Name == hollowEventNames[scenario.Event] })
+	if index < 0 {
+		return nil, fmt.Errorf("hollow fronts have no event %q", hollowEventNames[scenario.Event])
 	}
-	var all []hollow.PerFront
+	var runs []hollow.PerFront
 	for seed := range seeds {
-		settings := hollow.Default(s.Fronts)
-		settings.Nodes, settings.Zones, settings.Regions, settings.Rate, settings.Seed = s.Nodes, 1, 1, s.Rate, uint64(seed)+1
-		results, err := hollow.Run(settings, hollow.Events[at])
+		settings := hollow.Default(scenario.Fronts)
+		settings.Nodes, settings.Zones, settings.Regions, settings.Rate, settings.Seed = scenario.Nodes, 1, 1, scenario.Rate, uint64(seed)+1
+		results, err := hollow.Run(settings, hollow.Events[index])
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, results[0].PerFront())
+		runs = append(runs, results[0].PerFront())
 	}
-	return all, nil
+	return runs, nil
 }
 
 // describeAgreement formats how a value of real fronts compares with the mean of the hollow runs.
@@ -48,5 +48,6 @@
 	if ratio := realValue / mean; !(ratio >= 1-maxDifference && ratio <= 1+maxDifference) {
 		verdict = "they DIFFER"
 	}
-	return fmt.Sprintf("hollow %s ± %s over %d seeds, real is %s of it: %s", formatNumber(mean), formatNumber(spread), hollowRuns, formatNumber(realValue/mean), verdict)
+	return fmt.Sprintf("hollow %s ± %s over %d seeds, real is %s of it: %s", formatNumber(mean), formatNumber(spread), hollowRunCount,
+		formatNumber(realValue/mean), verdict)
 }
--- a/internal/lab/processes/beside_test.go
+++ b/internal/lab/processes/hollow_test.go
@@ -11,11 +11,11 @@
 func TestHollowFrontsRunEachScenario(t *testing.T) {
 	for _, s := range Scenarios {
 		s.Fronts, s.Rate = 3, 60
-		all, err := runHollow(s, 1)
+		runs, err := runHollow(s, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, p := range all {
+		for _, p := range runs {
 			if s.Event == BecomesSilent && p.Probes == 0 || s.Event == Restarts && (p.Messages == 0 || p.MessageBytes < p.Messages) {
 				t.Errorf("%s: hollow fronts sent no traffic for the event: %+v", s.Name, p)
 			}
@@ -24,14 +24,15 @@
 }
 
 func TestAgreementAllowsTenPercentDifference(t *testing.T) {
-	all := []hollow.PerFront{{Probes: 9}, {Probes: 11}}
-	for real, agree := range map[float64]bool{10: true, 10.9: true, 11.2: false, 8.8: false, 0: false} {
-		text := describeAgreement(real, all, func(p hollow.PerFront) float64 { return p.Probes })
+	runs := []hollow.PerFront{{Probes: 9}, {Probes: 11}}
+	for realValue, agree := range map[float64]bool{10: true, 10.9: true, 11.2: false, 8.8: false, 0: false} {
+		text := describeAgreement(realValue, runs, func(p hollow.PerFront) float64 { return p.Probes })
 		if strings.Contains(text, "agree") != agree {
-			t.Errorf("%v compared with 9 and 11: %s", real, text)
+			t.Errorf("%v compared with 9 and 11: %s", realValue, text)
 		}
 	}
-	if text := describeAgreement(1, []hollow.PerFront{{}, {}}, func(p hollow.PerFront) float64 { return p.Probes }); strings.Contains(text, "agree") {
+	if text := describeAgreement(1, []hollow.PerFront{{}, {}}, func(p hollow.PerFront) float64 { return p.Probes }); strings.Contains(text,
+		"agree") {
 		t.Errorf("1 compared with a mean of 0: %s", text)
 	}
 }
--- a/internal/lab/processes/idle.go
+++ b/internal/lab/processes/idle.go
@@ -11,8 +11,8 @@
 // startUpTime is the wait after the start of a front until its processor time is free of start-up work.
 const startUpTime = 2 * time.Second
 
-// measureIdle measures the cost of control in a front without requests, by the number of listed nodes. The front is configured with
-// as many peers as the full fleet has.
+// measureIdle measures the cost of control in a front without requests, by the number of listed nodes. The front is
+// configured with as many peers as the full fleet has.
 func (l *Lab) measureIdle(ctx context.Context) ([]Row, error) {
 	var rows []Row
 	for _, onRequest := range []bool{false, true} {
@@ -27,36 +27,40 @@
 
 func (l *Lab) idleRows(ctx context.Context, onRequest bool) ([]Row, error) {
 	all, errs := make([]idleUsage, len(l.Plan.Lists)), make([]error, len(l.Plan.Lists))
-	var wait sync.WaitGroup
-	for i, many := range l.Plan.Lists { // concurrently: the fronts wait nearly all of the time
-		wait.Go(func() { all[i], errs[i] = l.measureIdleFront(ctx, onRequest, many) })
+	var running sync.WaitGroup
+	for i, listLength := range l.Plan.Lists { // concurrently: the fronts wait nearly all of the time
+		running.Go(func() { all[i], errs[i] = l.measureIdleFront(ctx, onRequest, listLength) })
 	}
-	wait.Wait()
+	running.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
 	var processor, memory, switches, bytes []float64
 	for i, q := range all {
 		processor = append(processor, float64(q.Processor.Microseconds())/q.seconds)
-		memory, switches, bytes = append(memory, float64(q.Resident)), append(switches, float64(q.Switches)/q.seconds), append(bytes, q.discoveryBytes/q.seconds)
-		l.logf("idle, %d nodes listed, %s: %.3f%% of a core, %.1f MB, %.0f wakeups per second, %.0f bytes per second of discovery", l.Plan.Lists[i], modeName(onRequest),
-			processor[i]/1e4, memory[i]/(1<<20), switches[i], bytes[i])
+		memory, switches, bytes = append(memory, float64(q.Resident)), append(switches, float64(q.Switches)/q.seconds),
+			append(bytes, q.discoveryBytes/q.seconds)
+		l.logf("idle, %d nodes listed, %s: %.3f%% of a core, %.1f MB, %.0f wakeups per second, %.0f bytes per second of discovery",
+			l.Plan.Lists[i], modeName(onRequest), processor[i]/1e4, memory[i]/(1<<20), switches[i], bytes[i])
 	}
-	counts, sized := toFloats(l.Plan.Lists), formatSizes(l.Plan.Lists, "nodes listed")
-	time, size, wakes, heard := fit(counts, processor), fit(counts, memory), fit(counts, switches), fit(counts, bytes)
-	with := ", " + modeName(onRequest)
+	counts, sizeText := toFloats(l.Plan.Lists), formatSizes(l.Plan.Lists, "nodes listed")
+	processorFit, memoryFit, wakeupFit, byteFit := fit(counts, processor), fit(counts, memory), fit(counts, switches), fit(counts, bytes)
+	modeSuffix := ", " + modeName(onRequest)
 	return []Row{
 		{
-			Measure: "processor time of control when idle" + with, Sizes: sized, Fit: time, SlopeUnit: "us a second a node", Value: time.At(sizeNodes) / 1e4,
-			ValueUnit: "% of a core", Budget: budgetProcessor, Note: fmt.Sprintf("%s wakeups of a thread a second", formatNumber(wakes.At(sizeNodes))),
+			Measure: "processor time of control when idle" + modeSuffix, Sizes: sizeText, Fit: processorFit, SlopeUnit: "us a second a node",
+			Value:     processorFit.At(sizeNodes) / 1e4,
+			ValueUnit: "% of a core", Budget: budgetProcessor,
+			Note: fmt.Sprintf("%s wakeups of a thread a second", formatNumber(wakeupFit.At(sizeNodes))),
 		},
 		{
-			Measure: "memory of a listed node" + with, Sizes: sized, Fit: size, SlopeUnit: "bytes", Value: size.At(sizeNodes) / (1 << 20), ValueUnit: "MB", Budget: budgetMemory,
+			Measure: "memory of a listed node" + modeSuffix, Sizes: sizeText, Fit: memoryFit, SlopeUnit: "bytes",
+			Value: memoryFit.At(sizeNodes) / (1 << 20), ValueUnit: "MB", Budget: budgetMemory,
 			Note: "a front without clients, 1,200 fronts named",
 		},
 		{
-			Measure: "bytes of discovery when idle" + with, Sizes: sized, Fit: heard, SlopeUnit: "bytes a second a node",
-			Value: heard.At(sizeNodes) / 1024, ValueUnit: "KB a second", Budget: budgetBytes, Note: "watches without news",
+			Measure: "bytes of discovery when idle" + modeSuffix, Sizes: sizeText, Fit: byteFit, SlopeUnit: "bytes a second a node",
+			Value: byteFit.At(sizeNodes) / 1024, ValueUnit: "KB a second", Budget: budgetBytes, Note: "watches without news",
 		},
 	}, nil
 }
@@ -78,13 +82,13 @@
 // measureIdleFront measures an idle front and what discovery sends to it.
 func (l *Lab) measureIdleFront(ctx context.Context, onRequest bool, listLength int) (idleUsage, error) {
 	list := unusedEntries(listLength)
-	d, err := startDiscovery(list)
+	discovery, err := startDiscovery(list)
 	if err != nil {
 		return idleUsage{}, err
 	}
-	defer d.Close()
+	defer discovery.Close()
 	front, err := l.start(ctx, config{
-		discovery: d.Addr, onRequest: onRequest, fronts: sizeFronts, peerListen: newAddress(), peers: unusedPeers(sizeFronts),
+		discovery: discovery.Addr, onRequest: onRequest, fronts: sizeFronts, peerListen: newAddress(), peers: unusedPeers(sizeFronts),
 		memoryMB: int(budgetMemory), sockets: ampleSockets, clientTimeout: defaultClientTimeout, nodes: list, shards: listLength,
 	})
 	if err != nil {
@@ -96,13 +100,13 @@
 	if err != nil {
 		return idleUsage{}, err
 	}
-	began, sentBefore := time.Now(), d.BytesSent.Load()
+	began, sentBefore := time.Now(), discovery.BytesSent.Load()
 	wait(ctx, l.Plan.Span)
 	after, err := front.Usage()
-	return idleUsage{after.Since(before), float64(d.BytesSent.Load() - sentBefore), time.Since(began).Seconds()}, err
+	return idleUsage{after.Since(before), float64(discovery.BytesSent.Load() - sentBefore), time.Since(began).Seconds()}, err
 }
 
-// unusedPeers returns many peer addresses without a listener.
+// unusedPeers returns count peer addresses without a listener.
 func unusedPeers(count int) []string {
 	var out []string
 	for i := range count {
--- a/internal/lab/processes/memory.go
+++ b/internal/lab/processes/memory.go
@@ -18,36 +18,36 @@
 // settleTime is the time in which a front reads what was sent to it.
 const settleTime = 400 * time.Millisecond
 
-// connectionState is a state of client connections for which memory is measured.
+// connectionState describes client connections whose memory is measured.
 type connectionState struct {
 	name         string
 	held         bool // the nodes don't answer attempts
 	wholeRequest bool // each connection has one completely sent request, which stays open
-	do           func(ctx context.Context, f *Front, c *client, set protocol.Settings, shard int) error
+	do           func(ctx context.Context, f *Front, c *client, settings protocol.Settings, shard int) error
 }
 
 var connectionStates = []connectionState{
-	{"idle, one request done", false, false, func(ctx context.Context, f *Front, c *client, set protocol.Settings, shard int) error {
-		return f.exchange(ctx, c, set, shard)
+	{"idle, one request done", false, false, func(ctx context.Context, f *Front, c *client, settings protocol.Settings, shard int) error {
+		return f.exchange(ctx, c, settings, shard)
 	}},
-	{"busy, a request held", true, true, func(ctx context.Context, f *Front, c *client, set protocol.Settings, shard int) error {
-		return f.send(ctx, c, set, shard)
+	{"busy, a request held", true, true, func(ctx context.Context, f *Front, c *client, settings protocol.Settings, shard int) error {
+		return f.send(ctx, c, settings, shard)
 	}},
-	{"busy, half of a body of 60 KiB sent", true, false, func(ctx context.Context, f *Front, c *client, set protocol.Settings, shard int) error {
-		return f.sendPartialBody(ctx, c, set, shard, bodyBytes/2)
+	{"busy, half of a body of 60 KiB sent", true, false, func(ctx context.Context, f *Front, c *client, settings protocol.Settings, shard int) error {
+		return f.sendPartialBody(ctx, c, settings, shard, bodyBytes/2)
 	}},
-	{"busy, all but a byte of a body of 60 KiB sent", true, false, func(ctx context.Context, f *Front, c *client, set protocol.Settings, shard int) error {
-		return f.sendPartialBody(ctx, c, set, shard, bodyBytes-1)
+	{"busy, all but a byte of a body of 60 KiB sent", true, false, func(ctx context.Context, f *Front, c *client, settings protocol.Settings, shard int) error {
+		return f.sendPartialBody(ctx, c, settings, shard, bodyBytes-1)
 	}},
 }
 
 // measureMemory measures the memory and descriptors of a client connection, idle and busy.
 func (l *Lab) measureMemory(ctx context.Context) ([]Row, error) {
 	var rows []Row
-	for _, k := range connectionStates {
-		more, err := l.connectionMemory(ctx, k)
+	for _, state := range connectionStates {
+		more, err := l.connectionMemory(ctx, state)
 		if err != nil {
-			return rows, fmt.Errorf("%s: %w", k.name, err)
+			return rows, fmt.Errorf("%s: %w", state.name, err)
 		}
 		rows = append(rows, more...)
 	}
@@ -55,10 +55,10 @@
 	return append(append(rows, whole...), computedRows()...), err
 }
 
-func (l *Lab) connectionMemory(ctx context.Context, k connectionState) ([]Row, error) {
+func (l *Lab) connectionMemory(ctx context.Context, state connectionState) ([]Row, error) {
 	var used []Usage
-	for _, many := range l.Plan.Connections {
-		u, err := l.usageWithClients(ctx, k, many)
+	for _, count := range l.Plan.Connections {
+		u, err := l.usageWithClients(ctx, state, count)
 		if err != nil {
 			return nil, err
 		}
@@ -68,22 +68,24 @@
 	for _, u := range used {
 		resident, descriptors = append(resident, float64(u.Resident)), append(descriptors, float64(u.Descriptors))
 	}
-	counts, sized := toFloats(l.Plan.Connections), formatSizes(l.Plan.Connections, "connections")
-	memory, files := fit(counts, resident), fit(counts, descriptors)
+	counts, sizeText := toFloats(l.Plan.Connections), formatSizes(l.Plan.Connections, "connections")
+	memoryFit, descriptorFit := fit(counts, resident), fit(counts, descriptors)
 	return []Row{
 		{
-			Measure: "memory of a client connection: " + k.name, Sizes: sized, Fit: memory, SlopeUnit: "bytes", Value: megabytes(int64(memory.At(sizeConnections))),
+			Measure: "memory of a client connection: " + state.name, Sizes: sizeText, Fit: memoryFit, SlopeUnit: "bytes",
+			Value:     megabytes(int64(memoryFit.At(sizeConnections))),
 			ValueUnit: "MB", Budget: budgetMemory, Note: fmt.Sprintf("at 3,667; limits.For reckons %d bytes each", bytesPerConnection),
 		},
 		{
-			Measure: "descriptors of a client connection: " + k.name, Sizes: sized, Fit: files, SlopeUnit: "descriptors", Value: files.At(sizeConnections) + sizeNodes,
+			Measure: "descriptors of a client connection: " + state.name, Sizes: sizeText, Fit: descriptorFit, SlopeUnit: "descriptors",
+			Value:     descriptorFit.At(sizeConnections) + sizeNodes,
 			ValueUnit: "descriptors", Note: "at 3,667, and one kept connection to each of 1,800 nodes; today's sockets are 1,024",
 		},
 	}, nil
 }
 
-// usageWithClients returns the usage of a new front with many connections of a kind. A new front has no garbage from a measurement
-// with fewer connections.
+// usageWithClients returns the usage of a new front with count connections in a state. A new front has no garbage from a
+// measurement with fewer connections.
 func (l *Lab) usageWithClients(ctx context.Context, state connectionState, count int) (Usage, error) {
 	nodes, err := startNodes(memoryNodes)
 	if err != nil {
@@ -91,13 +93,16 @@
 	}
 	defer closeNodes(nodes)
 	list := entries(nodes)
-	c := config{fronts: 1, memoryMB: ampleMemoryMB, sockets: ampleSockets, clientTimeout: heldClientTimeout, nodes: list, shards: len(list), traceGC: true}
-	d, err := startDiscovery(list)
+	c := config{
+		fronts: 1, memoryMB: ampleMemoryMB, sockets: ampleSockets, clientTimeout: heldClientTimeout, nodes: list, shards: len(list),
+		traceGC: true,
+	}
+	discovery, err := startDiscovery(list)
 	if err != nil {
 		return Usage{}, err
 	}
-	defer d.Close()
-	c.discovery = d.Addr
+	defer discovery.Close()
+	c.discovery = discovery.Addr
 	front, err := l.start(ctx, c)
 	if err != nil {
 		return Usage{}, err
@@ -110,7 +115,9 @@
 	for _, n := range nodes {
 		n.HoldsAttempts.Store(state.held)
 	}
-	clients, err := front.connect(nil, count, func(c *client) error { return state.do(ctx, front, c, settings, int(requestCount.Load())%len(nodes)) })
+	clients, err := front.connect(nil, count, func(c *client) error {
+		return state.do(ctx, front, c, settings, int(requestCount.Load())%len(nodes))
+	})
 	defer closeClients(clients)
 	if err != nil {
 		return Usage{}, err
@@ -122,8 +129,8 @@
 	}
 	wait(ctx, settleTime)
 	u, err := front.Usage()
-	l.logf("%d connections, %s: %.1f MB resident, %.1f MB live on the heap at the last collection, %d descriptors, %d in flight", count, state.name,
-		megabytes(u.Resident), megabytes(front.log.liveHeap()), u.Descriptors, front.metric("in_flight"))
+	l.logf("%d connections, %s: %.1f MB resident, %.1f MB live on the heap at the last collection, %d descriptors, %d in flight",
+		count, state.name, megabytes(u.Resident), megabytes(front.log.liveHeap()), u.Descriptors, front.metric("in_flight"))
 	return u, err
 }
 
@@ -146,11 +153,13 @@
 	}
 	return []Row{
 		{
-			Measure: "memory that limits.For wants for 3,667 client connections", Sizes: "reckoned", Value: float64(minMemoryMB), ValueUnit: "MB", Budget: budgetMemory,
-			Note: fmt.Sprintf("256 MB allow %d clients and %d to nodes", wide.Clients.Conns, wide.Nodes.Conns),
+			Measure: "memory that limits.For wants for 3,667 client connections", Sizes: "reckoned", Value: float64(minMemoryMB), ValueUnit: "MB",
+			Budget: budgetMemory,
+			Note:   fmt.Sprintf("256 MB allow %d clients and %d to nodes", wide.Clients.Conns, wide.Nodes.Conns),
 		},
 		{
-			Measure: "sockets that limits.For wants to keep 3,667 idle clients", Sizes: "reckoned", Value: float64(minSockets), ValueUnit: "descriptors",
+			Measure: "sockets that limits.For wants to keep 3,667 idle clients", Sizes: "reckoned", Value: float64(minSockets),
+			ValueUnit: "descriptors",
 			Note: fmt.Sprintf("192 MB and 1,024 sockets allow %d clients, %d of them kept idle, %d to nodes",
 				today.Clients.Conns, today.Clients.KeptConns, today.Nodes.Conns),
 		},
--- a/internal/lab/processes/nodes.go
+++ b/internal/lab/processes/nodes.go
@@ -19,15 +19,15 @@
 	Opened        atomic.Int64 // connections so far
 	Open          atomic.Int64 // connections now
 	Requests      atomic.Int64 // attempts received
-	Probes        atomic.Int64 // probes received
+	Probes        atomic.Int64
 	Received      atomic.Int64 // bytes received
-	Wire          atomic.Int64 // bytes of closed connections that began while Mute was set, both ways, IP and TCP headers included
+	Wire          atomic.Int64 // bytes of closed connections that began while Silent was set, both ways, IP and TCP headers included
 
 	workTime func(*http.Request) time.Duration // working time of an attempt, nil for none; set before the first attempt
 
 	mu     sync.Mutex
 	server *http.Server
-	seen   map[string]attemptSpan // by the front's mark in request ids
+	seen   map[string]attemptSpan // by the front's id prefix
 }
 
 // attemptSpan holds the times of a front's first and last attempt.
@@ -41,7 +41,7 @@
 // discardLog discards the log of a node's server: broken client connections are expected.
 var discardLog = log.New(io.Discard, "", 0)
 
-// startNodes starts many nodes at separate addresses.
+// startNodes starts count nodes at separate addresses.
 func startNodes(count int) ([]*Node, error) {
 	var nodes []*Node
 	for range count {
@@ -55,7 +55,7 @@
 	return nodes, nil
 }
 
-// start starts the node's server, after a kill at the same address as before.
+// start starts the node's server; after a stop it gets the same address as before.
 func (n *Node) start() error {
 	l, err := net.Listen("tcp", n.Addr)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return out
 }
 
-// unusedEntries returns entries of many nodes without a listener, which get no requests.
+// unusedEntries returns entries of count nodes without a listener, which get no requests.
 func unusedEntries(count int) []Entry {
 	var out []Entry
 	for i := range count {
@@ -118,9 +118,9 @@
 	n.answer(w, r, answerBody, n.Silent.Load() || n.HoldsAttempts.Load())
 }
 
-// answer writes the body, or waits until the front ends the request if holds is set.
-func (n *Node) answer(w http.ResponseWriter, r *http.Request, body []byte, holds bool) {
-	if holds {
+// answer writes the body, or waits until the front ends the request if hold is set.
+func (n *Node) answer(w http.ResponseWriter, r *http.Request, body []byte, hold bool) {
+	if hold {
 		<-r.Context().Done()
 		return
 	}
--- a/internal/lab/processes/processes.go
+++ b/internal/lab/processes/processes.go
@@ -42,8 +42,8 @@
 	Connections []int         // of clients, to one front
 	Fronts      []int         // numbers of fronts for changes and for a silent node
 	Lists       []int         // numbers of nodes on the list
-	Silence     time.Duration // duration of the measurements of a silent node and of handshakes
-	Kept        int           // nodes to which one connection each is kept
+	SilentTime  time.Duration // duration of the measurements of a silent node and of handshakes
+	KeptNodes   int           // nodes to which one connection each is kept
 }
 
 // Full returns the plan whose figures the page holds.
@@ -51,7 +51,7 @@
 	return Plan{
 		Rates: []float64{100, 200, 400, sizeRate, 1000}, Nodes: sizeZoneNodes, Span: 6 * time.Second,
 		Connections: []int{0, 500, 1000, 2000, sizeConnections}, Fronts: []int{1, 2, 4, 8, 16, 32},
-		Lists: []int{112, 225, 450, 900, sizeNodes}, Silence: 10 * time.Second, Kept: sizeNodes,
+		Lists: []int{112, 225, 450, 900, sizeNodes}, SilentTime: 10 * time.Second, KeptNodes: sizeNodes,
 	}
 }
 
--- a/internal/lab/processes/processes_test.go
+++ b/internal/lab/processes/processes_test.go
@@ -60,21 +60,21 @@
 
 // Each connection with a held request takes memory and a descriptor.
 func TestConnectionsTakeMemoryAndDescriptors(t *testing.T) {
-	l, many := testLab(t), 300
+	l, count := testLab(t), 300
 	held := connectionStates[1]
 	if !held.held || !held.wholeRequest {
-		t.Fatalf("%s: not the kind with held requests", held.name)
+		t.Fatalf("%s: not the state with held requests", held.name)
 	}
 	none, err := l.usageWithClients(t.Context(), held, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	some, err := l.usageWithClients(t.Context(), held, many)
+	some, err := l.usageWithClients(t.Context(), held, count)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if each := (some.Resident - none.Resident) / int64(many); each < 4<<10 || some.Descriptors < none.Descriptors+many {
-		t.Errorf("%d bytes per connection, %d descriptors with connections, %d without", each, some.Descriptors, none.Descriptors)
+	if size := (some.Resident - none.Resident) / int64(count); size < 4<<10 || some.Descriptors < none.Descriptors+count {
+		t.Errorf("%d bytes per connection, %d descriptors with connections, %d without", size, some.Descriptors, none.Descriptors)
 	}
 }
 
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	defer r.close()
-	hears := func(i int) *net.UDPConn {
+	listen := func(i int) *net.UDPConn {
 		c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(r.fronts[i]))
 		if err != nil {
 			t.Fatal(err)
@@ -108,7 +108,7 @@
 		c.SetReadDeadline(time.Now().Add(standin.Patience))
 		return c
 	}
-	first, last := hears(0), hears(2)
+	first, last := listen(0), listen(2)
 	to, err := net.ResolveUDPAddr("udp4", r.peersOf(0)[2])
 	if err != nil {
 		t.Fatal(err)
@@ -130,9 +130,10 @@
 	if math.Abs(straight.Slope-2) > 1e-9 || math.Abs(straight.Intercept-3) > 1e-9 || straight.SlopeError > 1e-9 || straight.Superlinear {
 		t.Errorf("points on a line: %+v", straight)
 	}
-	rough := fit(x, []float64{1, 3, 3, 5.5})
-	if want := math.Sqrt(rough.Residual * rough.Residual / 5); math.Abs(rough.Slope-1.35) > 1e-9 || math.Abs(rough.SlopeError-want) > 1e-9 {
-		t.Errorf("points off a line: %+v", rough)
+	scattered := fit(x, []float64{1, 3, 3, 5.5})
+	if want := math.Sqrt(scattered.Residual * scattered.Residual / 5); math.Abs(scattered.Slope-1.35) > 1e-9 ||
+		math.Abs(scattered.SlopeError-want) > 1e-9 {
+		t.Errorf("points off a line: %+v", scattered)
 	}
 	if !fit([]float64{1, 2, 3, 4, 8}, []float64{1, 2.01, 3, 4, 64}).Superlinear {
 		t.Error("quadratic growth was not detected")
@@ -141,10 +142,10 @@
 
 // Run accepts the name of a measurement, and the error of a failed one begins with its name.
 func TestRunNamesFailedMeasurement(t *testing.T) {
-	ended, end := context.WithCancel(t.Context())
-	end()
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
 	l := &Lab{Program: "/nowhere/otterturn", Plan: Full(), Log: io.Discard}
-	if _, err := l.Run(ended, "requests"); err == nil || err.Error()[:9] != "requests:" {
+	if _, err := l.Run(cancelled, "requests"); err == nil || err.Error()[:9] != "requests:" {
 		t.Errorf("error of a failed measurement: %v", err)
 	}
 }
--- a/internal/lab/processes/relay.go
+++ b/internal/lab/processes/relay.go
@@ -19,7 +19,7 @@
 	Bytes    atomic.Int64
 }
 
-// newRelay opens the sockets for many fronts and starts forwarding.
+// newRelay opens the sockets for count fronts and starts forwarding.
 func newRelay(count int) (*relay, error) {
 	r := &relay{sockets: make([][]*net.UDPConn, count)}
 	for i := range count {
--- a/internal/lab/processes/report.go
+++ b/internal/lab/processes/report.go
@@ -10,9 +10,9 @@
 // Row is a result: the line through the measured points, and its value at the size of the whole fleet.
 type Row struct {
 	Measure   string
-	Sizes     string  // measured sizes
-	Fit       Fit     // without points if the value was measured once, at the size of the fleet
-	SlopeUnit string  // of the slope
+	Sizes     string
+	Fit       Fit // without points if the value was measured once, at the size of the fleet
+	SlopeUnit string
 	Value     float64 // at the size of the fleet
 	ValueUnit string  // unit of the value and of the budget
 	Budget    float64 // 0 for none
@@ -46,7 +46,7 @@
 	return []string{r.Measure, r.Sizes, slope, residual, formatNumber(r.Value) + " " + r.ValueUnit, budget, ratio, r.Note}
 }
 
-// shortfallNote formats a number with three significant digits, from 100 as an integer.
+// formatNumber formats a number with three significant digits, from 100 as an integer.
 func formatNumber(v float64) string {
 	if math.IsNaN(v) {
 		return "?"
@@ -87,22 +87,23 @@
 	if worst.Budget == 0 {
 		return "worst ratio: none, as no row has a budget"
 	}
-	return fmt.Sprintf("worst ratio: %s, %s: %s %s of %s", formatNumber(worst.Ratio()), worst.Measure, formatNumber(worst.Value), worst.ValueUnit, formatNumber(worst.Budget))
+	return fmt.Sprintf("worst ratio: %s, %s: %s %s of %s", formatNumber(worst.Ratio()), worst.Measure, formatNumber(worst.Value),
+		worst.ValueUnit, formatNumber(worst.Budget))
 }
 
 // formatSizes formats the measured sizes.
-func formatSizes[T any](all []T, of string) string {
+func formatSizes[T any](values []T, unit string) string {
 	var words []string
-	for _, v := range all {
+	for _, v := range values {
 		words = append(words, fmt.Sprint(v))
 	}
-	return strings.Join(words, ", ") + " " + of
+	return strings.Join(words, ", ") + " " + unit
 }
 
 // toFloats converts numbers for a fit.
-func toFloats[T int | int64 | float64](all []T) []float64 {
+func toFloats[T int | int64 | float64](values []T) []float64 {
 	var out []float64
-	for _, v := range all {
+	for _, v := range values {
 		out = append(out, float64(v))
 	}
 	return out
--- a/internal/lab/processes/requests.go
+++ b/internal/lab/processes/requests.go
@@ -14,21 +14,23 @@
 	if err != nil {
 		return nil, err
 	}
-	var served, taken []float64
+	var served, processor []float64
 	for _, p := range points {
-		served, taken = append(served, p.served), append(taken, p.processor)
+		served, processor = append(served, p.served), append(processor, p.processor)
 	}
-	f := fit(served, taken)
-	rates := formatSizes(l.Plan.Rates, "requests a second")
+	processorFit := fit(served, processor)
+	sizeText := formatSizes(l.Plan.Rates, "requests a second")
 	percent := func(microseconds float64) float64 { return microseconds / 1e4 }
 	return []Row{
 		{
-			Measure: "processor time of a request", Sizes: rates, Fit: f, SlopeUnit: "us a request", Value: percent(f.At(sizeRate)), ValueUnit: "% of a core",
+			Measure: "processor time of a request", Sizes: sizeText, Fit: processorFit, SlopeUnit: "us a request",
+			Value: percent(processorFit.At(sizeRate)), ValueUnit: "% of a core",
 			Budget: budgetCore, Note: "at 708 requests a second; the data path's own core, not control's 5%",
 		},
 		{
-			Measure: "processor time without requests, by the same line", Sizes: rates, Value: percent(f.Intercept), ValueUnit: "% of a core",
-			Note: "the line's height at 0 requests: few requests share fewer wakeups. What control takes is measured when idle",
+			Measure: "processor time without requests, by the same line", Sizes: sizeText, Value: percent(processorFit.Intercept),
+			ValueUnit: "% of a core",
+			Note:      "the line's height at 0 requests: few requests share fewer wakeups. What control takes is measured when idle",
 		},
 	}, nil
 }
@@ -58,7 +60,8 @@
 		return nil, err
 	}
 	defer stop()
-	if _, err := front.sendLoad(ctx, l.Plan.Rates[len(l.Plan.Rates)-1], l.Plan.Span/3, len(nodes)); err != nil { // warm-up: the heap grows and connections open
+	// Warm-up: the heap grows and connections open.
+	if _, err := front.sendLoad(ctx, l.Plan.Rates[len(l.Plan.Rates)-1], l.Plan.Span/3, len(nodes)); err != nil {
 		return nil, err
 	}
 	var points []ratePoint
@@ -85,14 +88,18 @@
 	}
 	after, err := front.Usage()
 	seconds := time.Since(began).Seconds()
-	taken := after.Since(before)
-	out := ratePoint{wanted: rate, served: float64(progress.Ended[load.Served]) / seconds, processor: float64(taken.Processor.Microseconds()) / seconds}
-	l.logf("%.0f requests per second wanted, %d nodes: %.0f served per second, %d refused, %d failed; %.2f%% of a core, %.0f us per request; %.1f MB",
-		rate, shards, out.served, progress.Ended[load.Refused], progress.Ended[load.Failed], out.processor/1e4, out.processor/out.served, megabytes(after.Resident))
+	used := after.Since(before)
+	out := ratePoint{
+		wanted: rate, served: float64(progress.Ended[load.Served]) / seconds,
+		processor: float64(used.Processor.Microseconds()) / seconds,
+	}
+	l.logf("%.0f requests/s wanted, %d nodes: %.0f/s served, %d refused, %d failed; %.2f%% of a core, %.0f us per request; %.1f MB",
+		rate, shards, out.served, progress.Ended[load.Refused], progress.Ended[load.Failed], out.processor/1e4,
+		out.processor/out.served, megabytes(after.Resident))
 	return out, err
 }
 
-// startFrontAndNodes starts many nodes and a front with ample limits that uses them; end stops all of them.
+// startFrontAndNodes starts count nodes and a front with ample limits that uses them; stop stops all of them.
 func (l *Lab) startFrontAndNodes(ctx context.Context, count int) (front *Front, nodes []*Node, stop func(), err error) {
 	nodes, err = startNodes(count)
 	if err != nil {
@@ -111,21 +118,21 @@
 
 // startFrontFor starts one front that uses nodes, and a discovery with the same list.
 func (l *Lab) startFrontFor(ctx context.Context, nodes []Entry, memoryMB, sockets int) (*Front, func(), error) {
-	d, err := startDiscovery(nodes)
+	discovery, err := startDiscovery(nodes)
 	if err != nil {
 		return nil, nil, err
 	}
 	front, err := l.start(ctx, config{
-		discovery: d.Addr, fronts: 1, memoryMB: memoryMB, sockets: sockets, clientTimeout: defaultClientTimeout,
+		discovery: discovery.Addr, fronts: 1, memoryMB: memoryMB, sockets: sockets, clientTimeout: defaultClientTimeout,
 		nodes: nodes, shards: len(nodes),
 	})
 	if err != nil {
-		d.Close()
+		discovery.Close()
 		return nil, nil, err
 	}
 	return front, func() {
 		front.Kill()
-		d.Close()
+		discovery.Close()
 	}, nil
 }
 
--- a/internal/lab/processes/scenario.go
+++ b/internal/lab/processes/scenario.go
@@ -26,7 +26,7 @@
 // NodeEvent is an event at a node.
 type NodeEvent int
 
-// The kinds of Happening.
+// The kinds of NodeEvent.
 const (
 	BecomesSilent NodeEvent = iota // the node accepts connections and requests but answers nothing; discovery doesn't report it
 	Restarts                       // the node's process ends and starts again a second later as a cold node; discovery reports the new start
@@ -47,7 +47,7 @@
 
 // Cost of requests in a scenario and the maximum wait of their clients.
 const (
-	scenarioUnits         = 3
+	maxScenarioUnits      = 3
 	unitTime              = 5 * time.Millisecond // processor time per unit; each request has a core to itself
 	scenarioClientTimeout = 2500 * time.Millisecond
 	coldSpeed             = 0.2
@@ -77,30 +77,30 @@
 		return Outcome{}, err
 	}
 	defer closeNodes(nodes)
-	stage := &scenarioRun{scenario: s, nodes: nodes, list: entries(nodes)}
-	for i := range stage.list { // names as long as those of the hollow fronts' nodes, so that messages have equal lengths
-		stage.list[i].Host, stage.list[i].Site = fmt.Sprintf("storage-%04d.zone-00.region-0", i), zones[0]
+	run := &scenarioRun{scenario: s, nodes: nodes, list: entries(nodes)}
+	for i := range run.list { // names as long as those of the nodes behind hollow fronts
+		run.list[i].Host, run.list[i].Zone = fmt.Sprintf("storage-%04d.zone-00.region-0", i), zones[0]
 	}
-	if stage.discovery, err = startDiscovery(stage.list); err != nil {
+	if run.discovery, err = startDiscovery(run.list); err != nil {
 		return Outcome{}, err
 	}
-	defer stage.discovery.Close()
-	if stage.relay, err = newRelay(s.Fronts); err != nil {
+	defer run.discovery.Close()
+	if run.relay, err = newRelay(s.Fronts); err != nil {
 		return Outcome{}, err
 	}
-	defer stage.relay.close()
+	defer run.relay.close()
 	c := config{
-		discovery: stage.discovery.Addr, onRequest: true, memoryMB: todayMemoryMB, sockets: todaySockets, clientTimeout: scenarioClientTimeout,
-		nodes: stage.list, shards: s.Nodes, maxUnits: scenarioUnits,
+		discovery: run.discovery.Addr, onRequest: true, memoryMB: todayMemoryMB, sockets: todaySockets, clientTimeout: scenarioClientTimeout,
+		nodes: run.list, shards: s.Nodes, maxUnits: maxScenarioUnits,
 	}
-	stage.fronts, err = l.startAll(ctx, s.Fronts, c, func(c *config) {
-		c.peerListen, c.peers = stage.relay.fronts[c.number].String(), stage.relay.peersOf(c.number)
+	run.fronts, err = l.startAll(ctx, s.Fronts, c, func(c *config) {
+		c.peerListen, c.peers = run.relay.fronts[c.number].String(), run.relay.peersOf(c.number)
 	})
 	if err != nil {
 		return Outcome{}, err
 	}
-	defer killAll(stage.fronts)
-	return stage.run(ctx)
+	defer killAll(run.fronts)
+	return run.run(ctx)
 }
 
 // scenarioRun is a run of a scenario.
@@ -123,14 +123,14 @@
 	for _, n := range s.nodes {
 		n.workTime = func(r *http.Request) time.Duration { return s.attemptTime(r, settings, n) }
 	}
-	type asked struct {
+	type loadResult struct {
 		all []load.Progress
 		err error
 	}
-	done := make(chan asked, 1)
+	done := make(chan loadResult, 1)
 	go func() {
 		all, err := sendLoadToAll(ctx, s.fronts, s.scenario.Rate, scenarioWarmUp+s.scenario.Span, s.scenario.Nodes)
-		done <- asked{all, err}
+		done <- loadResult{all, err}
 	}()
 	wait(ctx, scenarioWarmUp)
 	before := s.sentSoFar()
@@ -166,7 +166,7 @@
 			return err
 		}
 		cold := s.list[0]
-		cold.Born = now.UnixMilli()
+		cold.StartMs = now.UnixMilli()
 		s.discovery.Change(cold)
 	}
 	wait(ctx, s.scenario.Span-time.Since(began))
@@ -180,8 +180,8 @@
 		return 0
 	}
 	speed := 1.0
-	if since := s.restartedAt.Load(); since != nil && n == s.nodes[0] {
-		speed = min(1, coldSpeed+(1-coldSpeed)*float64(time.Since(*since))/float64(rampTime))
+	if restarted := s.restartedAt.Load(); restarted != nil && n == s.nodes[0] {
+		speed = min(1, coldSpeed+(1-coldSpeed)*float64(time.Since(*restarted))/float64(rampTime))
 	}
 	return time.Duration(m.Units * float64(unitTime) / speed)
 }
--- a/internal/lab/processes/silent.go
+++ b/internal/lab/processes/silent.go
@@ -11,7 +11,7 @@
 const (
 	silentNodes   = 4                                           // one of them becomes silent
 	silentRate    = 40.0                                        // requests per second per front
-	fleetPairRate = silentNodes * sizeRate / float64(sizeNodes) // requests per second per front at which each pair of front and node has the rate of the full fleet
+	fleetPairRate = silentNodes * sizeRate / float64(sizeNodes) // per front: each pair of front and node has the rate of the full fleet
 	warmUp        = 2 * time.Second
 )
 
@@ -24,17 +24,17 @@
 	peak                            int64 // most probes in any second
 }
 
-// measureSilent measures probes and attempts at a node that becomes silent, by the number of fronts: at a rate at which all fronts
-// detect it at once, and at the rate of the whole fleet.
+// measureSilent measures probes and attempts at a node that becomes silent, by the number of fronts: at a rate at which all
+// fronts detect it at once, and at the rate of the whole fleet.
 func (l *Lab) measureSilent(ctx context.Context) ([]Row, error) {
 	var rows []Row
 	for _, rate := range []float64{silentRate, fleetPairRate} {
 		all, errs := make([]silentCost, len(l.Plan.Fronts)), make([]error, len(l.Plan.Fronts))
-		var wait sync.WaitGroup
-		for i, many := range l.Plan.Fronts { // concurrently: the fronts wait most of the time
-			wait.Go(func() { all[i], errs[i] = l.measureSilentNode(ctx, many, rate) })
+		var running sync.WaitGroup
+		for i, count := range l.Plan.Fronts { // concurrently: the fronts wait most of the time
+			running.Go(func() { all[i], errs[i] = l.measureSilentNode(ctx, count, rate) })
 		}
-		wait.Wait()
+		running.Wait()
 		if err := errors.Join(errs...); err != nil {
 			return rows, err
 		}
@@ -46,42 +46,48 @@
 func (l *Lab) silentRows(all []silentCost, rate float64) []Row {
 	var probes, peaks, attempts, bytes, opened, wire []float64
 	for _, s := range all {
-		l.logf("%d fronts, %s requests per second each, a node silent for %.0f s: %d probes, at most %d in one second, %d attempts, %d connections, %d bytes received, %d on the wire",
+		l.logf("%d fronts, %s requests/s each, a node silent for %.0f s: %d probes, at most %d in a second, %d attempts, %d connections, %d bytes, %d on the wire",
 			s.fronts, formatNumber(rate), s.seconds, s.probes, s.peak, s.attempts, s.opened, s.bytes, s.wire)
 		probes, peaks = append(probes, float64(s.probes)/s.seconds), append(peaks, float64(s.peak))
 		opened, wire = append(opened, float64(s.opened)), append(wire, float64(s.wire))
 		attempts, bytes = append(attempts, float64(s.attempts)), append(bytes, float64(s.wire)/s.seconds)
 	}
 	counts := toFloats(l.Plan.Fronts)
-	sized, each := formatSizes(l.Plan.Fronts, "fronts"), fmt.Sprintf(", %s requests a second a pair", formatNumber(rate/silentNodes))
-	budget := func(of float64) float64 { // a rate above that of the full fleet causes more probes, so the budget doesn't apply
+	sizeText, rateSuffix := formatSizes(l.Plan.Fronts, "fronts"), fmt.Sprintf(", %s requests a second a pair", formatNumber(rate/silentNodes))
+	budgetAtFleetRate := func(of float64) float64 { // a rate above that of the full fleet causes more probes, so the budget doesn't apply
 		if rate > fleetPairRate {
 			return 0
 		}
 		return of
 	}
-	p, m, a, b, w := fit(counts, probes), fit(counts, peaks), fit(counts, attempts), fit(counts, bytes), fit(opened, wire)
-	span := fmt.Sprintf("mean of the first %.0f s", l.Plan.Silence.Seconds())
+	probeFit, peakFit, attemptFit, byteFit, wireFit := fit(counts, probes), fit(counts, peaks), fit(counts, attempts),
+		fit(counts, bytes), fit(opened, wire)
+	spanText := fmt.Sprintf("mean of the first %.0f s", l.Plan.SilentTime.Seconds())
 	return []Row{
 		{
-			Measure: "probes of a silent node" + each, Sizes: sized, Fit: p, SlopeUnit: "a second a front", Value: p.Slope * sizeFronts, ValueUnit: "a second",
-			Budget: budget(budgetProbes), Note: span + "; the budget is the aim for the whole fleet at each silent node",
+			Measure: "probes of a silent node" + rateSuffix, Sizes: sizeText, Fit: probeFit, SlopeUnit: "a second a front",
+			Value: probeFit.Slope * sizeFronts, ValueUnit: "a second",
+			Budget: budgetAtFleetRate(budgetProbes), Note: spanText + "; the budget is the aim for the whole fleet at each silent node",
 		},
 		{
-			Measure: "probes of a silent node in the worst second" + each, Sizes: sized, Fit: m, SlopeUnit: "a second a front", Value: m.Slope * sizeFronts, ValueUnit: "a second",
-			Budget: budget(budgetProbes), Note: "of the same " + span[len("mean of the "):],
+			Measure: "probes of a silent node in the worst second" + rateSuffix, Sizes: sizeText, Fit: peakFit, SlopeUnit: "a second a front",
+			Value: peakFit.Slope * sizeFronts, ValueUnit: "a second",
+			Budget: budgetAtFleetRate(budgetProbes), Note: "of the same " + spanText[len("mean of the "):],
 		},
 		{
-			Measure: "bytes to and from silent nodes, a zone of 180 gone" + each, Sizes: sized, Fit: b, SlopeUnit: "bytes a second a front and node",
-			Value: b.Slope * sizeZoneNodes / 1024, ValueUnit: "KB a second a front", Budget: budget(budgetBytes),
-			Note: span + "; both ways, heads of IP and TCP included, by the kernel's count of segments",
+			Measure: "bytes to and from silent nodes, a zone of 180 gone" + rateSuffix, Sizes: sizeText, Fit: byteFit,
+			SlopeUnit: "bytes a second a front and node",
+			Value:     byteFit.Slope * sizeZoneNodes / 1024, ValueUnit: "KB a second a front", Budget: budgetAtFleetRate(budgetBytes),
+			Note: spanText + "; both ways, heads of IP and TCP included, by the kernel's count of segments",
 		},
 		{
-			Measure: "bytes of a connection to a silent node, nearly all of probes" + each, Sizes: formatSizes(opened, "connections"), Fit: w, SlopeUnit: "bytes",
-			Value: w.Slope, ValueUnit: "bytes", Note: "both ways, heads of IP and TCP included, its handshake and its end",
+			Measure: "bytes of a connection to a silent node, nearly all of probes" + rateSuffix, Sizes: formatSizes(opened, "connections"),
+			Fit: wireFit, SlopeUnit: "bytes",
+			Value: wireFit.Slope, ValueUnit: "bytes", Note: "both ways, heads of IP and TCP included, its handshake and its end",
 		},
 		{
-			Measure: "attempts that a silent node has cost" + each, Sizes: sized, Fit: a, SlopeUnit: "a front", Value: a.Slope * sizeFronts, ValueUnit: "of the fleet, a node",
+			Measure: "attempts that a silent node has cost" + rateSuffix, Sizes: sizeText, Fit: attemptFit, SlopeUnit: "a front",
+			Value: attemptFit.Slope * sizeFronts, ValueUnit: "of the fleet, a node",
 			Note: "the aim of issue 28 is a tenth of it",
 		},
 	}
@@ -95,12 +101,15 @@
 	}
 	defer closeNodes(nodes)
 	list := entries(nodes)
-	d, err := startDiscovery(list)
+	discovery, err := startDiscovery(list)
 	if err != nil {
 		return silentCost{}, err
 	}
-	defer d.Close()
-	c := config{discovery: d.Addr, memoryMB: todayMemoryMB, sockets: todaySockets, clientTimeout: defaultClientTimeout, nodes: list, shards: len(list)}
+	defer discovery.Close()
+	c := config{
+		discovery: discovery.Addr, memoryMB: todayMemoryMB, sockets: todaySockets, clientTimeout: defaultClientTimeout, nodes: list,
+		shards: len(list),
+	}
 	fronts, err := l.startAll(ctx, count, c, func(*config) {})
 	if err != nil {
 		return silentCost{}, err
@@ -121,12 +130,12 @@
 	wait(ctx, warmUp)
 	silentNode := nodes[0]
 	out := silentCost{
-		fronts: len(fronts), probes: -silentNode.Probes.Load(), attempts: -silentNode.Requests.Load(), bytes: -silentNode.Received.Load(), opened: -silentNode.Opened.Load(),
-		wire: -silentNode.Wire.Load(),
+		fronts: len(fronts), probes: -silentNode.Probes.Load(), attempts: -silentNode.Requests.Load(), bytes: -silentNode.Received.Load(),
+		opened: -silentNode.Opened.Load(), wire: -silentNode.Wire.Load(),
 	}
 	began := time.Now()
 	silentNode.Silent.Store(true)
-	for last := silentNode.Probes.Load(); time.Since(began) < l.Plan.Silence && ctx.Err() == nil; {
+	for last := silentNode.Probes.Load(); time.Since(began) < l.Plan.SilentTime && ctx.Err() == nil; {
 		wait(ctx, time.Second)
 		now := silentNode.Probes.Load()
 		out.peak, last = max(out.peak, now-last), now
--- a/internal/lab/processes/traffic.go
+++ b/internal/lab/processes/traffic.go
@@ -23,10 +23,10 @@
 // idPrefix returns the prefix of the ids of the requests sent to the front.
 func (f *Front) idPrefix() string { return fmt.Sprintf("f%d", f.config.number) }
 
-// idPrefixOf returns the mark of the front that sent an attempt.
+// idPrefixOf returns the id prefix of the front that sent an attempt.
 func idPrefixOf(r *http.Request) string {
-	mark, _, _ := strings.Cut(r.Header.Get("X-Correlation-Id"), "-")
-	return mark
+	prefix, _, _ := strings.Cut(r.Header.Get("X-Correlation-Id"), "-")
+	return prefix
 }
 
 // newRequest returns a request of one unit for a shard.
@@ -43,7 +43,7 @@
 
 // sendLoad sends an open-loop load to a front, for random shards below the given number.
 func (f *Front) sendLoad(ctx context.Context, rate float64, span time.Duration, shards int) (load.Progress, error) {
-	set, err := f.config.settings()
+	settings, err := f.config.settings()
 	if err != nil {
 		return load.Progress{}, err
 	}
@@ -51,9 +51,9 @@
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
 	send := func(ctx context.Context, _ int, rng *rand.Rand) load.Verdict {
-		request := f.newRequest(set, 0, rng.IntN(shards), rng.Uint64())
+		request := f.newRequest(settings, 0, rng.IntN(shards), rng.Uint64())
 		request.Units = float64(1 + rng.IntN(max(1, f.config.maxUnits)))
-		verdict, _ := load.Send(ctx, client, f.config.listen, set, request)
+		verdict, _ := load.Send(ctx, client, f.config.listen, settings, request)
 		return verdict
 	}
 	loadSettings := load.Settings{Rate: rate, For: span, Seed: uint64(f.config.number) + 1, Open: maxOpenRequests}
