--- a/internal/lab/processes/idle.go
+++ b/internal/lab/processes/idle.go
@@ -49,8 +49,7 @@
 	return []Row{
 		{
 			Measure: "processor time of control when idle" + modeSuffix, Sizes: sizeText, Fit: processorFit, SlopeUnit: "us a second a node",
-			Value:     processorFit.At(sizeNodes) / 1e4,
-			ValueUnit: "% of a core", Budget: budgetProcessor,
+			Value: processorFit.At(sizeNodes) / 1e4, ValueUnit: "% of a core", Budget: budgetProcessor,
 			Note: fmt.Sprintf("%s wakeups of a thread a second", formatNumber(wakeupFit.At(sizeNodes))),
 		},
 		{
--- a/internal/lab/processes/memory.go
+++ b/internal/lab/processes/memory.go
@@ -73,13 +73,13 @@
 	return []Row{
 		{
 			Measure: "memory of a client connection: " + state.name, Sizes: sizeText, Fit: memoryFit, SlopeUnit: "bytes",
-			Value:     megabytes(int64(memoryFit.At(sizeConnections))),
-			ValueUnit: "MB", Budget: budgetMemory, Note: fmt.Sprintf("at 3,667; limits.For reckons %d bytes each", bytesPerConnection),
+			Value: megabytes(int64(memoryFit.At(sizeConnections))), ValueUnit: "MB", Budget: budgetMemory,
+			Note: fmt.Sprintf("at 3,667; limits.For reckons %d bytes each", bytesPerConnection),
 		},
 		{
 			Measure: "descriptors of a client connection: " + state.name, Sizes: sizeText, Fit: descriptorFit, SlopeUnit: "descriptors",
-			Value:     descriptorFit.At(sizeConnections) + sizeNodes,
-			ValueUnit: "descriptors", Note: "at 3,667, and one kept connection to each of 1,800 nodes; today's sockets are 1,024",
+			Value: descriptorFit.At(sizeConnections) + sizeNodes, ValueUnit: "descriptors",
+			Note: "at 3,667, and one kept connection to each of 1,800 nodes; today's sockets are 1,024",
 		},
 	}, nil
 }
--- a/internal/lab/processes/silent.go
+++ b/internal/lab/processes/silent.go
@@ -46,7 +46,7 @@
 func (l *Lab) silentRows(all []silentCost, rate float64) []Row {
 	var probes, peaks, attempts, bytes, opened, wire []float64
 	for _, s := range all {
-		l.logf("%d fronts, %s requests/s each, a node silent for %.0f s: %d probes, at most %d in a second, %d attempts, %d connections, %d bytes, %d on the wire",
+		l.logf("%d fronts at %s requests/s, silent for %.0f s: %d probes, at most %d/s, %d attempts, %d connections, %d bytes, %d on the wire",
 			s.fronts, formatNumber(rate), s.seconds, s.probes, s.peak, s.attempts, s.opened, s.bytes, s.wire)
 		probes, peaks = append(probes, float64(s.probes)/s.seconds), append(peaks, float64(s.peak))
 		opened, wire = append(opened, float64(s.opened)), append(wire, float64(s.wire))
@@ -66,29 +66,28 @@
 	return []Row{
 		{
 			Measure: "probes of a silent node" + rateSuffix, Sizes: sizeText, Fit: probeFit, SlopeUnit: "a second a front",
-			Value: probeFit.Slope * sizeFronts, ValueUnit: "a second",
-			Budget: budgetAtFleetRate(budgetProbes), Note: spanText + "; the budget is the aim for the whole fleet at each silent node",
+			Value: probeFit.Slope * sizeFronts, ValueUnit: "a second", Budget: budgetAtFleetRate(budgetProbes),
+			Note: spanText + "; the budget is the aim for the whole fleet at each silent node",
 		},
 		{
 			Measure: "probes of a silent node in the worst second" + rateSuffix, Sizes: sizeText, Fit: peakFit, SlopeUnit: "a second a front",
-			Value: peakFit.Slope * sizeFronts, ValueUnit: "a second",
-			Budget: budgetAtFleetRate(budgetProbes), Note: "of the same " + spanText[len("mean of the "):],
+			Value: peakFit.Slope * sizeFronts, ValueUnit: "a second", Budget: budgetAtFleetRate(budgetProbes),
+			Note: "of the same " + spanText[len("mean of the "):],
 		},
 		{
 			Measure: "bytes to and from silent nodes, a zone of 180 gone" + rateSuffix, Sizes: sizeText, Fit: byteFit,
-			SlopeUnit: "bytes a second a front and node",
-			Value:     byteFit.Slope * sizeZoneNodes / 1024, ValueUnit: "KB a second a front", Budget: budgetAtFleetRate(budgetBytes),
+			SlopeUnit: "bytes a second a front and node", Value: byteFit.Slope * sizeZoneNodes / 1024,
+			ValueUnit: "KB a second a front", Budget: budgetAtFleetRate(budgetBytes),
 			Note: spanText + "; both ways, heads of IP and TCP included, by the kernel's count of segments",
 		},
 		{
 			Measure: "bytes of a connection to a silent node, nearly all of probes" + rateSuffix, Sizes: formatSizes(opened, "connections"),
-			Fit: wireFit, SlopeUnit: "bytes",
-			Value: wireFit.Slope, ValueUnit: "bytes", Note: "both ways, heads of IP and TCP included, its handshake and its end",
+			Fit: wireFit, SlopeUnit: "bytes", Value: wireFit.Slope, ValueUnit: "bytes",
+			Note: "both ways, heads of IP and TCP included, its handshake and its end",
 		},
 		{
 			Measure: "attempts that a silent node has cost" + rateSuffix, Sizes: sizeText, Fit: attemptFit, SlopeUnit: "a front",
-			Value: attemptFit.Slope * sizeFronts, ValueUnit: "of the fleet, a node",
-			Note: "the aim of issue 28 is a tenth of it",
+			Value: attemptFit.Slope * sizeFronts, ValueUnit: "of the fleet, a node", Note: "the aim of issue 28 is a tenth of it",
 		},
 	}
 }
