--- a/internal/lab/processes/silent.go
+++ b/internal/lab/processes/silent.go
@@ -54,7 +54,7 @@
 	}
 	counts := toFloats(l.Plan.Fronts)
 	sizeText, rateSuffix := formatSizes(l.Plan.Fronts, "fronts"), fmt.Sprintf(", %s requests a second a pair", formatNumber(rate/silentNodes))
-	budgetAtFleetRate := func(of float64) float64 { // a rate above that of the full fleet causes more probes, so the budget doesn't apply
+	budgetFor := func(of float64) float64 { // a rate above that of the full fleet causes more probes, so the budget doesn't apply
 		if rate > fleetPairRate {
 			return 0
 		}
@@ -66,19 +66,18 @@
 	return []Row{
 		{
 			Measure: "probes of a silent node" + rateSuffix, Sizes: sizeText, Fit: probeFit, SlopeUnit: "a second a front",
-			Value: probeFit.Slope * sizeFronts, ValueUnit: "a second", Budget: budgetAtFleetRate(budgetProbes),
+			Value: probeFit.Slope * sizeFronts, ValueUnit: "a second", Budget: budgetFor(budgetProbes),
 			Note: spanText + "; the budget is the aim for the whole fleet at each silent node",
 		},
 		{
 			Measure: "probes of a silent node in the worst second" + rateSuffix, Sizes: sizeText, Fit: peakFit, SlopeUnit: "a second a front",
-			Value: peakFit.Slope * sizeFronts, ValueUnit: "a second", Budget: budgetAtFleetRate(budgetProbes),
+			Value: peakFit.Slope * sizeFronts, ValueUnit: "a second", Budget: budgetFor(budgetProbes),
 			Note: "of the same " + spanText[len("mean of the "):],
 		},
 		{
 			Measure: "bytes to and from silent nodes, a zone of 180 gone" + rateSuffix, Sizes: sizeText, Fit: byteFit,
-			SlopeUnit: "bytes a second a front and node", Value: byteFit.Slope * sizeZoneNodes / 1024,
-			ValueUnit: "KB a second a front", Budget: budgetAtFleetRate(budgetBytes),
-			Note: spanText + "; both ways, heads of IP and TCP included, by the kernel's count of segments",
+			SlopeUnit: "bytes a second a front and node", Value: byteFit.Slope * sizeZoneNodes / 1024, ValueUnit: "KB a second a front",
+			Budget: budgetFor(budgetBytes), Note: spanText + "; both ways, heads of IP and TCP included, by the kernel's count of segments",
 		},
 		{
 			Measure: "bytes of a connection to a silent node, nearly all of probes" + rateSuffix, Sizes: formatSizes(opened, "connections"),
