--- a/internal/lab/processes/discovery.go
+++ b/internal/lab/processes/discovery.go
@@ -11,97 +11,97 @@
 	"time"
 )
 
-// Discovery is a stand-in that answers as fast as it is asked, and counts what it sends. How much a discovery bears is
-// not measured here.
+// Discovery is a stand-in that answers each call without a rate limit and counts what it sends. The capacity of a real
+// discovery is not measured here.
 type Discovery struct {
-	Addr  string
-	Begun atomic.Int64 // calls that came
-	Calls atomic.Int64 // and that were answered
-	Lines atomic.Int64 // entries of nodes sent
-	Sent  atomic.Int64 // bytes sent, heads included
+	Addr          string
+	CallsReceived atomic.Int64
+	CallsAnswered atomic.Int64
+	EntriesSent   atomic.Int64
+	BytesSent     atomic.Int64 // headers included
 
 	server  *http.Server
 	mu      sync.Mutex
 	version int64
 	nodes   []Entry
-	news    chan struct{} // closed, and made anew, with each change
+	changed chan struct{} // closed and replaced with each change
 }
 
-// firstVersion is that of the list that fronts are started with.
+// firstVersion is the version of the list that fronts are started with.
 const firstVersion = 1
 
-// startDiscovery serves a list on an address of its own.
+// startDiscovery serves a list at a new address.
 func startDiscovery(nodes []Entry) (*Discovery, error) {
-	d := &Discovery{version: firstVersion, nodes: slices.Clone(nodes), news: make(chan struct{})}
-	l, err := net.Listen("tcp", host()+":0")
+	d := &Discovery{version: firstVersion, nodes: slices.Clone(nodes), changed: make(chan struct{})}
+	l, err := net.Listen("tcp", ownHost()+":0")
 	if err != nil {
 		return nil, err
 	}
 	d.Addr = l.Addr().String()
 	d.server = &http.Server{Handler: d}
-	go d.server.Serve(&meter{Listener: l, sent: &d.Sent})
+	go d.server.Serve(&meter{Listener: l, sent: &d.BytesSent})
 	return d, nil
 }
 
-// Close ends it with all of its connections.
+// Close closes the server and all of its connections.
 func (d *Discovery) Close() { d.server.Close() }
 
-// Change takes entries in, each in the place of the one of its name, and answers the calls that wait.
+// Change adds entries, replacing those with the same host, and wakes the calls that wait.
 func (d *Discovery) Change(entries ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
 	for _, e := range entries {
-		e.changed = d.version
-		at := slices.IndexFunc(d.nodes, func(has Entry) bool { return has.Host == e.Host })
-		if at < 0 {
+		e.version = d.version
+		index := slices.IndexFunc(d.nodes, func(old Entry) bool { return old.Host == e.Host })
+		if index < 0 {
 			d.nodes = append(d.nodes, e)
 		} else {
-			d.nodes[at] = e
+			d.nodes[index] = e
 		}
 	}
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// answer is what a call is answered with: the whole list, or what is newer than a version.
+// answer is the body of an answer: the whole list, or the entries changed after a version.
 type answer struct {
 	Seq   int64   `json:"seq"`
 	Whole bool    `json:"whole"`
 	Hosts []Entry `json:"hosts"`
 }
 
-// newer is what there is for a call, and what is closed with the next change.
-func (d *Discovery) newer(than int64, whole bool) (answer, <-chan struct{}) {
+// changesSince returns the answer to a call, and a channel that is closed with the next change.
+func (d *Discovery) changesSince(version int64, whole bool) (answer, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := answer{Seq: d.version, Whole: whole, Hosts: []Entry{}}
 	for _, e := range d.nodes {
-		if e.changed > than || whole && e.Health != "removed" {
+		if e.version > version || whole && e.Health != "removed" {
 			out.Hosts = append(out.Hosts, e)
 		}
 	}
-	return out, d.news
+	return out, d.changed
 }
 
-// ServeHTTP answers a call at once, or as soon as there is news within the time that it may be held.
+// ServeHTTP answers a call at once if there are changes, otherwise with the next change or after hold_ms.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	d.Begun.Add(1)
+	d.CallsReceived.Add(1)
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	whole := err != nil
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	out, news := d.newer(from, whole)
+	out, changed := d.changesSince(from, whole)
 	if !whole && len(out.Hosts) == 0 {
 		select {
-		case <-news:
-			out, _ = d.newer(from, false)
+		case <-changed:
+			out, _ = d.changesSince(from, false)
 		case <-time.After(time.Duration(hold) * time.Millisecond):
 		case <-r.Context().Done():
 			return
 		}
 	}
-	d.Calls.Add(1)
-	d.Lines.Add(int64(len(out.Hosts)))
+	d.CallsAnswered.Add(1)
+	d.EntriesSent.Add(int64(len(out.Hosts)))
 	text, err := json.Marshal(out)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/internal/lab/processes/relay.go
+++ b/internal/lab/processes/relay.go
@@ -7,25 +7,25 @@
 	"sync/atomic"
 )
 
-// longestMessage is room for a message between fronts.
-const longestMessage = 2048
+// maxMessageBytes is the buffer size for a message between fronts, in bytes.
+const maxMessageBytes = 2048
 
-// relay passes messages between fronts on, and counts them. Each front knows another one by a socket of the relay's, which
-// is that pair's alone.
+// relay forwards messages between fronts and counts them. It has one socket for each ordered pair of fronts, whose address
+// stands for the one front in the other's list of peers.
 type relay struct {
-	fronts   []netip.AddrPort // where each hears messages
-	sockets  [][]*net.UDPConn // by who hears, then by who seems to say it
+	fronts   []netip.AddrPort // addresses at which fronts receive messages
+	sockets  [][]*net.UDPConn // indexed by the front that has the address as a peer, then by the front that it stands for
 	Messages atomic.Int64
 	Bytes    atomic.Int64
 }
 
-// newRelay opens the sockets for so many fronts.
-func newRelay(many int) (*relay, error) {
-	r := &relay{sockets: make([][]*net.UDPConn, many)}
-	for i := range many {
-		r.fronts = append(r.fronts, netip.MustParseAddrPort(ownAddress()))
-		for range many {
-			c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(host())})
+// newRelay opens the sockets for count fronts and starts forwarding.
+func newRelay(count int) (*relay, error) {
+	r := &relay{sockets: make([][]*net.UDPConn, count)}
+	for i := range count {
+		r.fronts = append(r.fronts, netip.MustParseAddrPort(newAddress()))
+		for range count {
+			c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ownHost())})
 			if err != nil {
 				r.close()
 				return nil, fmt.Errorf("relay: %w", err)
@@ -33,20 +33,20 @@
 			r.sockets[i] = append(r.sockets[i], c)
 		}
 	}
-	for i := range many {
-		for j := range many {
-			go r.pass(i, j)
+	for i := range count {
+		for j := range count {
+			go r.forward(i, j)
 		}
 	}
 	return r, nil
 }
 
-// peers are the addresses by which a front knows all: its own, and the relay's in the place of the others'.
-func (r *relay) peers(of int) []string {
+// peersOf returns the list of peers of a front: its own address, and the relay's addresses in place of the others.
+func (r *relay) peersOf(front int) []string {
 	var out []string
-	for j, c := range r.sockets[of] {
-		if j == of {
-			out = append(out, r.fronts[of].String())
+	for j, c := range r.sockets[front] {
+		if j == front {
+			out = append(out, r.fronts[front].String())
 			continue
 		}
 		out = append(out, c.LocalAddr().String())
@@ -54,9 +54,9 @@
 	return out
 }
 
-// pass hands on what a front says to another, until the relay is closed.
-func (r *relay) pass(from, to int) {
-	buffer := make([]byte, longestMessage)
+// forward forwards messages from one front to another until the relay is closed.
+func (r *relay) forward(from, to int) {
+	buffer := make([]byte, maxMessageBytes)
 	for {
 		n, _, err := r.sockets[from][to].ReadFromUDPAddrPort(buffer)
 		if err != nil {
@@ -64,7 +64,7 @@
 		}
 		r.Messages.Add(1)
 		r.Bytes.Add(int64(n))
-		r.sockets[to][from].WriteToUDPAddrPort(buffer[:n], r.fronts[to]) // messages may be lost
+		r.sockets[to][from].WriteToUDPAddrPort(buffer[:n], r.fronts[to]) // errors are ignored: messages may be lost
 	}
 }
 
--- a/internal/lab/processes/report.go
+++ b/internal/lab/processes/report.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// Row is a measure: the line through its points, and what it comes to at the size of the whole fleet.
+// Row is a result: the line through the measured points, and its value at the size of the whole fleet.
 type Row struct {
-	Measure string
-	Sizes   string  // that were measured
-	Fit     Fit     // without points where a figure was measured once, at size
-	Unit    string  // of the slope
-	Value   float64 // at size
-	In      string  // unit of the value and of the budget
-	Budget  float64 // 0 for none
-	Note    string
+	Measure   string
+	Sizes     string
+	Fit       Fit // without points if the value was measured once, at the size of the fleet
+	SlopeUnit string
+	Value     float64 // at the size of the fleet
+	ValueUnit string  // unit of the value and of the budget
+	Budget    float64 // 0 for none
+	Note      string
 }
 
-// Ratio is the value's share of its budget, 0 where there is none.
+// Ratio returns the value divided by its budget, 0 without a budget.
 func (r Row) Ratio() float64 {
 	if r.Budget == 0 {
 		return 0
@@ -27,27 +27,27 @@
 	return r.Value / r.Budget
 }
 
-// columns are the table's heads.
-var columns = []string{"measure", "sizes", "slope", "residual", "at 1,200 x 1,800", "budget", "ratio", "note"}
+// headings holds the headings of the table.
+var headings = []string{"measure", "sizes", "slope", "residual", "at 1,200 x 1,800", "budget", "ratio", "note"}
 
-// cells are a row as it is written.
+// cells returns the texts of a row's cells.
 func (r Row) cells() []string {
 	slope, residual, budget, ratio := "measured at size", "", "none", ""
 	if r.Fit.Points > 0 {
-		slope = fmt.Sprintf("%s ± %s %s", short(r.Fit.Slope), short(r.Fit.Error), r.Unit)
-		residual = short(r.Fit.Residual)
-		if r.Fit.Faster {
+		slope = fmt.Sprintf("%s ± %s %s", formatNumber(r.Fit.Slope), formatNumber(r.Fit.SlopeError), r.SlopeUnit)
+		residual = formatNumber(r.Fit.Residual)
+		if r.Fit.Superlinear {
 			residual += ", grows faster than linearly"
 		}
 	}
 	if r.Budget > 0 {
-		budget, ratio = short(r.Budget)+" "+r.In, short(r.Ratio())
+		budget, ratio = formatNumber(r.Budget)+" "+r.ValueUnit, formatNumber(r.Ratio())
 	}
-	return []string{r.Measure, r.Sizes, slope, residual, short(r.Value) + " " + r.In, budget, ratio, r.Note}
+	return []string{r.Measure, r.Sizes, slope, residual, formatNumber(r.Value) + " " + r.ValueUnit, budget, ratio, r.Note}
 }
 
-// short writes a number to three figures.
-func short(v float64) string {
+// formatNumber formats a number with three significant digits, from 100 as an integer.
+func formatNumber(v float64) string {
 	if math.IsNaN(v) {
 		return "?"
 	}
@@ -59,13 +59,13 @@
 
 // Markdown writes rows as a table.
 func Markdown(out io.Writer, rows []Row) {
-	fmt.Fprintf(out, "| %s |\n|%s\n", strings.Join(columns, " | "), strings.Repeat(" --- |", len(columns)))
+	fmt.Fprintf(out, "| %s |\n|%s\n", strings.Join(headings, " | "), strings.Repeat(" --- |", len(headings)))
 	for _, r := range rows {
 		fmt.Fprintf(out, "| %s |\n", strings.Join(r.cells(), " | "))
 	}
 }
 
-// Text writes rows for a screen.
+// Text writes rows for a terminal.
 func Text(out io.Writer, rows []Row) {
 	for _, r := range rows {
 		c := r.cells()
@@ -76,7 +76,7 @@
 	}
 }
 
-// Worst is the line of the row that is furthest over its budget.
+// Worst describes the row with the largest ratio to its budget.
 func Worst(rows []Row) string {
 	worst := Row{}
 	for _, r := range rows {
@@ -87,22 +87,23 @@
 	if worst.Budget == 0 {
 		return "worst ratio: none, as no row has a budget"
 	}
-	return fmt.Sprintf("worst ratio: %s, %s: %s %s of %s", short(worst.Ratio()), worst.Measure, short(worst.Value), worst.In, short(worst.Budget))
+	return fmt.Sprintf("worst ratio: %s, %s: %s %s of %s", formatNumber(worst.Ratio()), worst.Measure, formatNumber(worst.Value),
+		worst.ValueUnit, formatNumber(worst.Budget))
 }
 
-// sizes writes what was measured.
-func sizes[T any](all []T, of string) string {
+// formatSizes formats the measured sizes.
+func formatSizes[T any](values []T, unit string) string {
 	var words []string
-	for _, v := range all {
+	for _, v := range values {
 		words = append(words, fmt.Sprint(v))
 	}
-	return strings.Join(words, ", ") + " " + of
+	return strings.Join(words, ", ") + " " + unit
 }
 
-// floats are numbers for a fit.
-func floats[T int | int64 | float64](all []T) []float64 {
+// toFloats converts numbers for a fit.
+func toFloats[T int | int64 | float64](values []T) []float64 {
 	var out []float64
-	for _, v := range all {
+	for _, v := range values {
 		out = append(out, float64(v))
 	}
 	return out
@@ -119,7 +120,7 @@
 
 `
 
-// Page writes rows as the page of figures. load tells how busy the machine was.
+// Page writes rows as the page of figures. load describes how busy the machine was.
 func Page(out io.Writer, rows []Row, load string) {
 	fmt.Fprintf(out, "%s%s\n\n", pageHead, load)
 	Markdown(out, rows)
--- a/internal/lab/processes/scenario.go
+++ b/internal/lab/processes/scenario.go
@@ -11,132 +11,133 @@
 	"otterturn/internal/net/protocol"
 )
 
-// Scenario is a small case that real and hollow fronts can both play: nodes with a shard each, all in one zone, and after
-// three seconds an event at one of them. Requests have one to three units, come at random times and go to all shards alike.
+// Scenario is a small case that both real and hollow fronts can run: nodes with one shard each, all in one zone, and an event
+// at one of them after three seconds. Requests have one to three units, come at random times and are spread evenly over all
+// shards.
 type Scenario struct {
 	Name   string
 	Fronts int
 	Nodes  int
-	Rate   float64       // requests a second of each front
-	Span   time.Duration // from the event on
-	Event  Happening
+	Rate   float64       // requests per second per front
+	Span   time.Duration // time measured, from the event on
+	Event  NodeEvent
 }
 
-// Happening is an event at a node.
-type Happening int
+// NodeEvent is an event at a node.
+type NodeEvent int
 
-// The kinds of Happening.
+// The kinds of NodeEvent.
 const (
-	FallsSilent Happening = iota // it takes connections and requests, and answers nothing; the list does not tell
-	BeginsAnew                   // its process ends, and begins anew, cold, a second later, as the list tells then
+	BecomesSilent NodeEvent = iota // the node accepts connections and requests but answers nothing; discovery doesn't report it
+	Restarts                       // the node's process ends and starts again a second later as a cold node; discovery reports the new start
 )
 
-// Scenarios are those by which both are held against each other. Each pair of front and node has more requests than at the
-// size of the fleet, so that chance tells less.
+// Scenarios holds the scenarios in which real and hollow fronts are compared. Each pair of front and node has more requests
+// than at the size of the fleet, which makes the results less random.
 var Scenarios = []Scenario{
-	{"a node falls silent", 8, 12, 120, 12 * time.Second, FallsSilent},
-	{"a node begins anew", 8, 12, 120, 8 * time.Second, BeginsAnew},
+	{"a node falls silent", 8, 12, 120, 12 * time.Second, BecomesSilent},
+	{"a node begins anew", 8, 12, 120, 8 * time.Second, Restarts},
 }
 
-// Ahead of the event clients ask for so long; a dead process begins anew after so long.
+// Time of load before the event, and time from the end of a node's process to its restart.
 const (
-	scenarioWarm = 3 * time.Second
-	deadFor      = time.Second
+	scenarioWarmUp = 3 * time.Second
+	restartDelay   = time.Second
 )
 
-// What requests of a scenario cost and how long their clients wait.
+// Cost of requests in a scenario and the maximum wait of their clients.
 const (
-	scenarioUnits    = 3
-	unitTime         = 5 * time.Millisecond // of a core; each request has one
-	scenarioPatience = 2500 * time.Millisecond
-	coldFrom         = 0.2
-	ramp             = 17 * time.Second
+	maxScenarioUnits      = 3
+	unitTime              = 5 * time.Millisecond // processor time per unit; each request has a core to itself
+	scenarioClientTimeout = 2500 * time.Millisecond
+	coldSpeed             = 0.2
+	rampTime              = 17 * time.Second
 )
 
-// Outcome is what one front sent from the event on, on the mean of all.
+// Outcome is what a front sent from the event on, as the mean over all fronts.
 type Outcome struct {
-	Probes       float64 // at the node that the event is about
+	Probes       float64 // at the node of the event
 	Attempts     float64 // at that node
 	Messages     float64 // to other fronts
-	MessageBytes float64 // of these, without heads of UDP
-	Served       float64 // requests, those ahead of the event included
+	MessageBytes float64 // of these, without UDP headers
+	Served       float64 // requests, those before the event included
 	Refused      float64
 	Failed       float64
 }
 
 func (o Outcome) String() string {
-	return fmt.Sprintf("a front: %.1f probes, %.1f attempts, %.1f messages of %.0f bytes in all; %.0f served, %.0f refused, %.1f failed",
+	return fmt.Sprintf("per front: %.1f probes, %.1f attempts, %.1f messages of %.0f bytes in total; %.0f served, %.0f refused, %.1f failed",
 		o.Probes, o.Attempts, o.Messages, o.MessageBytes, o.Served, o.Refused, o.Failed)
 }
 
-// Play plays a scenario with real processes.
-func (l *Lab) Play(ctx context.Context, s Scenario) (Outcome, error) {
+// RunScenario runs a scenario with real processes.
+func (l *Lab) RunScenario(ctx context.Context, s Scenario) (Outcome, error) {
 	nodes, err := startNodes(s.Nodes)
 	if err != nil {
 		return Outcome{}, err
 	}
 	defer closeNodes(nodes)
-	stage := &stage{scenario: s, nodes: nodes, list: entries(nodes)}
-	for i := range stage.list { // names as long as the hollow fleet's
-		stage.list[i].Host, stage.list[i].Site = fmt.Sprintf("storage-%04d.zone-00.region-0", i), zones[0]
+	run := &scenarioRun{scenario: s, nodes: nodes, list: entries(nodes)}
+	for i := range run.list { // names as long as those of the nodes behind hollow fronts
+		run.list[i].Host, run.list[i].Zone = fmt.Sprintf("storage-%04d.zone-00.region-0", i), zones[0]
 	}
-	if stage.discovery, err = startDiscovery(stage.list); err != nil {
+	if run.discovery, err = startDiscovery(run.list); err != nil {
 		return Outcome{}, err
 	}
-	defer stage.discovery.Close()
-	if stage.relay, err = newRelay(s.Fronts); err != nil {
+	defer run.discovery.Close()
+	if run.relay, err = newRelay(s.Fronts); err != nil {
 		return Outcome{}, err
 	}
-	defer stage.relay.close()
+	defer run.relay.close()
 	c := config{
-		discovery: stage.discovery.Addr, asked: true, memoryMB: todayMemoryMB, sockets: todaySockets, giveUp: scenarioPatience,
-		nodes: stage.list, shards: s.Nodes, units: scenarioUnits,
+		discovery: run.discovery.Addr, onRequest: true, memoryMB: todayMemoryMB, sockets: todaySockets, clientTimeout: scenarioClientTimeout,
+		nodes: run.list, shards: s.Nodes, maxUnits: maxScenarioUnits,
 	}
-	stage.fronts, err = l.startAll(ctx, s.Fronts, c, func(c *config) {
-		c.peerListen, c.peers = stage.relay.fronts[c.number].String(), stage.relay.peers(c.number)
+	run.fronts, err = l.startAll(ctx, s.Fronts, c, func(c *config) {
+		c.peerListen, c.peers = run.relay.fronts[c.number].String(), run.relay.peersOf(c.number)
 	})
 	if err != nil {
 		return Outcome{}, err
 	}
-	defer killAll(stage.fronts)
-	return stage.play(ctx)
+	defer killAll(run.fronts)
+	return run.run(ctx)
 }
 
-// stage is a scenario that is played.
-type stage struct {
-	scenario  Scenario
-	nodes     []*Node
-	list      []Entry
-	discovery *Discovery
-	relay     *relay
-	fronts    []*Front
-	cold      atomic.Pointer[time.Time] // when the node began anew, nil before
+// scenarioRun is a run of a scenario.
+type scenarioRun struct {
+	scenario    Scenario
+	nodes       []*Node
+	list        []Entry
+	discovery   *Discovery
+	relay       *relay
+	fronts      []*Front
+	restartedAt atomic.Pointer[time.Time] // when the node was restarted, nil before
 }
 
-// play has clients ask ahead of the event and behind it, without a pause, and counts from the event on.
-func (s *stage) play(ctx context.Context) (Outcome, error) {
-	set, err := s.fronts[0].config.settings()
+// run sends requests without a pause before and after the event, and counts from the event on.
+func (s *scenarioRun) run(ctx context.Context) (Outcome, error) {
+	settings, err := s.fronts[0].config.settings()
 	if err != nil {
 		return Outcome{}, err
 	}
 	for _, n := range s.nodes {
-		n.work = func(r *http.Request) time.Duration { return s.takes(r, set, n) }
+		n.workTime = func(r *http.Request) time.Duration { return s.attemptTime(r, settings, n) }
 	}
-	type asked struct {
+	type loadResult struct {
 		all []load.Progress
 		err error
 	}
-	done := make(chan asked, 1)
+	done := make(chan loadResult, 1)
 	go func() {
-		all, err := askAll(ctx, s.fronts, s.scenario.Rate, scenarioWarm+s.scenario.Span, s.scenario.Nodes)
-		done <- asked{all, err}
+		all, err := sendLoadToAll(ctx, s.fronts, s.scenario.Rate, scenarioWarmUp+s.scenario.Span, s.scenario.Nodes)
+		done <- loadResult{all, err}
 	}()
-	rest(ctx, scenarioWarm)
-	before := s.count()
-	if err := s.happen(ctx); err != nil {
+	wait(ctx, scenarioWarmUp)
+	before := s.sentSoFar()
+	if err := s.triggerEvent(ctx); err != nil {
 		return Outcome{}, err
 	}
-	after := s.count()
+	after := s.sentSoFar()
 	ended := <-done
 	out := Outcome{
 		Probes: after.Probes - before.Probes, Attempts: after.Attempts - before.Attempts,
@@ -150,43 +151,43 @@
 	return out, ended.err
 }
 
-// happen has the event happen, and lets the scenario's time pass.
-func (s *stage) happen(ctx context.Context) error {
+// triggerEvent triggers the event and waits for the rest of the scenario's time.
+func (s *scenarioRun) triggerEvent(ctx context.Context) error {
 	node, began := s.nodes[0], time.Now()
 	switch s.scenario.Event {
-	case FallsSilent:
-		node.Mute.Store(true)
-	case BeginsAnew:
-		node.kill()
-		rest(ctx, deadFor)
+	case BecomesSilent:
+		node.Silent.Store(true)
+	case Restarts:
+		node.stop()
+		wait(ctx, restartDelay)
 		now := time.Now()
-		s.cold.Store(&now)
-		if err := node.begin(); err != nil {
+		s.restartedAt.Store(&now)
+		if err := node.start(); err != nil {
 			return err
 		}
 		cold := s.list[0]
-		cold.Born = now.UnixMilli()
+		cold.StartMs = now.UnixMilli()
 		s.discovery.Change(cold)
 	}
-	rest(ctx, s.scenario.Span-time.Since(began))
+	wait(ctx, s.scenario.Span-time.Since(began))
 	return nil
 }
 
-// takes is how long a node works on a request, which has a core of its own.
-func (s *stage) takes(r *http.Request, set protocol.Settings, n *Node) time.Duration {
-	m, err := protocol.ParseRequest(r, set)
+// attemptTime returns the time that a node works on a request, with a core to itself.
+func (s *scenarioRun) attemptTime(r *http.Request, settings protocol.Settings, n *Node) time.Duration {
+	m, err := protocol.ParseRequest(r, settings)
 	if err != nil {
 		return 0
 	}
-	share := 1.0
-	if since := s.cold.Load(); since != nil && n == s.nodes[0] {
-		share = min(1, coldFrom+(1-coldFrom)*float64(time.Since(*since))/float64(ramp))
+	speed := 1.0
+	if restarted := s.restartedAt.Load(); restarted != nil && n == s.nodes[0] {
+		speed = min(1, coldSpeed+(1-coldSpeed)*float64(time.Since(*restarted))/float64(rampTime))
 	}
-	return time.Duration(m.Units * float64(unitTime) / share)
+	return time.Duration(m.Units * float64(unitTime) / speed)
 }
 
-// count is what a front has sent so far, on the mean.
-func (s *stage) count() Outcome {
+// sentSoFar returns what a front has sent so far, as the mean over all fronts.
+func (s *scenarioRun) sentSoFar() Outcome {
 	n := float64(len(s.fronts))
 	return Outcome{
 		Probes: float64(s.nodes[0].Probes.Load()) / n, Attempts: float64(s.nodes[0].Requests.Load()) / n,
--- a/internal/lab/processes/traffic.go
+++ b/internal/lab/processes/traffic.go
@@ -14,54 +14,54 @@
 	"otterturn/scheduler"
 )
 
-// mostOpen bounds the requests of one load that are open at once.
-const mostOpen = 4096
+// maxOpenRequests bounds the open requests of one load.
+const maxOpenRequests = 4096
 
-// sent numbers requests, whose ids have to be their own.
-var sent atomic.Int64
+// requestCount counts requests, which makes their ids unique.
+var requestCount atomic.Int64
 
-// mark names a front in the ids of the requests that it gets.
-func (f *Front) mark() string { return fmt.Sprintf("f%d", f.config.number) }
+// idPrefix returns the prefix of the ids of the requests sent to the front.
+func (f *Front) idPrefix() string { return fmt.Sprintf("f%d", f.config.number) }
 
-// frontOf reads a front's mark from an attempt.
-func frontOf(r *http.Request) string {
-	mark, _, _ := strings.Cut(r.Header.Get("X-Correlation-Id"), "-")
-	return mark
+// idPrefixOf returns the id prefix of the front that sent an attempt.
+func idPrefixOf(r *http.Request) string {
+	prefix, _, _ := strings.Cut(r.Header.Get("X-Correlation-Id"), "-")
+	return prefix
 }
 
-// request is one of a unit for a shard.
-func (f *Front) request(set protocol.Settings, class, shard int, piece uint64) scheduler.Request {
+// newRequest returns a request of one unit for a shard.
+func (f *Front) newRequest(settings protocol.Settings, class, shard int, key uint64) scheduler.Request {
 	return scheduler.Request{
-		ID: fmt.Sprintf("%s-%d-%d", f.mark(), time.Now().UnixNano(), sent.Add(1)), Class: class,
-		Volume: fmt.Sprintf("%016x", piece%volumes), Key: fmt.Sprintf("%016x", piece), Units: 1, Shard: shard, Fronts: 1,
-		TimeLeft: scheduler.Micros(set.LongestWait / time.Microsecond),
+		ID: fmt.Sprintf("%s-%d-%d", f.idPrefix(), time.Now().UnixNano(), requestCount.Add(1)), Class: class,
+		Volume: fmt.Sprintf("%016x", key%volumeCount), Key: fmt.Sprintf("%016x", key), Units: 1, Shard: shard, Fronts: 1,
+		TimeLeft: scheduler.Micros(settings.LongestWait / time.Microsecond),
 	}
 }
 
-// volumes are so many as are asked for.
-const volumes = 64
+// volumeCount is the number of volumes that requests use.
+const volumeCount = 64
 
-// ask has a front get requests, open-loop, for shards that are drawn from the first ones.
-func (f *Front) ask(ctx context.Context, rate float64, span time.Duration, shards int) (load.Progress, error) {
-	set, err := f.config.settings()
+// sendLoad sends an open-loop load to a front, for random shards below the given number.
+func (f *Front) sendLoad(ctx context.Context, rate float64, span time.Duration, shards int) (load.Progress, error) {
+	settings, err := f.config.settings()
 	if err != nil {
 		return load.Progress{}, err
 	}
-	transport := &http.Transport{MaxIdleConnsPerHost: mostOpen}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxOpenRequests}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
 	send := func(ctx context.Context, _ int, rng *rand.Rand) load.Verdict {
-		request := f.request(set, 0, rng.IntN(shards), rng.Uint64())
-		request.Units = float64(1 + rng.IntN(max(1, f.config.units)))
-		verdict, _ := load.Send(ctx, client, f.config.listen, set, request)
+		request := f.newRequest(settings, 0, rng.IntN(shards), rng.Uint64())
+		request.Units = float64(1 + rng.IntN(max(1, f.config.maxUnits)))
+		verdict, _ := load.Send(ctx, client, f.config.listen, settings, request)
 		return verdict
 	}
-	settings := load.Settings{Rate: rate, For: span, Seed: uint64(f.config.number) + 1, Open: mostOpen}
-	return load.Run(ctx, settings, send, func(load.Progress) {}), nil
+	loadSettings := load.Settings{Rate: rate, For: span, Seed: uint64(f.config.number) + 1, Open: maxOpenRequests}
+	return load.Run(ctx, loadSettings, send, func(load.Progress) {}), nil
 }
 
-// askAll has all fronts get the same, at once.
-func askAll(ctx context.Context, fronts []*Front, rate float64, span time.Duration, shards int) ([]load.Progress, error) {
+// sendLoadToAll sends the same load to all fronts concurrently.
+func sendLoadToAll(ctx context.Context, fronts []*Front, rate float64, span time.Duration, shards int) ([]load.Progress, error) {
 	type outcome struct {
 		at       int
 		progress load.Progress
@@ -70,7 +70,7 @@
 	outcomes := make(chan outcome, len(fronts))
 	for i, f := range fronts {
 		go func() {
-			progress, err := f.ask(ctx, rate, span, shards)
+			progress, err := f.sendLoad(ctx, rate, span, shards)
 			outcomes <- outcome{i, progress, err}
 		}()
 	}
