--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,5 +1,5 @@
-// Package baseline holds simple ways to decide, to compare the decision module with: what every front would do without
-// one. They keep the rules on answers and limits, and know nothing of load.
+// Package baseline implements simple scheduling algorithms to compare the scheduler with. They keep the rules on answers and
+// limits and ignore the nodes' load.
 package baseline
 
 import (
@@ -9,11 +9,12 @@
 	"otterturn/scheduler"
 )
 
-// Decider decides for one front: each request goes at once to the node that holds its data, within this front's even
-// part of each limit, and with a window no more than so many are out at a node; what waits goes in turn.
+// Decider makes the decisions of one front. It sends each request at once to the node that holds its data, within this
+// front's equal share of each limit. With a window, at most that many attempts run at a node, and other requests wait in the
+// order of arrival.
 type Decider struct {
 	set    scheduler.Settings
-	window int // requests out at a node at the most, 0 for no bound
+	window int // maximum number of attempts running at a node, 0 for no limit
 	nodes  map[int]*node
 	turn   int
 	open   map[string]*request
@@ -31,7 +32,7 @@
 type request struct {
 	scheduler.Request
 	end   scheduler.Micros
-	sent  *node // out there
+	sent  *node // node of the running attempt, nil for none
 	tries int
 	ran   bool // an attempt may have run
 }
@@ -41,12 +42,12 @@
 	at    scheduler.Micros
 }
 
-// New returns a decider; a window of 0 is for none.
+// New returns a decider. A window of 0 means no limit.
 func New(set scheduler.Settings, window int) *Decider {
 	return &Decider{set: set, window: window, nodes: map[int]*node{}, open: map[string]*request{}, stores: map[string]*store{}}
 }
 
-// Step takes events and returns what is to be done.
+// Step takes events and returns the actions.
 func (d *Decider) Step(now scheduler.Micros, events []scheduler.Event) []scheduler.Action {
 	d.now, d.out = now, nil
 	for _, e := range events {
@@ -103,7 +104,7 @@
 	}
 }
 
-// dispatch sends what may go, in the order of arrival; what can't be answered in time any more is refused or failed.
+// dispatch starts the attempts that are allowed, in the order of arrival, and ends requests that can't be answered in time.
 func (d *Decider) dispatch() {
 	waiting := make([]*request, 0, len(d.open))
 	for _, r := range d.open {
@@ -124,7 +125,7 @@
 			n.out++
 			r.sent, r.tries = n, r.tries+1
 			d.out = append(d.out, scheduler.StartAttempt{ID: r.ID, Node: n.Node})
-		case n == nil || d.window == 0: // nothing to wait for
+		case n == nil || d.window == 0: // waiting would not help
 			d.finish(r)
 		default:
 			held = true
@@ -136,7 +137,7 @@
 	}
 }
 
-// place is the node that holds a request's data; new objects go around.
+// place returns the node that holds a request's data. Requests for new objects go to the running nodes in round-robin order.
 func (d *Decider) place(r *request) *node {
 	if r.Shard >= 0 || len(d.nodes) == 0 {
 		return d.nodes[r.Shard]
@@ -152,7 +153,8 @@
 	return nil
 }
 
-// draw takes a request's units out of this front's even part of its limit, once.
+// draw takes a request's units from this front's equal share of the limit, at its first attempt only. It reports whether the
+// limit allows the request.
 func (d *Decider) draw(r *request) bool {
 	p := d.set.Plans[r.Plan]
 	if p.Limit <= 0 || r.tries > 0 {
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -1,78 +1,78 @@
-// Package model is the laboratory's storage node, free of I/O and clocks: cores that serve what waits in turn of
-// arrival, a waiting room that turns away when full, a cold start, and a fall when pushed too far while cold. The
-// figures are the project's own reading of the brief's. Times are microseconds.
+// Package model simulates a storage node without I/O or clocks: cores that serve a queue in the order of arrival, a bounded
+// queue that rejects jobs when full, a cold start with reduced speed, and failure by overload while cold. Times are in
+// microseconds.
 package model
 
 import "slices"
 
-// Figures of a node. Those that are 0 leave out what they describe.
+// Figures are the parameters of a node. A value of 0 turns the property off.
 type Figures struct {
 	Cores     int
-	Speed     float64 // of a core: 1 does a microsecond of work in one
-	Room      int     // requests that wait at most, beyond those in work
-	ColdFrom  float64 // share of its speed with which it starts
-	Ramp      int64   // and after so long it has all of it
-	FallTimes float64 // sent more than so many times what it can do then
-	FallSpan  int64   // within this time, a cold node falls over
-	FallFree  float64 // work that it bears in any case, in microseconds of a core
-
-	Overfull   float64 // with a full room a job costs so much more, with a half full one half of that
-	PutOff     float64 // share of a write's work that is put off
-	PutOffFor  int64   // for so long, and then done in one go on one core
-	Near       float64 // share of its work that a job costs if one for the same piece came not long before
-	NearSpan   int64   // which is this long
-	KeyWindow  int64   // a keyed job is dropped, and answered at once, if one with its key was done within this time
-	ProbeWork  float64 // of a probe, put off as well
-	ConnWork   float64 // of a connection that is opened, put off as well
-	MostConns  int     // connections at a time
-	MostMemory int     // pieces and keys that are remembered
-}
-
-// Job is a request at a node.
+	Speed     float64 // of a core; a core of speed 1 does 1 us of work per us
+	Room      int     // maximum number of queued requests, without the running ones
+	ColdFrom  float64 // share of its speed that it has at its start
+	Ramp      int64   // time from its start until it has its full speed
+	FallTimes float64 // a cold node fails when it receives more than this multiple of the work that it can do
+	FallSpan  int64   // time within which that work is counted
+	FallFree  float64 // work within FallSpan that never makes it fail, in microseconds of a core of speed 1
+
+	Overfull   float64 // additional cost of a job with a full queue, as a share; proportionally less with a shorter queue
+	PutOff     float64 // share of a write's work that is deferred
+	PutOffFor  int64   // delay after which the deferred work is done in one piece on one core
+	Near       float64 // share of its work that a job costs if one for the same object came within NearSpan
+	NearSpan   int64   // see Near
+	KeyWindow  int64   // a job whose key was used within this time costs nothing, as a duplicate
+	ProbeWork  float64 // deferred work of a health check
+	ConnWork   float64 // deferred work of a new connection
+	MostConns  int     // maximum number of open connections
+	MostMemory int     // maximum number of objects, and of keys, that are remembered
+}
+
+// Job is a request at a node. A job without a Tag is deferred work.
 type Job struct {
 	Tag   any
 	Work  float64 // microseconds on a core of speed 1
 	Write bool
-	Piece string // the data it is for, "" for none
-	Key   string // its repeats carry the same, "" for none
+	Piece string // object that it is for, "" for none
+	Key   string // idempotency key, "" for none
 }
 
-// Done is a job that came to its end.
+// Done is a job with its end time.
 type Done struct {
 	Job
 	At int64
 }
 
-// Node is one node.
+// Node is the state of a node.
 type Node struct {
 	Figures
-	Up     int64 // last start, 0 for long ago
-	Fallen bool
+	Up     int64  // time of the last start, 0 for a node that has always been warm
+	Fallen bool   // failed by overload while cold; it is silent until it restarts
 	Dead   bool   // its process has ended
-	Mute   bool   // it takes what comes and answers nothing
-	busy   []Done // in work, with their ends
+	Mute   bool   // it accepts jobs and never answers
+	busy   []Done // running jobs, with their end times
 	queue  []Job
-	sent   []Done // work that came of late while cold
-	paused int64  // nothing is done until then
-	debt   float64
-	debtAt int64 // since then there is a debt
+	sent   []Done  // work received within the last FallSpan while cold
+	paused int64   // end of a stall
+	debt   float64 // deferred work
+	debtAt int64   // time since which there is deferred work
 	conns  int
-	pieces map[string]int64 // when last worked on
-	keys   map[string]int64 // when done
+	pieces map[string]int64 // time of the last job, by object
+	keys   map[string]int64 // time of the first job, by key
 }
 
-// New returns a node that has been up for long.
+// New returns a warm node.
 func New(f Figures) *Node {
 	return &Node{Figures: f, pieces: map[string]int64{}, keys: map[string]int64{}}
 }
 
-// Restart is a process that begins: what it had is lost.
+// Restart starts a new process; the state of the old one is lost.
 func (n *Node) Restart(now int64) {
 	*n = *New(n.Figures)
 	n.Up = now
 }
 
-// Die ends the process and returns the jobs that are lost with it.
+// Die ends the process and returns its jobs, which are lost.
 func (n *Node) Die() []Job {
 	lost := n.queue
 	for _, d := range n.busy {
@@ -82,7 +82,7 @@
 	return lost
 }
 
-// Pause has nothing done until a time.
+// Pause stalls the node until a time.
 func (n *Node) Pause(now, until int64) {
 	for i := range n.busy {
 		n.busy[i].At += until - now
@@ -90,10 +90,10 @@
 	n.paused = max(n.paused, until)
 }
 
-// Silent tells that a node answers nothing.
+// Silent reports whether the node answers nothing.
 func (n *Node) Silent() bool { return n.Fallen || n.Dead || n.Mute }
 
-// warm is the share of its speed that a node has.
+// warm returns the share of its speed that the node has.
 func (n *Node) warm(now int64) float64 {
 	if n.Up == 0 || now >= n.Up+n.Ramp {
 		return 1
@@ -101,10 +101,10 @@
 	return n.ColdFrom + (1-n.ColdFrom)*float64(now-n.Up)/float64(n.Ramp)
 }
 
-// Queue tells how many jobs wait.
+// Queue returns the number of queued jobs.
 func (n *Node) Queue() int { return len(n.queue) }
 
-// owe puts work off.
+// owe adds deferred work.
 func (n *Node) owe(now int64, work float64) {
 	if n.debt == 0 {
 		n.debtAt = now
@@ -112,13 +112,13 @@
 	n.debt += work
 }
 
-// Probe takes a probe, and tells how many jobs wait.
+// Probe handles a health check and returns the number of queued jobs.
 func (n *Node) Probe(now int64) int {
 	n.owe(now, n.ProbeWork)
 	return len(n.queue)
 }
 
-// Connect takes a connection, and tells whether there was room for it.
+// Connect opens a connection and reports whether the limit allowed it.
 func (n *Node) Connect(now int64) bool {
 	if n.MostConns > 0 && n.conns >= n.MostConns {
 		return false
@@ -128,22 +128,22 @@
 	return true
 }
 
-// Disconnect ends a connection.
+// Disconnect closes a connection.
 func (n *Node) Disconnect() { n.conns = max(0, n.conns-1) }
 
-// Arrive takes a job in and tells whether there was room for it. A node that has fallen takes nothing and answers
-// nothing.
+// Arrive takes a job and reports whether it was accepted. A node that has failed returns true and drops the job, so that it
+// stays silent instead of rejecting.
 func (n *Node) Arrive(now int64, j Job) bool {
 	n.press(now, j.Work)
 	if n.Fallen || len(n.queue) >= n.Room && len(n.busy) >= n.Cores {
-		return n.Fallen // to be silent, not to turn away
+		return n.Fallen // a failed node is silent and rejects nothing
 	}
 	n.queue = append(n.queue, j)
 	n.begin(now)
 	return true
 }
 
-// press counts work against what a cold node bears.
+// press counts received work and makes a cold node fail that received too much.
 func (n *Node) press(now int64, work float64) {
 	share := n.warm(now)
 	if share >= 1 {
@@ -160,7 +160,7 @@
 	}
 }
 
-// begin gives free cores what waits: first what was put off, where that is due.
+// begin starts jobs on free cores: deferred work that is due first, then queued jobs.
 func (n *Node) begin(now int64) {
 	for len(n.busy) < n.Cores && len(n.queue) > 0 {
 		if n.debt > 0 && now >= n.debtAt+n.PutOffFor {
@@ -175,12 +175,12 @@
 	}
 }
 
-// occupy puts a job on a free core.
+// occupy starts a job on a free core.
 func (n *Node) occupy(now int64, j Job) {
 	n.busy = append(n.busy, Done{j, max(now, n.paused) + int64(j.Work/n.Speed/n.warm(now)) + 1})
 }
 
-// cost is the work that a job takes as it begins.
+// cost returns the work that a job takes if it starts now.
 func (n *Node) cost(now int64, j Job) float64 {
 	if at, done := n.keys[j.Key]; done && j.Key != "" && now < at+n.KeyWindow {
 		return 0
@@ -205,7 +205,8 @@
 	return work
 }
 
-// remember notes a time under a name. Past the bound what is older than the span is forgotten, else everything.
+// remember sets the time of a name. At the maximum size of the map it removes entries older than span, or all entries if that
+// is not enough.
 func remember(at map[string]int64, name string, now, span int64, most int) {
 	if len(at) >= max(most, 1) {
 		for k, t := range at {
@@ -220,7 +221,7 @@
 	at[name] = now
 }
 
-// Next tells when the next job ends.
+// Next returns the time at which the next job ends, if one is running.
 func (n *Node) Next() (at int64, ok bool) {
 	for _, d := range n.busy {
 		if !ok || d.At < at {
@@ -230,11 +231,11 @@
 	return at, ok
 }
 
-// Finish returns the jobs that have ended by now, and begins others.
+// Finish returns the jobs that have ended by now and starts others.
 func (n *Node) Finish(now int64) []Done {
 	var out []Done
 	n.busy = slices.DeleteFunc(n.busy, func(d Done) bool {
-		if d.At <= now && d.Tag != nil { // what was put off has no one who waits for it
+		if d.At <= now && d.Tag != nil { // deferred work has no client
 			out = append(out, d)
 		}
 		return d.At <= now
--- a/internal/lab/model/queue_test.go
+++ b/internal/lab/model/queue_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Against theory: jobs that come at random and take exponential times, at 4 cores, wait in the mean what the Erlang C
-// formula says (Kleinrock, Queueing Systems I, 3.5).
+// With Poisson arrivals, exponential service times and 4 cores (M/M/4), the mean wait agrees with the Erlang C formula within
+// 5% (Kleinrock, Queueing Systems I, 3.5).
 func TestWaitsAsErlangC(t *testing.T) {
 	const cores, mean = 4, 10_000.0
 	for _, busy := range []float64{0.5, 0.8, 0.9} {
@@ -17,7 +17,7 @@
 		finish := func(until int64) {
 			for next, ok := n.Next(); ok && next <= until; next, ok = n.Next() {
 				for _, d := range n.Finish(next) {
-					if count++; count > 20_000 { // past the start
+					if count++; count > 20_000 { // skip the transient at the start
 						waited += float64(d.At-d.Tag.(int64)) - d.Work
 					}
 				}
@@ -35,9 +35,9 @@
 		}
 		wait := term / (1 - busy) / (sum + term/(1-busy)) * mean / cores / (1 - busy)
 		got := waited / float64(count-20_000)
-		t.Logf("busy %.1f: %.0f us, by the formula %.0f", busy, got, wait)
+		t.Logf("utilization %.1f: mean wait %.0f us, by the formula %.0f us", busy, got, wait)
 		if math.Abs(got/wait-1) > 0.05 {
-			t.Errorf("busy %.1f: a job waits %.0f us, and %.0f by the formula", busy, got, wait)
+			t.Errorf("utilization %.1f: mean wait %.0f us, want %.0f us by the formula", busy, got, wait)
 		}
 	}
 }
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -1,5 +1,6 @@
-// Package record keeps the events that a scheduler was given, step by step, and a sum of what it decided, small enough to
-// be test data: a later scheduler is held to the same decisions.
+// Package record records the events that a scheduler received at each step and a checksum of its actions. Tests replay such a
+// recording to check that a later version of the scheduler makes the same decisions. A checksum in place of the actions keeps
+// the recordings small enough for test data.
 package record
 
 import (
@@ -14,14 +15,14 @@
 	"otterturn/scheduler"
 )
 
-// Stream is what one scheduler met.
+// Stream is the recording of one scheduler.
 type Stream struct {
 	Settings scheduler.Settings
 	Seed     int64
 	Steps    []Step
 }
 
-// Step is one step: its time, its events, and the sum of the actions.
+// Step is one step: its time, its events and the checksum of its actions.
 type Step struct {
 	_      struct{} `cbor:",toarray"`
 	Now    scheduler.Micros
@@ -29,7 +30,7 @@
 	Sum    uint32
 }
 
-// Event is one of the kinds of scheduler.Event; the others are nil.
+// Event holds one scheduler.Event in the field of its type; the other fields are nil.
 type Event struct {
 	Nodes   *scheduler.EndpointsChanged  `cbor:"1,keyasint,omitempty"`
 	Request *scheduler.Request           `cbor:"2,keyasint,omitempty"`
@@ -93,7 +94,7 @@
 	return scheduler.TimerFired{}
 }
 
-// sum is that of actions, in their order.
+// sum returns the checksum of actions, which depends on their order.
 func sum(actions []scheduler.Action) uint32 {
 	d := xxhash.New()
 	for _, a := range actions {
@@ -102,7 +103,8 @@
 	return uint32(d.Sum64())
 }
 
-// recordedName is the name of an action's kind in recorded sums. It stays when the type is renamed.
+// recordedName returns the type name of an action that recorded checksums are computed with. It must not change when the
+// type is renamed.
 func recordedName(a scheduler.Action) string {
 	switch a.(type) {
 	case scheduler.StartAttempt:
@@ -127,13 +129,13 @@
 	return fmt.Sprintf("%T", a)
 }
 
-// Recorder records what a decider meets.
+// Recorder is a decider that records the steps of another one.
 type Recorder struct {
 	world.Decider
 	Stream Stream
 }
 
-// Step has the decider decide.
+// Step passes the events to the decider and records the step.
 func (r *Recorder) Step(now scheduler.Micros, events []scheduler.Event) []scheduler.Action {
 	step := Step{Now: now}
 	for _, e := range events {
@@ -145,8 +147,8 @@
 	return actions
 }
 
-// Replay gives a stream to a scheduler, and tells the first step at which it decides otherwise, below 0 for none, with
-// what it decides there.
+// Replay passes a recording to a decider. It returns the index of the first step at which the actions differ, with those
+// actions, or -1 if none differs.
 func (s Stream) Replay(to world.Decider) (step int, actions []scheduler.Action) {
 	for i, st := range s.Steps {
 		var events []scheduler.Event
@@ -160,30 +162,30 @@
 	return -1, nil
 }
 
-// Write writes a stream, compressed.
+// Write writes a stream as CBOR compressed with gzip.
 func Write(out io.Writer, s Stream) error {
 	z, err := gzip.NewWriterLevel(out, gzip.BestCompression)
 	if err != nil {
 		return err
 	}
 	if err := cbor.NewEncoder(z).Encode(s); err != nil {
-		return fmt.Errorf("write a stream: %w", err)
+		return fmt.Errorf("write recorded stream: %w", err)
 	}
 	return z.Close()
 }
 
-// Read reads one.
+// Read reads a stream that Write has written.
 func Read(in io.Reader) (s Stream, err error) {
 	z, err := gzip.NewReader(in)
 	if err != nil {
-		return s, fmt.Errorf("read a stream: %w", err)
+		return s, fmt.Errorf("read recorded stream: %w", err)
 	}
 	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 24}.DecMode()
 	if err != nil {
 		return s, err
 	}
 	if err := mode.NewDecoder(z).Decode(&s); err != nil {
-		return s, fmt.Errorf("read a stream: %w", err)
+		return s, fmt.Errorf("read recorded stream: %w", err)
 	}
 	return s, nil
 }
--- a/internal/lab/record/streams.go
+++ b/internal/lab/record/streams.go
@@ -8,7 +8,7 @@
 	"otterturn/scheduler"
 )
 
-// Make plays a rough day and records its first front. The names are those of Streams.
+// Make runs the day of that name in Streams and returns the recording of its first front.
 func Make(name string) (Stream, error) {
 	d := Streams[name]
 	s, err := scenario.Calm(d.nodes, d.fronts, d.length)
@@ -33,15 +33,15 @@
 	return r.Stream, err
 }
 
-// day is what a stream is recorded on.
+// day describes the scenario of a recording.
 type day struct {
 	nodes, fronts int
 	length        time.Duration
 	edit          func(s *scenario.Scenario, set *scheduler.Settings)
 }
 
-// Streams are rough days: a rolling deploy, failures of all kinds, a flood beyond what there is room for with requests
-// that run in turn, and a long one with so little to do that what was learned is forgotten again.
+// Streams are the days to record, by name: a rolling deploy; several kinds of failures; a flood beyond the limit of open
+// requests, with a class whose requests run in order; and a long day with so little load that learned state expires.
 var Streams = map[string]day{
 	"deploy": {10, 3, 16 * time.Second, func(s *scenario.Scenario, _ *scheduler.Settings) {
 		s.Happens = []scenario.Event{
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -1,5 +1,5 @@
-// Package restart is an experiment: the same busy seconds are played three times, with a front that is never
-// restarted, one that is restarted and knows what it had learned, and one that is restarted and knows nothing.
+// Package restart measures the use of saved learned state. It runs the same load three times: with a front that is not
+// restarted, with one that is restarted with its learned state, and with one that is restarted without it.
 package restart
 
 import (
@@ -17,28 +17,28 @@
 	"otterturn/scheduler"
 )
 
-// Times of a play, in microseconds.
+// Times of a run, in microseconds.
 const (
 	second  = scheduler.Micros(1_000_000)
-	warmed  = 30 * second       // the front has learned for so long
-	down    = second / 2        // then it is away for so long
-	counted = 10 * second       // and what comes after that counts for so long
-	saved   = 5 * second        // a snapshot is at most so old
-	coldAt  = warmed - 3*second // the cold node's start
+	warmed  = 30 * second       // time for which the front learns
+	down    = second / 2        // downtime of the front after that
+	counted = 10 * second       // time after the downtime whose requests are counted
+	saved   = 5 * second        // maximum age of a snapshot at the restart
+	coldAt  = warmed - 3*second // start of the cold node
 )
 
-// variants in the order of the columns.
+// variants names the runs, in the order of the columns.
 var variants = []string{"never restarted", "with what it learned", "without"}
 
-// Result is the worth that was served in time in the seconds that count, for each variant, of that asked for.
+// Result is the worth of the counted requests and, by variant, the part of it that was served in time.
 type Result struct {
 	Seed   uint64
 	Asked  float64
 	Served [3]float64
-	Fallen [3]int // nodes pushed over
+	Fallen [3]int // nodes that failed by overload
 }
 
-// settings are those of a site of one front.
+// settings returns the scheduler's settings for a site with one front.
 func settings() scheduler.Settings {
 	return scheduler.Settings{
 		Fronts: 1, Tick: 2000, MeanUnits: 2, MaxUnits: 8, MaxAttempts: 4, HealthChecks: true,
@@ -53,13 +53,14 @@
 	}
 }
 
-// Kinds of requests: share, mean work of a unit and the client's patience, by class.
+// kinds lists, by class: the share of the requests, the mean work per unit in microseconds and the time after which the
+// client gives up.
 var kinds = []struct {
 	share, work float64
 	left        scheduler.Micros
 }{{0.55, 20_000, 2_500_000}, {0.30, 35_000, 2_000_000}, {0.15, 60_000, 6_000_000}}
 
-// day draws nodes and requests: three nodes of ten are slow, one restarts shortly before the front does.
+// day draws nodes and requests. 3 of 10 nodes are slow. The caller restarts one node shortly before the front.
 func day(seed uint64) ([]*model.Node, []world.Request) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var nodes []*model.Node
@@ -75,13 +76,13 @@
 		speeds += f.Speed * float64(f.Cores)
 		nodes = append(nodes, model.New(f))
 	}
-	// Nine tenths of what all nodes can do, spread evenly: the slow ones are asked for more than they can do.
+	// The load is 90% of the capacity of all nodes and spread evenly, so the slow nodes are overloaded.
 	var requests []world.Request
 	mean := 0.0
 	for _, k := range kinds {
 		mean += k.share * k.work * 2
 	}
-	rate := 0.9 * speeds / mean // requests a microsecond
+	rate := 0.9 * speeds / mean // requests per microsecond
 	for at, n := 0.0, 0; at < float64(warmed+down+counted); n++ {
 		at += rng.ExpFloat64() / rate
 		class, pick := 0, rng.Float64()
@@ -91,7 +92,7 @@
 		}
 		units := float64(1 + rng.IntN(3))
 		project, shard := rng.IntN(40), rng.IntN(len(nodes))
-		if class == 1 { // a new object, which any node may take
+		if class == 1 { // a new object, which any node accepts
 			shard = -1
 		}
 		requests = append(requests, world.Request{
@@ -105,7 +106,7 @@
 	return nodes, requests
 }
 
-// Play plays one day in all variants.
+// Play simulates one day with each variant.
 func Play(seed uint64) (Result, error) {
 	r := Result{Seed: seed}
 	set := settings()
@@ -130,7 +131,7 @@
 		w.At(warmed-saved+scheduler.Micros(seed%5)*second, func() { kept = save(w, s) })
 		if v > 0 {
 			w.At(warmed+down, func() {
-				again, _ := scheduler.New(set, int64(seed)+1) // of settings that were good before
+				again, _ := scheduler.New(set, int64(seed)+1) // the settings were valid the first time
 				w.Start(0, again)
 				if v == 1 {
 					again.ImportLearned(w.Now, recall(w, s, kept))
@@ -159,7 +160,7 @@
 	return r, nil
 }
 
-// save is a snapshot of the front, by way of its file's bytes.
+// save returns a snapshot of the front's learned state.
 func save(w *world.World, front *scheduler.Scheduler) snapshot.Snapshot {
 	l, _ := front.ExportLearned(w.Now, 0, math.MaxInt32)
 	s := snapshot.Snapshot{Front: "lab", Settings: snapshot.Fingerprint(w.Set), Saved: w.Now, Accounts: l.Volumes, Leads: l.Flows}
@@ -169,7 +170,7 @@
 	return s
 }
 
-// recall is what still counts of a snapshot.
+// recall returns the part of a snapshot that is still valid.
 func recall(w *world.World, front *scheduler.Scheduler, s snapshot.Snapshot) scheduler.Learned {
 	now := decay.Current{At: w.Now, Front: "lab", Settings: snapshot.Fingerprint(w.Set), Fresh: front.NewNodeStats()}
 	for _, l := range w.List().Endpoints {
@@ -181,7 +182,8 @@
 	return decay.Decay(s, now, false)
 }
 
-// Report plays seeds from 1 and writes a table, with the medians of what the restarted fronts keep.
+// Report runs the seeds from 1 and writes a table, with the medians of the worth that restarted fronts serve relative to a
+// front that is not restarted.
 func Report(out io.Writer, seeds int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "seed\tworth asked\tnever\twith\twithout\twith/never\twithout/never\tpushed over\t")
--- a/internal/lab/restart/restart_test.go
+++ b/internal/lab/restart/restart_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The short form of 'make restart': a front that is restarted with what it learned serves nearly what one serves
-// that never was, pushes no node over, and a day comes out the same again.
+// A short form of 'make restart': a front that is restarted with its learned state serves at least 95% of what a front that is
+// not restarted serves, makes no node fail by overload, and a seed always gives the same result.
 func TestRestartWithWhatWasLearned(t *testing.T) {
 	const seeds = 2
 	kept := 0.0
@@ -13,17 +13,17 @@
 			t.Fatal(err)
 		}
 		if r.Fallen != [3]int{} {
-			t.Errorf("seed %d: nodes pushed over: %v", seed+1, r.Fallen)
+			t.Errorf("seed %d: nodes failed by overload, by variant: %v", seed+1, r.Fallen)
 		}
 		kept += r.Served[1] / r.Served[0] / seeds
 		if seed > 0 {
 			continue
 		}
 		if again, err := Play(seed + 1); err != nil || again != r {
-			t.Errorf("the same day came out as %+v and as %+v, %v", r, again, err)
+			t.Errorf("two runs with the same seed differ: %+v and %+v; error %v", r, again, err)
 		}
 	}
 	if kept < 0.95 {
-		t.Errorf("%.3f of a front that was never restarted, in the mean", kept)
+		t.Errorf("restarted front serves %.3f of what a front that is not restarted serves, want at least 0.95", kept)
 	}
 }
--- a/internal/lab/scenario/build.go
+++ b/internal/lab/scenario/build.go
@@ -11,8 +11,9 @@
 	"otterturn/scheduler"
 )
 
-// Build is another build of this program, an earlier one say: its benchlink, which decides behind a pipe. The variant
-// starts it anew for each day; end it with close.
+// Build returns a variant that is decided by another build of this program, such as an earlier release: path names its
+// benchlink executable, which is driven through its standard input and output. The variant restarts the executable for each
+// simulated day. The caller stops it with close.
 func Build(name, path string) (v Variant, close func() error) {
 	var cmd *exec.Cmd
 	var in io.WriteCloser
--- a/internal/lab/scenario/judge.go
+++ b/internal/lab/scenario/judge.go
@@ -10,35 +10,35 @@
 	"otterturn/internal/lab/world"
 )
 
-// Result is how a day went.
+// Result is the outcome of a simulated day.
 type Result struct {
 	Seed     uint64
-	Asked    float64        // worth
-	Served   float64        // of it, in time
-	Worst    float64        // share served in time in the worst 10 s
-	Ended    map[string]int // requests, by verdict
-	Fallen   int            // nodes that were pushed over
+	Asked    float64        // worth of all requests: priority times units
+	Served   float64        // worth of the requests answered in time
+	Worst    float64        // lowest share of the worth served in time within 10 s
+	Ended    map[string]int // number of requests, by verdict
+	Fallen   int            // nodes that failed by overload
 	Breaks   []string
 	Requests int
-	Digest   string // of how every request ended and when; the same day has the same one
+	Digest   string // hash of how and when each request ended; equal for equal days
 	Seconds  []Second
-	Latency  []*hdrhistogram.Histogram `json:"-"` // of answers, by kind, in microseconds since they were meant to be sent
+	Latency  []*hdrhistogram.Histogram `json:"-"` // latencies of answers in microseconds since the planned send time, by kind of request
 	Traces   []Trace                   `json:"-"`
 }
 
-// Second is one second's worth.
+// Second is the worth of the requests of one second.
 type Second struct{ Asked, Served float64 }
 
-// Share is the worth served in time of that asked for.
+// Share returns the worth served in time as a share of the worth of all requests.
 func (r Result) Share() float64 { return r.Served / r.Asked }
 
-// worstSpan is the length in seconds of the worst stretch that is told.
+// worstSpan is the length in seconds of the intervals of which Result.Worst reports the worst.
 const worstSpan = 10
 
-// mostLatency is the longest latency that the histograms tell, in microseconds.
+// mostLatency is the largest latency that the histograms hold, in microseconds; longer ones are recorded as this one.
 const mostLatency = 60_000_000
 
-// judge adds up what was served in time, from the first second on, and what broke a rule.
+// judge computes the result. Requests of the first second are not counted.
 func (d Day) judge(traces *traces) Result {
 	w := d.World
 	r := Result{
@@ -80,7 +80,7 @@
 	return r
 }
 
-// worst is the lowest share served in time in a stretch of worstSpan.
+// worst returns the lowest share served in time within an interval of worstSpan.
 func worst(seconds []Second) float64 {
 	least := 1.0
 	for from := 1; from < len(seconds); from += worstSpan {
@@ -95,5 +95,5 @@
 	return least
 }
 
-// kept tells whether no rule was broken and no node pushed over.
+// kept reports whether no rule was broken and no node failed by overload.
 func (r Result) kept() bool { return r.Fallen == 0 && len(r.Breaks) == 0 }
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -12,7 +12,7 @@
 	"otterturn/scheduler"
 )
 
-// captured is a line of a file of what was asked for: milliseconds since the beginning, kind, project, units, shard.
+// captured is one request of a recorded load: milliseconds since the start, kind, project, units, shard.
 type captured struct {
 	at             float64
 	class, project int
@@ -20,10 +20,10 @@
 	shard          int
 }
 
-// mostCaptured bounds such a file's lines.
+// mostCaptured limits the number of requests of a recorded load.
 const mostCaptured = 5_000_000
 
-// readCaptured reads a file of what was asked for, as comma-separated values without a head. Its errors name the line.
+// readCaptured reads a recorded load from a CSV file without a header. Its errors name the line.
 func readCaptured(name string, s Scenario) ([]captured, error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -49,15 +49,15 @@
 		var n [4]float64
 		for i, text := range []string{row[0], row[2], row[3], row[4]} {
 			if n[i], err = strconv.ParseFloat(text, 64); err != nil {
-				return nil, fmt.Errorf("%s: line %d: %q is no number", name, line, text)
+				return nil, fmt.Errorf("%s: line %d: %q is not a number", name, line, text)
 			}
 		}
 		c := captured{n[0], class, int(n[1]), n[2], int(n[3])}
 		switch {
 		case !known:
-			return nil, fmt.Errorf("%s: line %d: %q is none of the mix", name, line, row[1])
+			return nil, fmt.Errorf("%s: line %d: %q is not a kind of load.mix", name, line, row[1])
 		case len(out) > 0 && c.at < out[len(out)-1].at, c.at < 0:
-			return nil, fmt.Errorf("%s: line %d: earlier than the one before", name, line)
+			return nil, fmt.Errorf("%s: line %d: earlier than the preceding line, or below 0", name, line)
 		case c.project < 0 || c.project >= s.Load.Projects || c.units <= 0 || c.units > mostUnits || c.shard < -1 || c.shard >= s.Nodes.Count:
 			return nil, fmt.Errorf("%s: line %d: project, units or shard out of range", name, line)
 		case len(out) == mostCaptured:
@@ -68,7 +68,8 @@
 	return out, nil
 }
 
-// draw draws a day's requests ahead. power is what all nodes do in a microsecond.
+// draw draws all requests of a day. power is the work that all nodes together do per microsecond. The arrivals are drawn
+// at the highest possible rate and thinned out to the rate at their time.
 func (s Scenario) draw(rng *rand.Rand, power float64) []world.Request {
 	d := drawer{Scenario: s, rng: rng}
 	if s.captured != nil {
@@ -79,8 +80,8 @@
 		}
 		return d.out
 	}
-	base := s.Load.Busy * power / s.mix.mean() // requests a microsecond
-	top := 1.0                                 // of base, at the most
+	base := s.Load.Busy * power / s.mix.mean() // requests per microsecond
+	top := 1.0                                 // upper bound of the rate, as a multiple of base
 	for _, e := range s.Happens {
 		if e.What == "surge" || e.What == "flood" {
 			top += e.Times
@@ -122,15 +123,15 @@
 	}
 }
 
-// drawer draws what a request doesn't say.
+// drawer draws the random properties of requests.
 type drawer struct {
 	Scenario
 	rng    *rand.Rand
 	out    []world.Request
-	recent []world.Request // of the writes of new objects
+	recent []world.Request // writes of new objects, the oldest first
 }
 
-// fresh is how long ago a write was that is read again.
+// fresh is the maximum age of the writes whose objects Load.Recent reads.
 const fresh = 2 * second
 
 func (d *drawer) add(at scheduler.Micros, class, project int, units float64, shard int) {
--- a/internal/lab/scenario/mix.go
+++ b/internal/lab/scenario/mix.go
@@ -12,33 +12,33 @@
 	"otterturn/scheduler"
 )
 
-// usualMix is what is asked for where a scenario says nothing else: the brief's classes.
+// usualMix is the mix of a scenario that gives none: three classes, of reads, writes of new objects and bulk reads.
 const usualMix = "55% read costs 20ms within 300ms waits 2.5s worth 2, " +
 	"30% write new keyed 3s costs 35ms within 400ms waits 2s worth 2, " +
 	"15% bulk-read costs 60ms within 2s waits 6s worth 1"
 
-// Mix is what clients ask for, in words such as usualMix.
+// Mix is the distribution of the kinds of requests, written as in usualMix.
 type Mix struct {
 	Kinds []Kind `parser:"@@ (',' @@)*"`
 }
 
-// Kind is one kind of requests, which is a class of its own.
+// Kind is one kind of request. It has its own scheduler class.
 type Kind struct {
 	Pos    lexer.Position
-	Share  float64  `parser:"@Number '%'"` // of the requests
+	Share  float64  `parser:"@Number '%'"` // of the requests, in percent
 	Name   string   `parser:"@Ident"`
-	New    bool     `parser:"@'new'?"`            // of new objects, which any node may take
-	Once   bool     `parser:"( @'once'"`          // never sent again after an attempt that may have run
-	Keyed  duration `parser:"| 'keyed' @Span )?"` // or only at its shard, within this time
-	Costs  duration `parser:"'costs' @Span"`      // of a core of speed 1, for a unit
-	Within duration `parser:"'within' @Span"`     // worth something if answered in time
-	Waits  duration `parser:"'waits' @Span"`      // then the client leaves
-	Worth  float64  `parser:"'worth' @Number"`    // of a unit
+	New    bool     `parser:"@'new'?"`            // writes new objects, which any node accepts
+	Once   bool     `parser:"( @'once'"`          // not idempotent: never retried after an attempt that may have run
+	Keyed  duration `parser:"| 'keyed' @Span )?"` // idempotent by key: retried only at its shard and within this time
+	Costs  duration `parser:"'costs' @Span"`      // work per unit, on a core of speed 1
+	Within duration `parser:"'within' @Span"`     // latency objective; later answers are worth nothing
+	Waits  duration `parser:"'waits' @Span"`      // time after which the client gives up
+	Worth  float64  `parser:"'worth' @Number"`    // per unit
 }
 
 type duration time.Duration
 
-// Capture reads a time such as 2.5s.
+// Capture parses a duration such as 2.5s.
 func (d *duration) Capture(values []string) error {
 	v, err := time.ParseDuration(values[0])
 	*d = duration(v)
@@ -56,10 +56,10 @@
 })),
 	participle.Elide("Space"))
 
-// mostKinds bounds a mix.
+// mostKinds is the maximum number of kinds in a mix.
 const mostKinds = 16
 
-// parseMix reads a mix. Its errors point at the column.
+// parseMix parses a mix. Its errors name the column.
 func parseMix(text string) (Mix, error) {
 	m, err := grammar.Parse(mixParser, text)
 	if err != nil {
@@ -69,19 +69,21 @@
 	for _, k := range m.Kinds {
 		sum += k.Share
 		if k.Costs <= 0 || k.Within <= 0 || k.Waits < k.Within || k.Share <= 0 {
-			return Mix{}, fmt.Errorf("column %d: %s: the share, costs and within must be above 0, and waits not below within", k.Pos.Column, k.Name)
+			return Mix{}, fmt.Errorf("column %d: %s: the share, costs and within must be above 0, and waits must not be below within",
+				k.Pos.Column, k.Name)
 		}
 	}
 	if math.Abs(sum-100) > 0.01 || len(m.Kinds) > mostKinds {
-		return Mix{}, fmt.Errorf("column %d: the shares of at most %d kinds must make 100%%, and make %v%%", m.Kinds[len(m.Kinds)-1].Pos.Column, mostKinds, sum)
+		return Mix{}, fmt.Errorf("column %d: the shares of at most %d kinds must add up to 100%%, not %v%%",
+			m.Kinds[len(m.Kinds)-1].Pos.Column, mostKinds, sum)
 	}
 	return m, nil
 }
 
-// Write tells whether it changes something.
+// Write reports whether requests of this kind change data.
 func (k Kind) Write() bool { return k.New || k.Keyed > 0 || k.Once }
 
-// class is what the decision module is told of a kind.
+// class returns the scheduler class of a kind.
 func (k Kind) class() scheduler.Class {
 	c := scheduler.Class{LatencyObjective: k.Within.micros(), Priority: k.Worth}
 	switch {
@@ -93,7 +95,7 @@
 	return c
 }
 
-// mean is the work of a request in the mean, in microseconds of a core: of two units.
+// mean returns the mean work of a request in microseconds on a core of speed 1. A request has 2 units on average.
 func (m Mix) mean() (work float64) {
 	for _, k := range m.Kinds {
 		work += k.Share / 100 * float64(k.Costs.micros()) * 2
--- a/internal/lab/scenario/page.go
+++ b/internal/lab/scenario/page.go
@@ -20,10 +20,11 @@
 	"otterturn/scheduler"
 )
 
-// mostTold bounds the traces of a variant's first day that are written.
+// mostTold limits the traces that JSON writes of a variant's first day.
 const mostTold = 300
 
-// JSON writes comparisons for programs, with what was traced of the first day of each variant and not served in time.
+// JSON writes comparisons as JSON, with the traces of those requests of each variant's first day that were not served in
+// time.
 func JSON(out io.Writer, all []Comparison) error {
 	type causes struct {
 		Variant string
@@ -48,7 +49,7 @@
 	return enc.Encode(entries)
 }
 
-// hues tell the variants apart, also for those who see few colours.
+// hues are the line colours of the variants, distinguishable with colour vision deficiency.
 var hues = []color.Color{
 	color.RGBA{0, 90, 181, 255},
 	color.RGBA{220, 50, 32, 255},
@@ -58,7 +59,7 @@
 	color.RGBA{86, 60, 140, 255},
 }
 
-// svg draws lines.
+// svg plots lines and returns an SVG element.
 func svg(title, x, y string, top float64, lines []plotter.XYs, names []string, log bool) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -87,13 +88,13 @@
 		return "", err
 	}
 	text := b.Bytes()
-	if i := bytes.Index(text, []byte("<svg")); i >= 0 { // the head of a file of its own
+	if i := bytes.Index(text, []byte("<svg")); i >= 0 { // skip the XML header, which is only for a separate file
 		text = text[i:]
 	}
 	return template.HTML(text), nil
 }
 
-// picture is what the page has of a comparison.
+// picture is a comparison as the page template reads it.
 type picture struct {
 	Comparison
 	Seeds         int
@@ -121,7 +122,7 @@
 		}
 		served, names = append(served, xy), append(names, r.Variant)
 		var q plotter.XYs
-		for k := 0.0; k <= 3.0001; k += 0.1 { // nines
+		for k := 0.0; k <= 3.0001; k += 0.1 { // number of nines of the quantile: 1 is 90%, 2 is 99%
 			ms := float64(r.latencies[0].ValueAtQuantile(100-100*math.Pow(10, -k))) / 1000
 			q = append(q, plotter.XY{X: k, Y: max(ms, 0.1)})
 		}
@@ -171,7 +172,7 @@
 {{end}}</html>
 `))
 
-// Page writes comparisons as one page with plots.
+// Page writes comparisons as an HTML page with plots.
 func Page(out io.Writer, all []Comparison) error {
 	var pictures []picture
 	for _, c := range all {
--- a/internal/lab/scenario/play.go
+++ b/internal/lab/scenario/play.go
@@ -12,12 +12,12 @@
 
 const second = scheduler.Micros(1_000_000)
 
-// mostUnits is the size of the largest request.
+// mostUnits is the maximum size of a request.
 const mostUnits = 8
 
 func micros(d time.Duration) scheduler.Micros { return scheduler.Micros(d / time.Microsecond) }
 
-// Settings are those of the site.
+// Settings returns the scheduler's settings for the scenario.
 func (s Scenario) Settings() scheduler.Settings {
 	set := scheduler.Settings{
 		Fronts: s.Fronts, PeerMessages: true, Tick: 2000, MeanUnits: 2, MaxUnits: mostUnits, MaxAttempts: 4, HealthChecks: true, ServedElsewhereTold: false,
@@ -34,19 +34,20 @@
 	return set
 }
 
-// Variant is a way to decide. The first one is the project's.
+// Variant is one scheduling algorithm, or one set of settings, of a comparison. The first variant of a comparison is the
+// reference.
 type Variant struct {
 	Name string
 	Make func(front int, set scheduler.Settings, seed int64) (world.Decider, error)
 }
 
-// Ours is the decision module as it stands.
+// Ours is the scheduler of this build.
 var Ours = Variant{"rules", func(front int, set scheduler.Settings, seed int64) (world.Decider, error) {
 	set.FrontIndex = front
 	return scheduler.New(set, seed)
 }}
 
-// Compared are the decision module, the settings that the scenario varies, and the baselines.
+// Compared returns the scheduler, its variants in the scenario and the baselines.
 func (s Scenario) Compared() []Variant {
 	out := []Variant{Ours}
 	for _, v := range s.Variants {
@@ -67,7 +68,7 @@
 		Variant{"window", func(_ int, set scheduler.Settings, _ int64) (world.Decider, error) { return baseline.New(set, 4), nil }})
 }
 
-// Day is a scenario with its chances drawn.
+// Day is a scenario with all its random values drawn.
 type Day struct {
 	Scenario
 	World    *world.World
@@ -75,7 +76,7 @@
 	seed     uint64
 }
 
-// Day draws one. Its world has no fronts yet.
+// Day draws a day. Its world has no fronts yet.
 func (s Scenario) Day(seed uint64) Day {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set, nodes, power := s.Settings(), []*model.Node{}, 0.0
@@ -100,15 +101,15 @@
 	return Day{s, world.New(set, nodes, n.Halls, 500, seed), s.draw(rng, power), seed}
 }
 
-// Kinds are the kinds of requests, by class.
+// Kinds returns the kinds of requests, indexed by class.
 func (s Scenario) Kinds() []Kind { return s.mix.Kinds }
 
-// Play plays one day in virtual time.
+// Play simulates one day in virtual time.
 func (s Scenario) Play(seed uint64, v Variant) (Result, error) {
 	return s.PlayWith(seed, s.Settings(), v)
 }
 
-// PlayWith plays one with other settings of the site.
+// PlayWith is Play with other scheduler settings.
 func (s Scenario) PlayWith(seed uint64, set scheduler.Settings, v Variant) (Result, error) {
 	d := s.Day(seed)
 	d.World.Set = set
@@ -122,7 +123,7 @@
 	return d.Run(), nil
 }
 
-// Run has the day happen before the fronts that the world has, and judges it.
+// Run runs the day with the fronts that have been added to the world, and returns its result.
 func (d Day) Run() Result {
 	traces := newTraces(d)
 	d.World.Watch(traces)
@@ -140,7 +141,7 @@
 	return d.judge(traces)
 }
 
-// plan has an event happen to nodes and fronts. What happens to the load is drawn with it.
+// plan schedules the effects of an event on nodes and fronts. Its effects on the load are drawn with the requests.
 func (d Day) plan(e Event) {
 	w, late := d.World, micros(d.Told)
 	chosen := func() []*world.Node {
--- a/internal/lab/scenario/report.go
+++ b/internal/lab/scenario/report.go
@@ -13,22 +13,22 @@
 	"otterturn/internal/lab/world"
 )
 
-// Comparison is a scenario played over seeds from 1 in several variants.
+// Comparison holds the results of a scenario for several variants, each run with the seeds from 1.
 type Comparison struct {
 	Scenario Scenario `json:"-"`
 	Name     string
 	Rows     []Row
 }
 
-// Row is one variant's days.
+// Row holds the results of one variant.
 type Row struct {
 	Variant   string
-	Share     float64 // median of the worth served in time
-	Worst     float64 // the same of the worst stretch
+	Share     float64 // median of the shares served in time
+	Worst     float64 // median of Result.Worst
 	Fallen    int
 	Broken    int
-	Behind    float64 // what the first variant serves more, in the mean, seed by seed
-	Within    float64 // half of the interval that holds nine tenths of such means (Student's t); of one seed there is none
+	Behind    float64 // mean over the seeds by which the first variant's share is higher
+	Within    float64 // half of the 90% confidence interval of Behind (Student's t); 0 with a single seed
 	HasBehind bool
 	Quantiles []Quantiles
 	Days      []Result
@@ -36,7 +36,7 @@
 	parts     map[string]float64
 }
 
-// Difference tells what the first variant serves more.
+// Difference formats by how much the first variant's share is higher.
 func (r Row) Difference() string {
 	switch {
 	case !r.HasBehind:
@@ -47,13 +47,13 @@
 	return fmt.Sprintf("%.3f ± %.3f", r.Behind, r.Within)
 }
 
-// Quantiles are a kind's latencies in milliseconds since the time at which a request was meant to be sent.
+// Quantiles are latencies of one kind of request, in milliseconds since the planned send time.
 type Quantiles struct {
 	Kind                    string
-	Half, Most, Nearly, All float64 // 50, 90, 99 and 99.9 of 100
+	Half, Most, Nearly, All float64 // the 50%, 90%, 99% and 99.9% quantiles
 }
 
-// Compare plays a scenario in variants.
+// Compare runs a scenario with each variant.
 func (s Scenario) Compare(seeds int, variants []Variant) (Comparison, error) {
 	c := Comparison{Scenario: s, Name: s.Name}
 	for i, v := range variants {
@@ -79,7 +79,7 @@
 			if i > 0 {
 				behind = append(behind, c.Rows[0].Days[seed].Share()-r.Share())
 			}
-			if seed > 0 { // causes are told of the first day
+			if seed > 0 { // causes are reported for the first day only
 				r.Traces = nil
 			}
 			row.Days = append(row.Days, r)
@@ -98,7 +98,8 @@
 	return c, nil
 }
 
-// Kept tells whether the first variant kept the rules on every day, and else names the first few that it broke.
+// Kept reports whether the first variant broke no rule and made no node fail on any day, and returns the first violations:
+// up to 3 per day and 10 in total.
 func (c Comparison) Kept() (kept bool, why []string) {
 	kept = true
 	for _, r := range c.Rows[0].Days {
@@ -108,7 +109,7 @@
 	return kept, why[:min(10, len(why))]
 }
 
-// Table writes the comparison for a terminal.
+// Table writes the comparison as a plain-text table.
 func (c Comparison) Table(out io.Writer) error {
 	s := c.Scenario
 	fmt.Fprintf(out, "%s: %d fronts, %d nodes, %v, %d seeds\n", s.Name, s.Fronts, s.Nodes.Count, s.Length, len(c.Rows[0].Days))
@@ -142,8 +143,8 @@
 	return sorted[len(sorted)/2]
 }
 
-// interval is the mean and half of the interval around it that holds nine tenths, by the t distribution. Of a single
-// value there is none.
+// interval returns the mean and half of its 90% confidence interval by the t distribution. With a single value the second
+// result is 0.
 func interval(all []float64) (mean, half float64) {
 	n := float64(len(all))
 	for _, x := range all {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -14,12 +14,12 @@
 
 const folder = "../../../deploy/rehearsals"
 
-// The short form of 'make rehearse': each scenario that is shipped, one day of it, without a rule broken or a cold
-// node pushed over. The rolling deploy comes out the same when it is played again.
+// A short form of 'make rehearse': one day of each shipped scenario breaks no rule and makes no cold node fail by overload.
+// The rolling deploy gives the same result when it is run again.
 func TestShippedScenariosKeepTheRules(t *testing.T) {
 	files, err := filepath.Glob(folder + "/*.toml")
 	if err != nil || len(files) < 6 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("scenario files %v, want at least 6; error %v", files, err)
 	}
 	for _, name := range files {
 		t.Run(filepath.Base(name), func(t *testing.T) {
@@ -36,7 +36,7 @@
 	}
 	r, err := s.Play(1, Ours)
 	if err != nil || r.Fallen > 0 || len(r.Breaks) > 0 || r.Requests < 1000 || r.Share() < 0.5 {
-		t.Errorf("%s: %+v, %v", s.Name, r, err)
+		t.Errorf("%s: result %+v, error %v", s.Name, r, err)
 	}
 	if !strings.HasSuffix(name, "deploy.toml") {
 		return
@@ -46,21 +46,21 @@
 		t.Fatal(err)
 	}
 	if again := c.Rows[0].Days[0]; again.Digest != r.Digest || again.Share() != r.Share() {
-		t.Errorf("%s came out as %+v and as %+v", s.Name, r, again)
+		t.Errorf("%s: two runs with the same seed differ: %+v and %+v", s.Name, r, again)
 	}
 	var out strings.Builder
 	if err := c.Table(&out); err != nil || strings.Count(out.String(), "\n") < 5 {
-		t.Errorf("%v: %s", err, &out)
+		t.Errorf("table: error %v, output %s", err, &out)
 	}
 	var page, figures bytes.Buffer
 	if err := errors.Join(Page(&page, []Comparison{c}), JSON(&figures, []Comparison{c})); err != nil {
 		t.Fatal(err)
 	}
 	if n := strings.Count(page.String(), "<svg"); n != 2 || !strings.Contains(page.String(), string(scheduler.DeadlineUnreachable)) {
-		t.Errorf("%d plots, and the page is:\n%.2000s", n, &page)
+		t.Errorf("page has %d plots, want 2, or lacks the rejection reason; page:\n%.2000s", n, &page)
 	}
 	if !json.Valid(figures.Bytes()) {
-		t.Error("the figures are no JSON")
+		t.Error("comparison output is not valid JSON")
 	}
 }
 
@@ -71,7 +71,7 @@
 	}
 	for _, c := range []struct{ old, with, field string }{
 		{`fronts = 3`, `fronts = 0`, "fronts"},
-		{`fronts = 3`, `front = 3`, "front: unknown"},
+		{`fronts = 3`, `front = 3`, "front: unknown field"},
 		{`length = "60s"`, `length = "60h"`, "length"},
 		{`speed = [0.85, 1.7]`, `speed = [1.7, 0.85]`, "nodes.speed"},
 		{`burst = 72.0`, `burst = 7.0`, "load"},
@@ -79,7 +79,7 @@
 		{`share = 0.9`, `share = 1.9`, "happens[0].share"},
 		{`at = "25s"`, `at = "61s"`, "happens[1].at"},
 		{`[load]`, "[load]\nmix = \"60% read costs 20ms within 300ms waits 2s worth 2, 40% write cost 1ms\"", "load.mix: column 62"},
-		{`[load]`, "[load]\nmix = \"60% read costs 20ms within 300ms waits 2s worth 2\"", "make 60%"},
+		{`[load]`, "[load]\nmix = \"60% read costs 20ms within 300ms waits 2s worth 2\"", "add up to 100%, not 60%"},
 		{`[load]`, "[load]\ncaptured = \"none.csv\"", "load.captured"},
 		{`times = 2.5`, ``, "happens[1].times"},
 	} {
@@ -88,12 +88,12 @@
 			t.Fatal(err)
 		}
 		if _, err := Load(name); err == nil || !strings.Contains(err.Error(), c.field) {
-			t.Errorf("%s for %s: %v", c.with, c.old, err)
+			t.Errorf("%s instead of %s: error %v", c.with, c.old, err)
 		}
 	}
 }
 
-// What is asked for may come from a file; lines that are wrong are named.
+// A recorded load is read from a file, and errors name the invalid line.
 func TestCapturedLoad(t *testing.T) {
 	folder := t.TempDir()
 	load := func(captured string) (Scenario, error) {
@@ -113,22 +113,22 @@
 		t.Fatal(err)
 	}
 	if r, err := s.Play(1, Ours); err != nil || r.Requests != 2 || r.Ended["served"] != 2 {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("result %+v, error %v; want 2 requests served", r, err)
 	}
 	for _, c := range []struct{ text, want string }{
 		{"1000,read,3,2,1\n900,read,3,2,1\n", "line 2: earlier"},
-		{"1000,reed,3,2,1\n", "line 1: \"reed\""},
+		{"1000,reed,3,2,1\n", "line 1: \"reed\" is not a kind"},
 		{"1000,read,3,2,77\n", "line 1: project, units or shard"},
-		{"x,read,3,2,1\n", "no number"},
+		{"x,read,3,2,1\n", "not a number"},
 		{"", "EOF"},
 	} {
 		if _, err := load(c.text); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v, want %q", c.text, err, c.want)
+			t.Errorf("%q: error %v, want %q", c.text, err, c.want)
 		}
 	}
 }
 
-// Every kind of incident happens, and every kind of client and node is there, without a broken rule.
+// Each kind of event changes the outcome of a day and breaks no rule, with all optional properties of clients and nodes on.
 func TestEveryKindOfIncident(t *testing.T) {
 	s, err := Calm(4, 2, 10_000_000_000)
 	if err != nil {
@@ -139,7 +139,7 @@
 	s.Load.Pieces, s.Load.Recent, s.Load.Comes, s.Load.Heeds = 20, 0.2, 0.8, 0.7
 	calm, err := s.Play(1, Ours)
 	if err != nil || !calm.kept() || calm.Share() < 0.9 {
-		t.Fatalf("%+v, %v", calm, err)
+		t.Fatalf("without events: result %+v, error %v", calm, err)
 	}
 	for what := range needs {
 		bad := s
@@ -149,11 +149,11 @@
 		}
 		r, err := bad.Play(1, Ours)
 		if err != nil || !r.kept() {
-			t.Errorf("%s: %v, %v, %d fell", what, err, r.Breaks, r.Fallen)
+			t.Errorf("%s: error %v, broken rules %v, %d nodes failed by overload", what, err, r.Breaks, r.Fallen)
 		}
-		// Deafness alone does nothing, and a flood adds to what is asked for.
+		// Missing node lists alone change nothing, as the list stays the same.
 		if what != "deaf" && r.Digest == calm.Digest {
-			t.Errorf("%s: nothing happened", what)
+			t.Errorf("%s: result equals the one without events", what)
 		}
 	}
 }
--- a/internal/lab/scenario/traces.go
+++ b/internal/lab/scenario/traces.go
@@ -16,13 +16,13 @@
 	"otterturn/scheduler"
 )
 
-// mostTraces bounds the requests of a day that are traced.
+// mostTraces limits roughly how many requests of a day are traced.
 const mostTraces = 4000
 
-// traces watches a world and traces some of its requests: a span for each, and one for each attempt within.
+// traces records OpenTelemetry spans of a sample of a world's requests: one per request, with a child span per attempt.
 type traces struct {
 	day   Day
-	one   uint64 // in so many is traced
+	one   uint64 // sampling ratio: one in this many requests is traced
 	trace trace.Tracer
 	spans []sdk.ReadOnlySpan
 	open  map[string]*traced
@@ -41,7 +41,7 @@
 	return t
 }
 
-// NewIDs and NewSpanID number the traces, so that the same day has the same ones.
+// NewIDs numbers the traces and spans in sequence, so that equal days have equal identifiers.
 func (t *traces) NewIDs(ctx context.Context) (id trace.TraceID, span trace.SpanID) {
 	binary.BigEndian.PutUint64(id[8:], t.ids+1)
 	return id, t.NewSpanID(ctx, id)
@@ -53,18 +53,18 @@
 	return span
 }
 
-// ExportSpans keeps what has ended.
+// ExportSpans stores the spans that have ended.
 func (t *traces) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
 	t.spans = append(t.spans, spans...)
 	return nil
 }
 
-// Shutdown does nothing: the spans are read where they are kept.
+// Shutdown does nothing: all reads the stored spans.
 func (t *traces) Shutdown(context.Context) error { return nil }
 
 func (t *traces) at() time.Time { return time.UnixMicro(int64(t.day.World.Now)) }
 
-// Told, Asked, Sent, Back and Answered hear what happens.
+// Told ignores node lists.
 func (t *traces) Told(int, scheduler.EndpointsChanged) {}
 
 func (t *traces) Asked(front int, r scheduler.Request) {
@@ -104,23 +104,23 @@
 	r.request.End(trace.WithTimestamp(t.at()))
 }
 
-// Trace is where a request's time went, in microseconds.
+// Trace tells where a request spent its time, in microseconds.
 type Trace struct {
 	ID, Kind, Project, Verdict, Why string
 	Units                           float64
 	Front                           int64
-	At, Total                       scheduler.Micros // since the day's beginning; until its end
-	Held                            scheduler.Micros // at the front, before the first attempt and between them
+	At, Total                       scheduler.Micros // start, since the start of the day; total duration
+	Held                            scheduler.Micros // time at the front, before the first attempt and between attempts
 	Attempts                        []Attempt
 }
 
-// Attempt is one at a node.
+// Attempt is one attempt of a traced request.
 type Attempt struct {
 	Node, Result string
-	From, For    scheduler.Micros // since the request
+	From, For    scheduler.Micros // start since the request's start; duration
 }
 
-// all are the traces that have ended, in the order of their requests.
+// all returns the traces that have ended, in the order of their start times.
 func (t *traces) all() []Trace {
 	attempts := map[trace.SpanID][]sdk.ReadOnlySpan{}
 	for _, s := range t.spans {
@@ -156,19 +156,19 @@
 	return out
 }
 
-// Cause is what requests that were not served in time have in common.
+// Cause is a group of requests that were not served in time for the same reason.
 type Cause struct {
 	Verdict, Why string
-	Where        string           // the end of the longest attempt, and its node where it failed, or that none was made
-	Count        int              // of the traced ones
+	Where        string           // result of the longest attempt, with its node if it failed, or "never sent"
+	Count        int              // number of traced requests
 	Held, Total  scheduler.Micros // means
-	Worst        Trace            // the longest
+	Worst        Trace            // the longest request
 }
 
-// mostCauses bounds what is listed of a day.
+// mostCauses is the maximum number of causes that are listed per day.
 const mostCauses = 12
 
-// Causes sorts the traced requests that were not served in time by what they have in common, the most frequent first.
+// Causes groups the traced requests that were not served in time by cause, the most frequent cause first.
 func Causes(all []Trace) (out []Cause) {
 	type key struct{ verdict, why, where string }
 	by := map[key]*Cause{}
--- a/internal/lab/world/audit.go
+++ b/internal/lab/world/audit.go
@@ -6,20 +6,21 @@
 	"otterturn/scheduler"
 )
 
-// Audit holds the fronts to the rules, all of them together. It sees attempts as they leave; where fronts stand behind
-// sockets, as they reach their node.
+// Audit checks that all fronts together keep the rules. It sees attempts when they leave the front, or, for fronts behind
+// sockets, when they reach their node. For these it does not see the end of an attempt at the front, so it does not detect
+// concurrent attempts.
 type Audit struct {
 	world    *World
-	Breaks   []string // the first hundred
-	Count    int
-	Sockets  bool                                // a front's end of an attempt is not seen, so whether two are out at once isn't either
-	stores   map[string]*store                   // of limits, by volume
-	leave    map[int]map[string]scheduler.Micros // since when a front knows that a node drains or is gone
-	requests map[string]*record                  // without a final answer
+	Breaks   []string                            // descriptions of the first mostBreaks violations
+	Count    int                                 // number of violations
+	Sockets  bool                                // the fronts are behind sockets
+	stores   map[string]*store                   // token buckets of the limits, by volume
+	leave    map[int]map[string]scheduler.Micros // time since when a front knows that a node is draining or removed
+	requests map[string]*record                  // requests without a final answer
 	answered map[string]bool
 }
 
-// Slack of the rules.
+// Tolerances of the checks, in microseconds, and the limit of Audit.Breaks.
 const (
 	drainGrace  = scheduler.Micros(500_000)
 	windowGrace = scheduler.Micros(100_000)
@@ -31,15 +32,15 @@
 	at    scheduler.Micros
 }
 
-// record is what the audit knows of a request.
+// record is the audit's state of a request.
 type record struct {
 	scheduler.Request
 	tries int
 	out   bool
-	node  *Node            // of the last attempt
-	sent  scheduler.Micros // when it left
-	ran   *Node            // the first that may have run, if any
-	ranAt scheduler.Micros
+	node  *Node            // node of the last attempt
+	sent  scheduler.Micros // time of the last attempt
+	ran   *Node            // node of the first attempt that may have run, nil for none
+	ranAt scheduler.Micros // time of that attempt
 }
 
 func newAudit(w *World) *Audit {
@@ -55,7 +56,7 @@
 	}
 }
 
-// Told notes what a front knows of nodes that leave.
+// Told records which nodes a front knows to be draining or removed.
 func (a *Audit) Told(front int, list scheduler.EndpointsChanged) {
 	running, leaves := map[string]bool{}, a.leave[front]
 	if leaves == nil {
@@ -74,11 +75,11 @@
 	}
 }
 
-// Asked notes a request.
+// Asked records a request.
 func (a *Audit) Asked(_ int, r scheduler.Request) { a.requests[r.ID] = &record{Request: r} }
 
-// Sent checks an attempt: one at a time, none after the final answer, repeats as their class allows, none to a node
-// that is known to leave, and the limit of its project over all fronts together.
+// Sent checks an attempt: only one at a time, none after the final answer, retries only as the class allows, none to a node
+// known to be draining or removed, and the project's limit over all fronts together.
 func (a *Audit) Sent(front int, id, node string) {
 	r, now := a.requests[id], a.world.Now
 	if r == nil {
@@ -109,7 +110,8 @@
 	r.tries, r.out, r.node, r.sent = r.tries+1, true, n, now
 }
 
-// draw takes a request's units out of its project's limit.
+// draw takes a request's units from the token bucket of its project's limit. A tenth of the burst, and at least one request
+// of maximum size, is tolerated beyond the limit.
 func (a *Audit) draw(r scheduler.Request) {
 	plan := a.world.Set.Plans[r.Plan]
 	if plan.Limit <= 0 {
@@ -127,7 +129,7 @@
 	}
 }
 
-// Back notes how an attempt ended, as its front saw it.
+// Back records the result of an attempt as its front saw it.
 func (a *Audit) Back(id string, result scheduler.Result) {
 	r := a.requests[id]
 	if r == nil {
@@ -140,7 +142,8 @@
 	}
 }
 
-// Answered checks a final answer: there is one, and a refusal promises that nothing was done twice if it is sent again.
+// Answered checks a final answer: there is exactly one per request, and a request is only rejected if it is safe to send it
+// again, so not after an attempt that may have run unless all nodes drop its repeats.
 func (a *Audit) Answered(id string, v Verdict, _ scheduler.Reason) {
 	r := a.requests[id]
 	if r == nil || a.answered[id] {
@@ -155,7 +158,7 @@
 	a.answered[id] = true
 }
 
-// Fallen are the nodes that were pushed over.
+// Fallen returns the number of nodes that failed by overload.
 func (a *Audit) Fallen() (n int) {
 	for _, node := range a.world.Nodes {
 		if node.Fallen {
@@ -165,7 +168,7 @@
 	return n
 }
 
-// Unanswered are the requests that had no final answer, though their time is over.
+// Unanswered returns the requests that have no final answer although the client has given up.
 func (a *Audit) Unanswered() (ids []string) {
 	for id, r := range a.requests {
 		if t := a.world.open[id]; t != nil && a.world.Now > t.leave+drainGrace {
--- a/internal/lab/world/audit_test.go
+++ b/internal/lab/world/audit_test.go
@@ -8,8 +8,8 @@
 	"otterturn/scheduler"
 )
 
-// naive sends each request to the node that it was told of first for its shard, and keeps the rules as long as nothing
-// goes wrong; with a fault it breaks one of them on purpose.
+// naive is a decider that sends each request to the running node of its shard and keeps the rules as long as no attempt
+// fails. With a fault it breaks one rule on purpose.
 type naive struct {
 	fault string
 	nodes map[int]scheduler.Endpoint
@@ -62,14 +62,14 @@
 	return out
 }
 
-// silent is a front that answers nothing.
+// silent is a front that never answers.
 type silent struct{}
 
 func (silent) Submit(scheduler.Request)        {}
 func (silent) Tell(scheduler.EndpointsChanged) {}
 func (silent) End()                            {}
 
-// Every judge notices: a front made to break one rule is caught at it, and one that breaks none is not.
+// The audit reports the violation of each rule, and nothing for a front that breaks none.
 func TestAuditCatchesEveryBrokenRule(t *testing.T) {
 	set := scheduler.Settings{
 		Fronts: 1, Tick: 2000, MeanUnits: 2, MaxUnits: 8,
@@ -126,7 +126,7 @@
 		if w.Audit.Fallen() > 0 {
 			found += "pushed over"
 		}
-		if fault == "after the answer" { // a simulated front can't, one behind a socket can
+		if fault == "after the answer" { // not possible for a simulated front, only for one behind a socket
 			w.Audit.Sent(0, "read-1", w.Nodes[0].Name)
 			found = strings.Join(w.Audit.Breaks, "\n")
 		}
--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -7,50 +7,50 @@
 	"otterturn/scheduler"
 )
 
-// Verdict is how a request ended for its client.
+// Verdict is the outcome of a request for its client.
 type Verdict int
 
-// The kinds of Verdict.
+// The verdicts.
 const (
 	Open Verdict = iota
 	Served
-	Late // answered beyond its aim
+	Late // answered after its latency objective
 	Refused
 	Failed
-	Lost // with a front that ended
+	Lost // its front ended
 )
 
 func (v Verdict) String() string {
 	return [...]string{"open", "served", "late", "refused", "failed", "lost"}[v]
 }
 
-// End is the end of a request: of its last try, where the client came back.
+// End is the outcome of a request; for a client that retried, the outcome of the last try.
 type End struct {
 	Verdict
-	After scheduler.Micros // since the client meant to send it
+	After scheduler.Micros // time since the planned send time of the first try
 }
 
-// Request is one of a day's, drawn ahead.
+// Request is a request of a day, drawn before the day runs.
 type Request struct {
-	At     scheduler.Micros // since the beginning
-	Front  int              // that it comes to
+	At     scheduler.Micros // planned send time, since the start of the day
+	Front  int              // index of the front that receives it
 	Work   float64          // microseconds on a core of speed 1
 	Write  bool
-	Comes  bool   // its client comes back after a refusal
-	Heeds  bool   // and stays away for as long as it was told
-	Writes string // the name under which it is found, "" for none
-	Reads  string // it reads what was written under this name, where that is done
+	Comes  bool   // its client retries after a rejection
+	Heeds  bool   // its client waits for the advised retry time
+	Writes string // name of the object that it writes, "" for none
+	Reads  string // name of the object that it reads, if that has been written; "" for any
 	scheduler.Request
 }
 
-// rush is after how long clients that heed no advice come back.
+// rush is the time in microseconds after which clients that ignore the advised retry time retry.
 const rush = scheduler.Micros(20_000)
 
-// try is one of a client's tries.
+// try is the first submission of a client's request or a later one.
 type try struct {
 	Request
 	n     int
-	asked scheduler.Micros // when the first was meant to be sent
+	asked scheduler.Micros // planned send time of the first try
 	aimAt scheduler.Micros
 	leave scheduler.Micros
 }
@@ -64,7 +64,8 @@
 	return fmt.Sprint(t.Request.ID, "~", t.n)
 }
 
-// Ask has a client ask for the first time. It doesn't wait for anything: what goes wrong later counts from here.
+// Ask submits the first try of a request at its planned time, whatever the state of earlier requests. Latencies count from
+// here.
 func (w *World) Ask(q Request) {
 	if shard, done := w.placed[q.Reads]; done {
 		q.Request.Shard = shard
@@ -84,7 +85,7 @@
 	w.Fronts[t.Front].Submit(r)
 }
 
-// Job is what a try asks of a node.
+// Job returns the job that a try is for a node, and whether the try is open.
 func (w *World) Job(id string) (j model.Job, known bool) {
 	t := w.open[id]
 	if t == nil {
@@ -97,7 +98,7 @@
 	return j, true
 }
 
-// Reach has a try's attempt reach a node over a socket, and tells what it asks there.
+// Reach reports that a try's attempt has reached a node over a socket. It returns as Job does.
 func (w *World) Reach(id string, n *Node) (j model.Job, known bool) {
 	j, known = w.Job(id)
 	if known {
@@ -108,7 +109,7 @@
 	return j, known
 }
 
-// Left has an attempt that reached a node come back from it.
+// Left reports the result of an attempt as it leaves the node.
 func (w *World) Left(id string, n *Node, r scheduler.Result) {
 	for _, x := range w.watch {
 		x.Back(id, r)
@@ -118,14 +119,14 @@
 	}
 }
 
-// Wrote notes where something was written.
+// Wrote records the shard of the object that a request has written.
 func (w *World) Wrote(id string, shard int) {
 	if t := w.open[id]; t != nil && t.Writes != "" {
 		w.placed[t.Writes] = shard
 	}
 }
 
-// Answer is a front's final answer to a try. A client that was refused may come back.
+// Answer takes a front's final answer to a try. After a rejection the client may retry.
 func (w *World) Answer(id string, v Verdict, why scheduler.Reason, retryAfter scheduler.Micros) {
 	t := w.open[id]
 	if t != nil && v == Served && w.Now > t.aimAt {
@@ -151,5 +152,5 @@
 	}
 }
 
-// Ended tells how a request ended.
+// Ended returns the outcome of a request.
 func (w *World) Ended(id string) End { return w.ended[id] }
--- a/internal/lab/world/fleet_test.go
+++ b/internal/lab/world/fleet_test.go
@@ -13,15 +13,15 @@
 
 const second = scheduler.Micros(1_000_000)
 
-// fleet is many fronts before nodes that all start cold together, with a little traffic at each front. A unit is work
-// of 0.1 s, and a node does 10 a second once it is warm.
+// fleet is many fronts with little traffic each, and nodes that all start cold at the same time. A unit is 0.1 s of work,
+// and a warm node does 10 units per second.
 type fleet struct {
 	*world.World
 	set    scheduler.Settings
 	seed   int64
 	served int
-	asked  int            // first tries
-	said   map[string]int // actions of all fronts that the fleet pays for, by kind
+	asked  int            // requests, without retries of clients
+	said   map[string]int // counts of the health checks and peer messages of all fronts, and of the messages' bytes
 }
 
 const unitWork = 100_000.0
@@ -52,7 +52,7 @@
 	return f
 }
 
-// begin starts a front that knows nothing.
+// begin starts a front without learned state in a place.
 func (f *fleet) begin(t *testing.T, place int) {
 	set := f.set
 	set.FrontIndex = place
@@ -64,7 +64,7 @@
 	f.World.Start(place, counted{s, f.said})
 }
 
-// counted is a scheduler whose paid actions are counted.
+// counted is a scheduler whose health checks and peer messages are counted.
 type counted struct {
 	*scheduler.Scheduler
 	said map[string]int
@@ -84,7 +84,7 @@
 	return out
 }
 
-// ask plans so many requests a second for each node, each from one of the fronts that use it.
+// ask schedules rate requests per second for each node, each at one of the users fronts that use the node.
 func (f *fleet) ask(rate float64, users int, until scheduler.Micros) {
 	rng := rand.New(rand.NewPCG(uint64(f.seed), 3))
 	id := 0
@@ -117,8 +117,8 @@
 	}
 }
 
-// All nodes have just started, seven in ten of 300 fronts forget everything while these are cold, clients come again at
-// once, and for a while the fronts don't hear each other. No node may be pushed over, and they must get enough to do.
+// All nodes are cold, 70% of the 300 fronts restart without learned state, clients retry after 20 ms, and for 2 s no message
+// passes between the two halves of the fronts. No node may fail by overload, and enough requests must be served.
 func TestHundredsOfFrontsBeforeColdNodes(t *testing.T) {
 	for seed := range uint64(2) {
 		f := newFleet(t, 300, 6, seed, true)
@@ -134,7 +134,7 @@
 		f.At(6*second, func() { f.Cut = nil })
 		f.Run(14 * second)
 		if n := f.Audit.Fallen(); n > 0 || f.Audit.Count > 0 {
-			t.Errorf("seed %d: %d nodes pushed over, %d rules broken: %v", seed, n, f.Audit.Count, f.Audit.Breaks)
+			t.Errorf("seed %d: %d nodes failed by overload, %d rules broken: %v", seed, n, f.Audit.Count, f.Audit.Breaks)
 		}
 		if f.served < 40 {
 			t.Errorf("seed %d: only %d requests served", seed, f.served)
@@ -142,8 +142,8 @@
 	}
 }
 
-// The ramp holds for small fleets too, and for those whose fronts must not talk: as many requests come as a warm node
-// does in all, clients come again at once, and half of the fronts forget everything at once, twice.
+// Slow start protects cold nodes also in small fleets and without peer messages. The load is what warm nodes can serve,
+// clients retry after 20 ms, and twice half of the fronts restart without learned state at the same time.
 func TestSmallFleetsBeforeColdNodes(t *testing.T) {
 	for _, fronts := range []int{1, 4, 20, 30} {
 		for _, peers := range []bool{true, false} {
@@ -159,9 +159,10 @@
 				}
 				f.Run(17 * second)
 				if n := f.Audit.Fallen(); n > 0 || f.Audit.Count > 0 {
-					t.Errorf("%d fronts, messages %v, seed %d: %d nodes pushed over, %d rules broken: %v", fronts, peers, seed, n, f.Audit.Count, f.Audit.Breaks)
+					t.Errorf("%d fronts, messages %v, seed %d: %d nodes failed by overload, %d rules broken: %v",
+						fronts, peers, seed, n, f.Audit.Count, f.Audit.Breaks)
 				}
-				if least := map[bool]int{true: 20, false: 5}[peers]; f.served < least { // without messages each deals to itself, in turns
+				if least := map[bool]int{true: 20, false: 5}[peers]; f.served < least { // without messages each grants itself in turn
 					t.Errorf("%d fronts, messages %v, seed %d: only %d requests served", fronts, peers, seed, f.served)
 				}
 			}
@@ -169,8 +170,8 @@
 	}
 }
 
-// The same requests come through ever more fronts, to nodes that are all cold. What the fleet pays for beside them must go
-// by the requests, and not by the fronts or by fronts times nodes.
+// With the same requests, cold nodes and a growing number of fronts, the number of peer messages and health checks must grow
+// with the number of requests, not with the number of fronts or with fronts times nodes.
 func TestWhatAFleetPaysForGoesByItsRequests(t *testing.T) {
 	for _, fronts := range []int{10, 80, 350, 1024} {
 		if testing.Short() && fronts > 350 {
@@ -180,13 +181,13 @@
 		f.ask(8, min(fronts, 77), 8*second)
 		f.Run(12 * second)
 		each := func(what string) float64 { return float64(f.said[what]) / float64(f.asked) }
-		t.Logf("%d fronts: %d requests, %d served, for each %.2f messages of %.0f bytes, %.2f probes", fronts, f.asked, f.served,
+		t.Logf("%d fronts: %d requests, %d served, per request %.2f messages of %.0f bytes, %.2f health checks", fronts, f.asked, f.served,
 			each("messages"), float64(f.said["bytes"])/float64(f.said["messages"]), each("probes"))
 		if each("messages") > 10 || f.said["bytes"] > 80*f.said["messages"] || each("probes") > 1 {
-			t.Errorf("%d fronts: %v for %d requests", fronts, f.said, f.asked)
+			t.Errorf("%d fronts: too many messages, bytes or health checks: %v for %d requests", fronts, f.said, f.asked)
 		}
-		if f.served < f.asked/6 { // twice as much comes as a warm node does
-			t.Errorf("%d fronts: %d of %d requests served", fronts, f.served, f.asked)
+		if f.served < f.asked/6 { // the load is twice what a warm node serves
+			t.Errorf("%d fronts: only %d of %d requests served", fronts, f.served, f.asked)
 		}
 	}
 }
--- a/internal/lab/world/front.go
+++ b/internal/lab/world/front.go
@@ -4,12 +4,12 @@
 	"otterturn/scheduler"
 )
 
-// Decider decides for a front: the decision module, or what it is compared with.
+// Decider makes the decisions of a front: the scheduler, or an algorithm that it is compared with.
 type Decider interface {
 	Step(now scheduler.Micros, events []scheduler.Event) []scheduler.Action
 }
 
-// Simulated is a front in virtual time: a decider, and what the program does around it.
+// Simulated is a front in virtual time: a decider, and a model of the program around it.
 type Simulated struct {
 	world *World
 	place int
@@ -18,7 +18,7 @@
 	inbox []scheduler.Event
 	due   bool
 	told  bool
-	idle  map[string]int // connections that are up
+	idle  map[string]int // number of idle connections, by node
 }
 
 type call struct {
@@ -26,10 +26,10 @@
 	deadline scheduler.Micros
 	tries    int
 	out      bool
-	finish   func(o scheduler.AttemptEnded, reusable bool) // the attempt that is out
+	finish   func(o scheduler.AttemptEnded, reusable bool) // ends the current attempt
 }
 
-// Start puts a front that a decider decides for in a place.
+// Start adds a front that uses the decider, at an index as of Put.
 func (w *World) Start(place int, d Decider) *Simulated {
 	f := &Simulated{world: w, place: place, d: d, open: map[string]*call{}, idle: map[string]int{}}
 	w.Put(place, f)
@@ -44,7 +44,7 @@
 	w := f.world
 	f.open[r.ID] = &call{Request: r, deadline: w.Now + r.TimeLeft}
 	f.tell(r)
-	w.plan(w.Now+r.TimeLeft, func() { // the client gives up
+	w.plan(w.Now+r.TimeLeft, func() { // the client gives up, unless an attempt is running: that one times out
 		if c := f.open[r.ID]; c != nil && f.d != nil && !c.out {
 			f.end(r.ID, Failed, "", 0)
 			f.tell(scheduler.ClientLeft{ID: r.ID})
@@ -52,7 +52,7 @@
 	})
 }
 
-// Tell hands the node list over: the first one ahead of all else.
+// Tell passes a node list to the decider: the first one at once, before any other event.
 func (f *Simulated) Tell(list scheduler.EndpointsChanged) {
 	if f.told {
 		f.tell(list)
@@ -62,7 +62,7 @@
 	f.d.Step(f.world.Now, []scheduler.Event{list})
 }
 
-// tell hands an event to the decider, together with all others of a tick.
+// tell passes an event to the decider, in one step with all other events of the tick.
 func (f *Simulated) tell(e scheduler.Event) {
 	f.inbox = append(f.inbox, e)
 	if f.due {
@@ -115,7 +115,8 @@
 	}
 }
 
-// note carries a message from one front to another. Where one is cut off, or no simulated front, it is lost.
+// note delivers a message from one front to another. It is lost if World.Cut separates the fronts or if the receiver is not a
+// running simulated front.
 func (w *World) note(from *Simulated, to int, e scheduler.Event) {
 	if to < 0 || to >= len(w.Fronts) || w.Cut != nil && w.Cut(from.place, to) {
 		return
@@ -127,13 +128,13 @@
 	})
 }
 
-// outcomes are what a front makes of a node's reply.
+// outcomes maps a node's reply to the event that the front sees.
 var outcomes = map[Reply]scheduler.AttemptEnded{
 	Answer: {Result: scheduler.OK, Final: true}, TurnedAway: {Result: scheduler.QueueFull},
 	Unreachable: {Result: scheduler.Unreachable}, Broken: {Result: scheduler.Reset}, Garbled: {Result: scheduler.Reset, Alive: true},
 }
 
-// send is an attempt: to the node, there, and back, or silent until its deadline.
+// send simulates an attempt: the way to the node, its work there and the way back, or the time-out at the deadline.
 func (f *Simulated) send(a scheduler.StartAttempt) {
 	w, c := f.world, f.open[a.ID]
 	if c == nil {
@@ -180,7 +181,8 @@
 	})
 }
 
-// connect takes a connection to a node, and tells when what is written to it arrives. A new one costs two ways more.
+// connect takes an idle connection to a node or opens one. It returns when data written to it arrives, and whether the
+// connection was accepted. A new connection takes one round trip more. A dead node is handled by Arrive.
 func (f *Simulated) connect(n *Node) (at scheduler.Micros, up bool) {
 	at = f.world.Now + f.world.delay
 	if f.idle[n.Name] > 0 {
@@ -190,7 +192,7 @@
 	return at + 2*f.world.delay, n.Dead || n.Connect(int64(f.world.Now))
 }
 
-// release keeps a connection, or closes it.
+// release keeps a reusable connection as idle and closes others.
 func (f *Simulated) release(n *Node, reusable bool) {
 	if reusable {
 		f.idle[n.Name]++
--- a/internal/lab/world/node.go
+++ b/internal/lab/world/node.go
@@ -5,25 +5,25 @@
 	"otterturn/scheduler"
 )
 
-// Reply is what comes of an attempt at a node.
+// Reply is the outcome of an attempt at a node.
 type Reply int
 
-// The kinds of Reply. Where there is none the node is silent.
+// The replies. A silent node gives none.
 const (
 	Answer Reply = iota
 	TurnedAway
 	Unreachable
-	Broken // the connection broke, it may have run or not
+	Broken // the connection broke; the request may have run
 	Garbled
 )
 
-// Ticket is an attempt at a node: reply is called once, or never where the node falls silent.
+// Ticket is an attempt at a node. reply is called once, or never if the node becomes silent.
 type Ticket struct {
 	node  *Node
 	reply func(Reply)
 }
 
-// back gives the reply, if it still gets out.
+// back sends the reply, unless one was sent or the node is mute.
 func (t *Ticket) back(r Reply) {
 	if reply := t.reply; reply != nil && !t.node.Mute {
 		t.reply = nil
@@ -31,7 +31,7 @@
 	}
 }
 
-// Arrive has an attempt reach a node.
+// Arrive delivers an attempt to a node.
 func (w *World) Arrive(n *Node, j model.Job, reply func(Reply)) {
 	t := &Ticket{n, reply}
 	switch {
@@ -52,7 +52,7 @@
 	w.tend(n)
 }
 
-// Probe has a probe reach a node, and tells whether it answers, and how many jobs wait.
+// Probe delivers a health check to a node and returns whether it answers and how many jobs are queued.
 func (w *World) Probe(n *Node) scheduler.HealthChecked {
 	if n.Silent() {
 		return scheduler.HealthChecked{Node: n.Name, Queue: -1}
@@ -60,7 +60,7 @@
 	return scheduler.HealthChecked{Node: n.Name, OK: true, Queue: float64(n.Node.Probe(int64(w.Now)))}
 }
 
-// tend plans for a node's next end of a job.
+// tend schedules the next end of a job at a node.
 func (w *World) tend(n *Node) {
 	at, ok := n.Next()
 	if !ok {
@@ -68,7 +68,7 @@
 	}
 	life := n.Up
 	w.plan(scheduler.Micros(at), func() {
-		if n.Up != life || n.Dead { // another process by now
+		if n.Up != life || n.Dead { // the process has ended or was restarted
 			return
 		}
 		for _, d := range n.Finish(int64(w.Now)) {
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -1,6 +1,6 @@
-// Package world is the laboratory's site: modelled nodes, fronts before them, clients, and what happens to them all.
-// In virtual time it runs in one goroutine, and the same seed has the same outcome, bit by bit. Live, the same events
-// happen at their time on the clock, and nodes and fronts may stand behind sockets.
+// Package world simulates a site: modelled nodes, the fronts before them, clients, and events such as failures.
+// In virtual time it runs in one goroutine, and the same seed gives bit for bit the same outcome. A live world runs the same
+// events by the wall clock, and its nodes and fronts may be behind sockets.
 package world
 
 import (
@@ -13,19 +13,19 @@
 	"otterturn/scheduler"
 )
 
-// begin is the time at which every virtual world begins, in Unix microseconds.
+// begin is the start time of every virtual world, in Unix microseconds.
 const begin scheduler.Micros = 1_800_000_000_000_000
 
-// World is nodes, the fronts before them and the clients before these.
+// World is a simulated site: nodes, fronts and clients.
 type World struct {
 	Now     scheduler.Micros
-	Set     scheduler.Settings // that the fronts go by
+	Set     scheduler.Settings // settings of the fronts
 	Nodes   []*Node
 	Fronts  []Front
 	Audit   *Audit
-	Rand    *rand.Rand              // of what happens to the world
-	Changed func(*Node)             // hears of nodes that are added, die or begin anew, before any front does
-	Cut     func(from, to int) bool // messages between these fronts are lost; nil for none
+	Rand    *rand.Rand              // random source of events at nodes and fronts
+	Changed func(*Node)             // called for a node that is added, dies or restarts, before any front is told
+	Cut     func(from, to int) bool // reports whether messages between these fronts are lost; nil if none are
 	begin   scheduler.Micros
 	delay   scheduler.Micros
 	queue   events
@@ -34,20 +34,20 @@
 	deaf    map[int]scheduler.Micros
 	open    map[string]*try
 	ended   map[string]End
-	placed  map[string]int // shards of what was written
+	placed  map[string]int // shard of each written object, by name
 	inbox   chan func()
 	over    chan struct{}
 	halted  bool
 }
 
-// Front takes requests, owes World.Answer for each, and hears of the nodes.
+// Front takes requests, calls World.Answer once for each, and receives node lists.
 type Front interface {
 	Submit(scheduler.Request)
 	Tell(scheduler.EndpointsChanged)
-	End() // what it had open is lost
+	End() // its open requests are lost
 }
 
-// Watcher sees what happens.
+// Watcher observes the events of a world.
 type Watcher interface {
 	Told(front int, list scheduler.EndpointsChanged)
 	Asked(front int, r scheduler.Request)
@@ -56,18 +56,18 @@
 	Answered(id string, v Verdict, why scheduler.Reason)
 }
 
-// Node is a node of the list.
+// Node is a node of the node list.
 type Node struct {
 	*model.Node
 	Name   string
 	Shard  int
-	Zone   int // the hall that it stands in
+	Zone   int // index of its zone
 	State  scheduler.NodeState
-	Breaks float64 // share of the attempts that don't reach it, as the connection breaks
-	Spoils float64 // share of its answers that can't be used
+	Breaks float64 // share of the attempts that don't reach it because the connection breaks
+	Spoils float64 // share of its answers that are malformed
 }
 
-// event is something that happens at a time; those of the same time in the order in which they were planned.
+// event is a scheduled call. Events of the same time run in the order in which they were scheduled.
 type event struct {
 	at    scheduler.Micros
 	order int
@@ -88,8 +88,8 @@
 	return last
 }
 
-// New returns a world with nodes, each of which holds the shard of its number, in so many halls, before any front.
-// delay is the network's, one way.
+// New returns a world without fronts. Each node holds the shard of its index, and the nodes are assigned to halls zones
+// round-robin. delay is the one-way delay of the network.
 func New(set scheduler.Settings, nodes []*model.Node, halls int, delay scheduler.Micros, seed uint64) *World {
 	w := &World{
 		Now: begin, begin: begin, Set: set, delay: delay, Rand: rand.New(rand.NewPCG(seed, 2)), deaf: map[int]scheduler.Micros{},
@@ -106,10 +106,10 @@
 // Watch adds a watcher.
 func (w *World) Watch(x Watcher) { w.watch = append(w.watch, x) }
 
-// At plans something for a time since the beginning.
+// At schedules a call at a time since the start.
 func (w *World) At(at scheduler.Micros, do func()) { w.plan(w.begin+at, do) }
 
-// Since is the time since the beginning.
+// Since returns the time since the start.
 func (w *World) Since() scheduler.Micros { return w.Now - w.begin }
 
 func (w *World) plan(at scheduler.Micros, do func()) {
@@ -117,7 +117,7 @@
 	heap.Push(&w.queue, event{max(at, w.Now), w.order, do})
 }
 
-// Run lets things happen until a time since the beginning, in virtual time or live.
+// Run runs all events up to a time since the start, in virtual time or live.
 func (w *World) Run(to scheduler.Micros) {
 	if w.inbox != nil {
 		w.live(w.begin + to)
@@ -131,14 +131,15 @@
 	w.Now = w.begin + to
 }
 
-// Live has the world go by the clock from now on. Nothing may have been planned yet.
+// Live switches the world to the wall clock, starting now. It must be called before any event is scheduled.
 func (w *World) Live() {
 	w.begin = scheduler.Micros(time.Now().UnixMicro())
 	w.Now = w.begin
 	w.inbox, w.over = make(chan func(), 1024), make(chan struct{})
 }
 
-// Do has something done between two events of a live world, from any goroutine. After its end it is left out.
+// Do queues a call to run between two events of a live world. It may be called from any goroutine. Once the world has ended,
+// it does nothing.
 func (w *World) Do(do func()) {
 	select {
 	case w.inbox <- do:
@@ -146,7 +147,7 @@
 	}
 }
 
-// Halt ends a live world before its time.
+// Halt ends a live world early.
 func (w *World) Halt() { w.Do(func() { w.halted = true }) }
 
 func (w *World) live(to scheduler.Micros) {
@@ -172,17 +173,17 @@
 	close(w.over)
 }
 
-// Node is the node of a name. One that a front was told of stays, as an attempt may be on its way to it.
+// Node returns the node of a name, removed ones included, as an attempt may still be on its way to one.
 func (w *World) Node(name string) *Node {
 	for _, n := range w.Nodes {
 		if n.Name == name {
 			return n
 		}
 	}
-	panic("a front named a node that it was never told of: " + name)
+	panic("unknown node " + name)
 }
 
-// List is the node list as discovery has it.
+// List returns the node list as discovery reports it.
 func (w *World) List() scheduler.EndpointsChanged {
 	out := scheduler.EndpointsChanged{Full: true}
 	for _, n := range w.Nodes {
@@ -193,7 +194,7 @@
 	return out
 }
 
-// Put puts a front in a place, 0 for the first, and has it hear of the nodes. One that was there ends.
+// Put adds a front at an index, 0 for the first, and gives it the node list. A front that was there before ends.
 func (w *World) Put(place int, f Front) {
 	if place < len(w.Fronts) {
 		w.Fronts[place].End()
@@ -218,13 +219,13 @@
 	w.Fronts[place].Tell(list)
 }
 
-// Deafen has a front hear nothing of the nodes for a while.
+// Deafen keeps node lists from a front until a time, when it receives the current one.
 func (w *World) Deafen(place int, until scheduler.Micros) {
 	w.deaf[place] = until
 	w.plan(until, func() { w.tell(place) })
 }
 
-// Tell has every front hear of the list, each after a while of its own up to late.
+// Tell gives every front the node list, each after its own random delay of up to late.
 func (w *World) Tell(late scheduler.Micros) {
 	for place := range w.Fronts {
 		after := scheduler.Micros(0)
@@ -239,7 +240,7 @@
 	}
 }
 
-// Kill ends a node's process: what it had is lost, and new connections are refused.
+// Kill ends a node's process: its jobs are lost, and new connections are refused.
 func (w *World) Kill(n *Node) {
 	for _, j := range n.Die() {
 		if t, waits := j.Tag.(*Ticket); waits {
@@ -249,14 +250,14 @@
 	w.Changed(n)
 }
 
-// Restart begins a node's process anew, cold.
+// Restart restarts a node's process, which is then cold.
 func (w *World) Restart(n *Node) {
 	n.Node.Restart(int64(w.Now))
 	w.Changed(n)
 }
 
-// Successor replaces a node by another machine of a new name, which starts cold and holds the same shard. The old one
-// is gone.
+// Successor replaces a node by another machine with a new name, which starts cold and holds the same shard. The old node
+// is removed.
 func (w *World) Successor(old *Node) *Node {
 	w.Kill(old)
 	old.State = scheduler.Removed
