--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -13,92 +13,92 @@
 // front's equal share of each limit. With a window, at most that many attempts run at a node, and other requests wait in the
 // order of arrival.
 type Decider struct {
-	set    scheduler.Settings
-	window int // maximum number of attempts running at a node, 0 for no limit
-	nodes  map[int]*node
-	turn   int
-	open   map[string]*request
-	stores map[string]*store
-	now    scheduler.Micros
-	out    []scheduler.Action
-	wake   bool
+	set       scheduler.Settings
+	window    int // maximum number of attempts running at a node, 0 for no limit
+	nodes     map[int]*node
+	lastShard int
+	open      map[string]*request
+	buckets   map[string]*bucket
+	now       scheduler.Micros
+	actions   []scheduler.Action
+	timerSet  bool
 }
 
 type node struct {
 	scheduler.Endpoint
-	out int
+	running int
 }
 
 type request struct {
 	scheduler.Request
-	end   scheduler.Micros
-	sent  *node // node of the running attempt, nil for none
-	tries int
-	ran   bool // an attempt may have run
+	deadline   scheduler.Micros
+	node       *node // node of the running attempt, nil for none
+	attempts   int
+	mayHaveRun bool // an attempt may have run
 }
 
-type store struct {
+type bucket struct {
 	level float64
 	at    scheduler.Micros
 }
 
 // New returns a decider. A window of 0 means no limit.
 func New(set scheduler.Settings, window int) *Decider {
-	return &Decider{set: set, window: window, nodes: map[int]*node{}, open: map[string]*request{}, stores: map[string]*store{}}
+	return &Decider{set: set, window: window, nodes: map[int]*node{}, open: map[string]*request{}, buckets: map[string]*bucket{}}
 }
 
 // Step takes events and returns the actions.
 func (d *Decider) Step(now scheduler.Micros, events []scheduler.Event) []scheduler.Action {
-	d.now, d.out = now, nil
+	d.now, d.actions = now, nil
 	for _, e := range events {
-		d.take(e)
+		d.handleEvent(e)
 	}
 	d.dispatch()
-	return d.out
+	return d.actions
 }
 
-func (d *Decider) take(e scheduler.Event) {
+func (d *Decider) handleEvent(e scheduler.Event) {
 	switch e := e.(type) {
 	case scheduler.EndpointsChanged:
-		d.learn(e)
+		d.updateNodes(e)
 	case scheduler.Request:
-		d.open[e.ID] = &request{Request: e, end: d.now + e.TimeLeft - 2*d.set.Tick}
+		d.open[e.ID] = &request{Request: e, deadline: d.now + e.TimeLeft - 2*d.set.Tick}
 	case scheduler.ClientLeft:
 		delete(d.open, e.ID)
 	case scheduler.TimerFired:
-		d.wake = false
+		d.timerSet = false
 	case scheduler.AttemptEnded:
 		r := d.open[e.ID]
 		if r == nil {
 			return
 		}
-		if r.sent != nil {
-			r.sent.out--
-			r.sent = nil
+		if r.node != nil {
+			r.node.running--
+			r.node = nil
 		}
 		if e.Final {
 			delete(d.open, e.ID)
 			return
 		}
-		r.ran = r.ran || e.Result == scheduler.Errored || e.Result == scheduler.TimedOut || e.Result == scheduler.Reset
-		if r.ran && d.set.Classes[r.Class].Idempotency != scheduler.Idempotent || r.tries >= d.set.MaxAttempts {
+		r.mayHaveRun = r.mayHaveRun || e.Result == scheduler.Errored || e.Result == scheduler.TimedOut || e.Result == scheduler.Reset
+		if r.mayHaveRun && d.set.Classes[r.Class].Idempotency != scheduler.Idempotent || r.attempts >= d.set.MaxAttempts {
 			d.finish(r)
 		}
 	}
 }
 
-func (d *Decider) learn(e scheduler.EndpointsChanged) {
+func (d *Decider) updateNodes(e scheduler.EndpointsChanged) {
 	if e.Full {
 		for _, n := range d.nodes {
 			n.State = scheduler.Removed
 		}
 	}
 	for _, l := range e.Endpoints {
-		has := d.nodes[l.Shard]
+		known := d.nodes[l.Shard]
 		switch {
-		case has != nil && has.Node == l.Node:
-			has.Endpoint = l
-		case l.State == scheduler.Running || has == nil:
+		case known != nil && known.Node == l.Node:
+			known.Endpoint = l
+		case l.State == scheduler.Running || known == nil:
 			d.nodes[l.Shard] = &node{Endpoint: l}
 		}
 	}
@@ -108,44 +108,44 @@
 func (d *Decider) dispatch() {
 	waiting := make([]*request, 0, len(d.open))
 	for _, r := range d.open {
-		if r.sent == nil {
+		if r.node == nil {
 			waiting = append(waiting, r)
 		}
 	}
 	slices.SortFunc(waiting, func(a, b *request) int {
-		return cmp.Or(cmp.Compare(a.end-a.TimeLeft, b.end-b.TimeLeft), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.deadline-a.TimeLeft, b.deadline-b.TimeLeft), cmp.Compare(a.ID, b.ID))
 	})
-	held := false
+	anyWaiting := false
 	for _, r := range waiting {
-		n := d.place(r)
+		n := d.nodeFor(r)
 		switch {
-		case r.tries == 0 && d.now > r.end-r.TimeLeft/2 || d.now >= r.end:
+		case r.attempts == 0 && d.now > r.deadline-r.TimeLeft/2 || d.now >= r.deadline:
 			d.finish(r)
-		case n != nil && n.State == scheduler.Running && (d.window == 0 || n.out < d.window) && d.draw(r):
-			n.out++
-			r.sent, r.tries = n, r.tries+1
-			d.out = append(d.out, scheduler.StartAttempt{ID: r.ID, Node: n.Node})
+		case n != nil && n.State == scheduler.Running && (d.window == 0 || n.running < d.window) && d.takeUnits(r):
+			n.running++
+			r.node, r.attempts = n, r.attempts+1
+			d.actions = append(d.actions, scheduler.StartAttempt{ID: r.ID, Node: n.Node})
 		case n == nil || d.window == 0: // waiting would not help
 			d.finish(r)
 		default:
-			held = true
+			anyWaiting = true
 		}
 	}
-	if held && !d.wake {
-		d.wake = true
-		d.out = append(d.out, scheduler.SetTimer{At: d.now + 5*d.set.Tick})
+	if anyWaiting && !d.timerSet {
+		d.timerSet = true
+		d.actions = append(d.actions, scheduler.SetTimer{At: d.now + 5*d.set.Tick})
 	}
 }
 
-// place returns the node that holds a request's data. Requests for new objects go to the running nodes in round-robin order.
-func (d *Decider) place(r *request) *node {
+// nodeFor returns the node that holds a request's data. Requests for new objects go to the running nodes in round-robin order.
+func (d *Decider) nodeFor(r *request) *node {
 	if r.Shard >= 0 || len(d.nodes) == 0 {
 		return d.nodes[r.Shard]
 	}
-	if !r.ran {
+	if !r.mayHaveRun {
 		for range len(d.nodes) {
-			d.turn = (d.turn + 1) % len(d.nodes)
-			if n := d.nodes[d.turn]; n != nil && n.State == scheduler.Running {
+			d.lastShard = (d.lastShard + 1) % len(d.nodes)
+			if n := d.nodes[d.lastShard]; n != nil && n.State == scheduler.Running {
 				return n
 			}
 		}
@@ -153,20 +153,20 @@
 	return nil
 }
 
-// draw takes a request's units from this front's equal share of the limit, at its first attempt only. It reports whether the
+// takeUnits takes a request's units from this front's equal share of the limit, at its first attempt only. It reports whether the
 // limit allows the request.
-func (d *Decider) draw(r *request) bool {
+func (d *Decider) takeUnits(r *request) bool {
 	p := d.set.Plans[r.Plan]
-	if p.Limit <= 0 || r.tries > 0 {
+	if p.Limit <= 0 || r.attempts > 0 {
 		return true
 	}
-	hosts := float64(max(r.Fronts, 1))
-	s := d.stores[r.Volume]
+	fronts := float64(max(r.Fronts, 1))
+	s := d.buckets[r.Volume]
 	if s == nil {
-		s = &store{p.Burst / hosts, d.now}
-		d.stores[r.Volume] = s
+		s = &bucket{p.Burst / fronts, d.now}
+		d.buckets[r.Volume] = s
 	}
-	s.level = min(p.Burst/hosts, s.level+p.Limit/hosts*float64(d.now-s.at)/1e6)
+	s.level = min(p.Burst/fronts, s.level+p.Limit/fronts*float64(d.now-s.at)/1e6)
 	s.at = d.now
 	if s.level < r.Units {
 		return false
@@ -177,9 +177,9 @@
 
 func (d *Decider) finish(r *request) {
 	delete(d.open, r.ID)
-	if r.ran && d.set.Classes[r.Class].Idempotency != scheduler.Idempotent {
-		d.out = append(d.out, scheduler.Fail{ID: r.ID})
+	if r.mayHaveRun && d.set.Classes[r.Class].Idempotency != scheduler.Idempotent {
+		d.actions = append(d.actions, scheduler.Fail{ID: r.ID})
 		return
 	}
-	d.out = append(d.out, scheduler.Reject{ID: r.ID})
+	d.actions = append(d.actions, scheduler.Reject{ID: r.ID})
 }
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -16,16 +16,16 @@
 	FallSpan  int64   // time within which that work is counted
 	FallFree  float64 // work within FallSpan that never makes it fail, in microseconds of a core of speed 1
 
-	Overfull   float64 // additional cost of a job with a full queue, as a share; proportionally less with a shorter queue
-	PutOff     float64 // share of a write's work that is deferred
-	PutOffFor  int64   // delay after which the deferred work is done in one piece on one core
-	Near       float64 // share of its work that a job costs if one for the same object came within NearSpan
-	NearSpan   int64   // see Near
-	KeyWindow  int64   // a job whose key was used within this time costs nothing, as a duplicate
-	ProbeWork  float64 // deferred work of a health check
-	ConnWork   float64 // deferred work of a new connection
-	MostConns  int     // maximum number of open connections
-	MostMemory int     // maximum number of objects, and of keys, that are remembered
+	FullQueueCost float64 // additional cost of a job with a full queue, as a share; proportionally less with a shorter queue
+	DeferredShare float64 // share of a write's work that is deferred
+	DeferredFor   int64   // delay after which the deferred work is done in one piece on one core
+	Near          float64 // share of its work that a job costs if one for the same object came within NearSpan
+	NearSpan      int64   // see Near
+	KeyWindow     int64   // a job whose key was used within this time costs nothing, as a duplicate
+	ProbeWork     float64 // deferred work of a health check
+	ConnWork      float64 // deferred work of a new connection
+	MaxConns      int     // maximum number of open connections
+	MostMemory    int     // maximum number of objects, and of keys, that are remembered
 }
 
 // Job is a request at a node. A job without a Tag is deferred work.
@@ -46,85 +46,85 @@
 // Node is the state of a node.
 type Node struct {
 	Figures
-	Up     int64  // time of the last start, 0 for a node that has always been warm
-	Fallen bool   // failed by overload while cold; it is silent until it restarts
-	Dead   bool   // its process has ended
-	Mute   bool   // it accepts jobs and never answers
-	busy   []Done // running jobs, with their end times
-	queue  []Job
-	sent   []Done  // work received within the last FallSpan while cold
-	paused int64   // end of a stall
-	debt   float64 // deferred work
-	debtAt int64   // time since which there is deferred work
-	conns  int
-	pieces map[string]int64 // time of the last job, by object
-	keys   map[string]int64 // time of the first job, by key
+	StartedAt     int64  // time of the last start, 0 for a node that has always been warm
+	Failed        bool   // failed by overload while cold; it is silent until it restarts
+	Dead          bool   // its process has ended
+	Mute          bool   // it accepts jobs and never answers
+	running       []Done // running jobs, with their end times
+	queue         []Job
+	received      []Done  // work received within the last FallSpan while cold
+	pausedUntil   int64   // end of a stall
+	deferredWork  float64 // deferred work
+	deferredSince int64   // time since which there is deferred work
+	conns         int
+	objects       map[string]int64 // time of the last job, by object
+	keys          map[string]int64 // time of the first job, by key
 }
 
 // New returns a warm node.
 func New(f Figures) *Node {
-	return &Node{Figures: f, pieces: map[string]int64{}, keys: map[string]int64{}}
+	return &Node{Figures: f, objects: map[string]int64{}, keys: map[string]int64{}}
 }
 
 // Restart starts a new process; the state of the old one is lost.
 func (n *Node) Restart(now int64) {
 	*n = *New(n.Figures)
-	n.Up = now
+	n.StartedAt = now
 }
 
 // Die ends the process and returns its jobs, which are lost.
 func (n *Node) Die() []Job {
 	lost := n.queue
-	for _, d := range n.busy {
+	for _, d := range n.running {
 		lost = append(lost, d.Job)
 	}
-	n.Dead, n.busy, n.queue, n.conns = true, nil, nil, 0
+	n.Dead, n.running, n.queue, n.conns = true, nil, nil, 0
 	return lost
 }
 
 // Pause stalls the node until a time.
 func (n *Node) Pause(now, until int64) {
-	for i := range n.busy {
-		n.busy[i].At += until - now
+	for i := range n.running {
+		n.running[i].At += until - now
 	}
-	n.paused = max(n.paused, until)
+	n.pausedUntil = max(n.pausedUntil, until)
 }
 
 // Silent reports whether the node answers nothing.
-func (n *Node) Silent() bool { return n.Fallen || n.Dead || n.Mute }
+func (n *Node) Silent() bool { return n.Failed || n.Dead || n.Mute }
 
-// warm returns the share of its speed that the node has.
-func (n *Node) warm(now int64) float64 {
-	if n.Up == 0 || now >= n.Up+n.Ramp {
+// speedShare returns the share of its speed that the node has.
+func (n *Node) speedShare(now int64) float64 {
+	if n.StartedAt == 0 || now >= n.StartedAt+n.Ramp {
 		return 1
 	}
-	return n.ColdFrom + (1-n.ColdFrom)*float64(now-n.Up)/float64(n.Ramp)
+	return n.ColdFrom + (1-n.ColdFrom)*float64(now-n.StartedAt)/float64(n.Ramp)
 }
 
 // Queue returns the number of queued jobs.
 func (n *Node) Queue() int { return len(n.queue) }
 
-// owe adds deferred work.
-func (n *Node) owe(now int64, work float64) {
-	if n.debt == 0 {
-		n.debtAt = now
+// deferWork adds deferred work.
+func (n *Node) deferWork(now int64, work float64) {
+	if n.deferredWork == 0 {
+		n.deferredSince = now
 	}
-	n.debt += work
+	n.deferredWork += work
 }
 
 // Probe handles a health check and returns the number of queued jobs.
 func (n *Node) Probe(now int64) int {
-	n.owe(now, n.ProbeWork)
+	n.deferWork(now, n.ProbeWork)
 	return len(n.queue)
 }
 
 // Connect opens a connection and reports whether the limit allowed it.
 func (n *Node) Connect(now int64) bool {
-	if n.MostConns > 0 && n.conns >= n.MostConns {
+	if n.MaxConns > 0 && n.conns >= n.MaxConns {
 		return false
 	}
 	n.conns++
-	n.owe(now, n.ConnWork)
+	n.deferWork(now, n.ConnWork)
 	return true
 }
 
@@ -134,50 +134,50 @@
 // Arrive takes a job and reports whether it was accepted. A node that has failed returns true and drops the job, so that it
 // stays silent instead of rejecting.
 func (n *Node) Arrive(now int64, j Job) bool {
-	n.press(now, j.Work)
-	if n.Fallen || len(n.queue) >= n.Room && len(n.busy) >= n.Cores {
-		return n.Fallen // a failed node is silent and rejects nothing
+	n.countReceived(now, j.Work)
+	if n.Failed || len(n.queue) >= n.Room && len(n.running) >= n.Cores {
+		return n.Failed // a failed node is silent and rejects nothing
 	}
 	n.queue = append(n.queue, j)
-	n.begin(now)
+	n.startJobs(now)
 	return true
 }
 
-// press counts received work and makes a cold node fail that received too much.
-func (n *Node) press(now int64, work float64) {
-	share := n.warm(now)
+// countReceived counts received work and makes a cold node fail that received too much.
+func (n *Node) countReceived(now int64, work float64) {
+	share := n.speedShare(now)
 	if share >= 1 {
-		n.sent = nil
+		n.received = nil
 		return
 	}
-	n.sent = slices.DeleteFunc(append(n.sent, Done{Job{Work: work}, now}), func(d Done) bool { return d.At < now-n.FallSpan })
+	n.received = slices.DeleteFunc(append(n.received, Done{Job{Work: work}, now}), func(d Done) bool { return d.At < now-n.FallSpan })
 	sum := 0.0
-	for _, d := range n.sent {
+	for _, d := range n.received {
 		sum += d.Work
 	}
 	if sum > max(n.FallFree, n.FallTimes*share*n.Speed*float64(n.Cores)*float64(n.FallSpan)) {
-		n.Fallen, n.busy, n.queue = true, nil, nil
+		n.Failed, n.running, n.queue = true, nil, nil
 	}
 }
 
-// begin starts jobs on free cores: deferred work that is due first, then queued jobs.
-func (n *Node) begin(now int64) {
-	for len(n.busy) < n.Cores && len(n.queue) > 0 {
-		if n.debt > 0 && now >= n.debtAt+n.PutOffFor {
-			n.occupy(now, Job{Work: n.debt})
-			n.debt = 0
+// startJobs starts jobs on free cores: deferred work that is due first, then queued jobs.
+func (n *Node) startJobs(now int64) {
+	for len(n.running) < n.Cores && len(n.queue) > 0 {
+		if n.deferredWork > 0 && now >= n.deferredSince+n.DeferredFor {
+			n.run(now, Job{Work: n.deferredWork})
+			n.deferredWork = 0
 			continue
 		}
 		j := n.queue[0]
 		n.queue = n.queue[1:]
 		j.Work = n.cost(now, j)
-		n.occupy(now, j)
+		n.run(now, j)
 	}
 }
 
-// occupy starts a job on a free core.
-func (n *Node) occupy(now int64, j Job) {
-	n.busy = append(n.busy, Done{j, max(now, n.paused) + int64(j.Work/n.Speed/n.warm(now)) + 1})
+// run starts a job on a free core.
+func (n *Node) run(now int64, j Job) {
+	n.running = append(n.running, Done{j, max(now, n.pausedUntil) + int64(j.Work/n.Speed/n.speedShare(now)) + 1})
 }
 
 // cost returns the work that a job takes if it starts now.
@@ -187,17 +187,17 @@
 	}
 	work := j.Work
 	if n.Room > 0 {
-		work *= 1 + n.Overfull*float64(len(n.queue))/float64(n.Room)
+		work *= 1 + n.FullQueueCost*float64(len(n.queue))/float64(n.Room)
 	}
 	if n.NearSpan > 0 && j.Piece != "" {
-		if at, worked := n.pieces[j.Piece]; worked && now < at+n.NearSpan {
+		if at, worked := n.objects[j.Piece]; worked && now < at+n.NearSpan {
 			work *= n.Near
 		}
-		remember(n.pieces, j.Piece, now, n.NearSpan, n.MostMemory)
+		remember(n.objects, j.Piece, now, n.NearSpan, n.MostMemory)
 	}
-	if j.Write && n.PutOffFor > 0 {
-		n.owe(now, work*n.PutOff)
-		work *= 1 - n.PutOff
+	if j.Write && n.DeferredFor > 0 {
+		n.deferWork(now, work*n.DeferredShare)
+		work *= 1 - n.DeferredShare
 	}
 	if j.Key != "" && n.KeyWindow > 0 {
 		remember(n.keys, j.Key, now, n.KeyWindow, n.MostMemory)
@@ -207,14 +207,14 @@
 
 // remember sets the time of a name. At the maximum size of the map it removes entries older than span, or all entries if that
 // is not enough.
-func remember(at map[string]int64, name string, now, span int64, most int) {
-	if len(at) >= max(most, 1) {
+func remember(at map[string]int64, name string, now, span int64, maxEntries int) {
+	if len(at) >= max(maxEntries, 1) {
 		for k, t := range at {
 			if t < now-span {
 				delete(at, k)
 			}
 		}
-		if len(at) >= max(most, 1) {
+		if len(at) >= max(maxEntries, 1) {
 			clear(at)
 		}
 	}
@@ -223,7 +223,7 @@
 
 // Next returns the time at which the next job ends, if one is running.
 func (n *Node) Next() (at int64, ok bool) {
-	for _, d := range n.busy {
+	for _, d := range n.running {
 		if !ok || d.At < at {
 			at, ok = d.At, true
 		}
@@ -234,12 +234,12 @@
 // Finish returns the jobs that have ended by now and starts others.
 func (n *Node) Finish(now int64) []Done {
 	var out []Done
-	n.busy = slices.DeleteFunc(n.busy, func(d Done) bool {
+	n.running = slices.DeleteFunc(n.running, func(d Done) bool {
 		if d.At <= now && d.Tag != nil { // deferred work has no client
 			out = append(out, d)
 		}
 		return d.At <= now
 	})
-	n.begin(now)
+	n.startJobs(now)
 	return out
 }
--- a/internal/lab/model/node_test.go
+++ b/internal/lab/model/node_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestNodeServesInTurnAndTurnsAwayWhenFull(t *testing.T) {
+func TestNodeServesInOrderAndRejectsWhenFull(t *testing.T) {
 	n := New(Figures{Cores: 1, Speed: 2, Room: 1, ColdFrom: 1})
 	for i, want := range []bool{true, true, false} { // the first runs, the second is queued
 		if got := n.Arrive(0, Job{Tag: i, Work: 200}); got != want {
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestColdNodeWarmsAndFallsWhenPushed(t *testing.T) {
+func TestColdNodeWarmsUpAndFailsWhenOverloaded(t *testing.T) {
 	f := Figures{Cores: 1, Speed: 1, Room: 1000, ColdFrom: 0.2, Ramp: 10_000_000, FallTimes: 2.5, FallSpan: 1_000_000}
 	n := New(f)
 	n.Restart(1)
@@ -26,11 +26,11 @@
 	if at, _ := n.Next(); at < 490_000 || at > 510_000 {
 		t.Errorf("job at a cold node ends at %d us, want about 500000", at)
 	}
-	for at := int64(2); n.Up > 0 && !n.Fallen && at < 10; at++ {
+	for at := int64(2); n.StartedAt > 0 && !n.Failed && at < 10; at++ {
 		n.Arrive(at, Job{Work: 100_000})
 	}
-	if !n.Fallen || !n.Arrive(20, Job{Work: 1}) {
-		t.Errorf("failed is %v after 0.9 s of work within 1 s at a fifth of the speed, or it rejects a job", n.Fallen)
+	if !n.Failed || !n.Arrive(20, Job{Work: 1}) {
+		t.Errorf("failed is %v after 0.9 s of work within 1 s at a fifth of the speed, or it rejects a job", n.Failed)
 	}
 	if _, ok := n.Next(); ok {
 		t.Error("a failed node still runs a job")
@@ -39,7 +39,7 @@
 	for range 100 {
 		warm.Arrive(1, Job{Work: 100_000})
 	}
-	if warm.Fallen {
+	if warm.Failed {
 		t.Error("a warm node failed by overload")
 	}
 }
@@ -65,10 +65,10 @@
 	}
 }
 
-func TestPiecesKeysAndWorkPutOff(t *testing.T) {
+func TestObjectsKeysAndDeferredWork(t *testing.T) {
 	n := New(Figures{
 		Cores: 1, Speed: 1, Room: 8, ColdFrom: 1, Near: 0.25, NearSpan: 1000, KeyWindow: 2000,
-		PutOff: 0.5, PutOffFor: 5000, ProbeWork: 300, MostMemory: 8,
+		DeferredShare: 0.5, DeferredFor: 5000, ProbeWork: 300, MostMemory: 8,
 	})
 	for _, c := range []struct {
 		what string
@@ -97,7 +97,7 @@
 	if at, _ := n.Next(); at < 61_100 {
 		t.Errorf("job at a stalled node ends at %d us, want at least 61100", at)
 	}
-	if n.MostConns = 1; !n.Connect(0) || n.Connect(0) {
+	if n.MaxConns = 1; !n.Connect(0) || n.Connect(0) {
 		t.Error("limit of one connection: the first one was refused or the second one was accepted")
 	}
 	n.Disconnect()
--- a/internal/lab/model/queue_test.go
+++ b/internal/lab/model/queue_test.go
@@ -8,7 +8,7 @@
 
 // With Poisson arrivals, exponential service times and 4 cores (M/M/4), the mean wait agrees with the Erlang C formula within
 // 5% (Kleinrock, Queueing Systems I, 3.5).
-func TestWaitsAsErlangC(t *testing.T) {
+func TestMeanWaitAgreesWithErlangC(t *testing.T) {
 	const cores, mean = 4, 10_000.0
 	for _, busy := range []float64{0.5, 0.8, 0.9} {
 		rng := rand.New(rand.NewPCG(1, uint64(busy*100)))
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -32,70 +32,70 @@
 
 // Event holds one scheduler.Event in the field of its type; the other fields are nil.
 type Event struct {
-	Nodes   *scheduler.EndpointsChanged  `cbor:"1,keyasint,omitempty"`
-	Request *scheduler.Request           `cbor:"2,keyasint,omitempty"`
-	Outcome *scheduler.AttemptEnded      `cbor:"3,keyasint,omitempty"`
-	Lapsed  *scheduler.ClientLeft        `cbor:"4,keyasint,omitempty"`
-	Probed  *scheduler.HealthChecked     `cbor:"5,keyasint,omitempty"`
-	Alarm   *scheduler.TimerFired        `cbor:"6,keyasint,omitempty"`
-	Room    *scheduler.OpenLimitChanged  `cbor:"7,keyasint,omitempty"`
-	Written *scheduler.StateSaved        `cbor:"8,keyasint,omitempty"`
-	Asked   *scheduler.CapacityRequested `cbor:"9,keyasint,omitempty"`
-	Granted *scheduler.CapacityGranted   `cbor:"10,keyasint,omitempty"`
+	Endpoints       *scheduler.EndpointsChanged  `cbor:"1,keyasint,omitempty"`
+	Request         *scheduler.Request           `cbor:"2,keyasint,omitempty"`
+	Attempt         *scheduler.AttemptEnded      `cbor:"3,keyasint,omitempty"`
+	Left            *scheduler.ClientLeft        `cbor:"4,keyasint,omitempty"`
+	HealthCheck     *scheduler.HealthChecked     `cbor:"5,keyasint,omitempty"`
+	Timer           *scheduler.TimerFired        `cbor:"6,keyasint,omitempty"`
+	OpenLimit       *scheduler.OpenLimitChanged  `cbor:"7,keyasint,omitempty"`
+	SavedState      *scheduler.StateSaved        `cbor:"8,keyasint,omitempty"`
+	CapacityRequest *scheduler.CapacityRequested `cbor:"9,keyasint,omitempty"`
+	CapacityGrant   *scheduler.CapacityGranted   `cbor:"10,keyasint,omitempty"`
 }
 
 func wrap(e scheduler.Event) (out Event) {
 	switch e := e.(type) {
 	case scheduler.EndpointsChanged:
-		out.Nodes = &e
+		out.Endpoints = &e
 	case scheduler.Request:
 		out.Request = &e
 	case scheduler.AttemptEnded:
-		out.Outcome = &e
+		out.Attempt = &e
 	case scheduler.ClientLeft:
-		out.Lapsed = &e
+		out.Left = &e
 	case scheduler.HealthChecked:
-		out.Probed = &e
+		out.HealthCheck = &e
 	case scheduler.TimerFired:
-		out.Alarm = &e
+		out.Timer = &e
 	case scheduler.OpenLimitChanged:
-		out.Room = &e
+		out.OpenLimit = &e
 	case scheduler.StateSaved:
-		out.Written = &e
+		out.SavedState = &e
 	case scheduler.CapacityRequested:
-		out.Asked = &e
+		out.CapacityRequest = &e
 	case scheduler.CapacityGranted:
-		out.Granted = &e
+		out.CapacityGrant = &e
 	}
 	return out
 }
 
 func (e Event) unwrap() scheduler.Event {
 	switch {
-	case e.Nodes != nil:
-		return *e.Nodes
+	case e.Endpoints != nil:
+		return *e.Endpoints
 	case e.Request != nil:
 		return *e.Request
-	case e.Outcome != nil:
-		return *e.Outcome
-	case e.Lapsed != nil:
-		return *e.Lapsed
-	case e.Probed != nil:
-		return *e.Probed
-	case e.Room != nil:
-		return *e.Room
-	case e.Written != nil:
-		return *e.Written
-	case e.Asked != nil:
-		return *e.Asked
-	case e.Granted != nil:
-		return *e.Granted
+	case e.Attempt != nil:
+		return *e.Attempt
+	case e.Left != nil:
+		return *e.Left
+	case e.HealthCheck != nil:
+		return *e.HealthCheck
+	case e.OpenLimit != nil:
+		return *e.OpenLimit
+	case e.SavedState != nil:
+		return *e.SavedState
+	case e.CapacityRequest != nil:
+		return *e.CapacityRequest
+	case e.CapacityGrant != nil:
+		return *e.CapacityGrant
 	}
 	return scheduler.TimerFired{}
 }
 
-// sum returns the checksum of actions, which depends on their order.
-func sum(actions []scheduler.Action) uint32 {
+// checksum returns the checksum of actions, which depends on their order.
+func checksum(actions []scheduler.Action) uint32 {
 	d := xxhash.New()
 	for _, a := range actions {
 		fmt.Fprintf(d, "%s %v\n", recordedName(a), a)
@@ -142,7 +142,7 @@
 		step.Events = append(step.Events, wrap(e))
 	}
 	actions := r.Decider.Step(now, events)
-	step.Sum = sum(actions)
+	step.Sum = checksum(actions)
 	r.Stream.Steps = append(r.Stream.Steps, step)
 	return actions
 }
@@ -155,7 +155,7 @@
 		for _, e := range st.Events {
 			events = append(events, e.unwrap())
 		}
-		if actions = to.Step(st.Now, events); sum(actions) != st.Sum {
+		if actions = to.Step(st.Now, events); checksum(actions) != st.Sum {
 			return i, actions
 		}
 	}
--- a/internal/lab/record/streams.go
+++ b/internal/lab/record/streams.go
@@ -19,7 +19,7 @@
 	s.Load.Comes, s.Load.Heeds = 0.5, 0.5
 	set := s.Settings()
 	set.CancelAttempts, set.RetryBudgetSpan, set.RetryBudgetMin, set.RetryBudgetShare = true, 10_000_000, 10, 0.2
-	d.edit(&s, &set)
+	d.configure(&s, &set)
 	var r Recorder
 	_, err = s.PlayWith(1, set, scenario.Variant{Name: name, Make: func(front int, set scheduler.Settings, seed int64) (world.Decider, error) {
 		set.FrontIndex = front
@@ -33,16 +33,16 @@
 	return r.Stream, err
 }
 
-// day describes the scenario of a recording.
-type day struct {
+// dayConfig describes the scenario of a recording.
+type dayConfig struct {
 	nodes, fronts int
 	length        time.Duration
-	edit          func(s *scenario.Scenario, set *scheduler.Settings)
+	configure     func(s *scenario.Scenario, set *scheduler.Settings)
 }
 
 // Streams are the days to record, by name: a rolling deploy; several kinds of failures; a flood beyond the limit of open
 // requests, with a class whose requests run in order; and a long day with so little load that learned state expires.
-var Streams = map[string]day{
+var Streams = map[string]dayConfig{
 	"deploy": {10, 3, 16 * time.Second, func(s *scenario.Scenario, _ *scheduler.Settings) {
 		s.Happens = []scenario.Event{
 			{At: 3 * time.Second, What: "replace", Share: 0.9, Over: 8 * time.Second, Drain: time.Second},
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -19,12 +19,12 @@
 
 // Times of a run, in microseconds.
 const (
-	second  = scheduler.Micros(1_000_000)
-	warmed  = 30 * second       // time for which the front learns
-	down    = second / 2        // downtime of the front after that
-	counted = 10 * second       // time after the downtime whose requests are counted
-	saved   = 5 * second        // maximum age of a snapshot at the restart
-	coldAt  = warmed - 3*second // start of the cold node
+	second         = scheduler.Micros(1_000_000)
+	learnTime      = 30 * second          // time for which the front learns
+	downtime       = second / 2           // downtime of the front after that
+	countedTime    = 10 * second          // time after the downtime whose requests are counted
+	maxSnapshotAge = 5 * second           // maximum age of a snapshot when the front stops
+	coldStart      = learnTime - 3*second // start of the cold node
 )
 
 // variants names the runs, in the order of the columns.
@@ -35,7 +35,7 @@
 	Seed   uint64
 	Asked  float64
 	Served [3]float64
-	Fallen [3]int // nodes that failed by overload
+	Failed [3]int // nodes that failed by overload
 }
 
 // settings returns the scheduler's settings for a site with one front.
@@ -53,15 +53,15 @@
 	}
 }
 
-// kinds lists, by class: the share of the requests, the mean work per unit in microseconds and the time after which the
+// requestKinds lists, by class: the share of the requests, the mean work per unit in microseconds and the time after which the
 // client gives up.
-var kinds = []struct {
+var requestKinds = []struct {
 	share, work float64
 	left        scheduler.Micros
 }{{0.55, 20_000, 2_500_000}, {0.30, 35_000, 2_000_000}, {0.15, 60_000, 6_000_000}}
 
-// day draws nodes and requests. 3 of 10 nodes are slow. The caller restarts one node shortly before the front.
-func day(seed uint64) ([]*model.Node, []world.Request) {
+// drawDay draws nodes and requests. 3 of 10 nodes are slow. The caller restarts one node shortly before the front.
+func drawDay(seed uint64) ([]*model.Node, []world.Request) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var nodes []*model.Node
 	speeds := 0.0
@@ -79,15 +79,15 @@
 	// The load is 90% of the capacity of all nodes and spread evenly, so the slow nodes are overloaded.
 	var requests []world.Request
 	mean := 0.0
-	for _, k := range kinds {
+	for _, k := range requestKinds {
 		mean += k.share * k.work * 2
 	}
 	rate := 0.9 * speeds / mean // requests per microsecond
-	for at, n := 0.0, 0; at < float64(warmed+down+counted); n++ {
+	for at, n := 0.0, 0; at < float64(learnTime+downtime+countedTime); n++ {
 		at += rng.ExpFloat64() / rate
 		class, pick := 0, rng.Float64()
-		for pick > kinds[class].share && class < len(kinds)-1 {
-			pick -= kinds[class].share
+		for pick > requestKinds[class].share && class < len(requestKinds)-1 {
+			pick -= requestKinds[class].share
 			class++
 		}
 		units := float64(1 + rng.IntN(3))
@@ -96,72 +96,72 @@
 			shard = -1
 		}
 		requests = append(requests, world.Request{
-			At: scheduler.Micros(at), Work: units * kinds[class].work * (0.5 + rng.Float64()),
+			At: scheduler.Micros(at), Work: units * requestKinds[class].work * (0.5 + rng.Float64()),
 			Request: scheduler.Request{
 				ID: fmt.Sprint(n), Class: class, Plan: project % 2, Volume: fmt.Sprint("project-", project),
-				Units: units, Shard: shard, Fronts: 1, TimeLeft: kinds[class].left,
+				Units: units, Shard: shard, Fronts: 1, TimeLeft: requestKinds[class].left,
 			},
 		})
 	}
 	return nodes, requests
 }
 
-// Play simulates one day with each variant.
-func Play(seed uint64) (Result, error) {
+// Simulate simulates one day with each variant.
+func Simulate(seed uint64) (Result, error) {
 	r := Result{Seed: seed}
 	set := settings()
 	for v := range variants {
-		nodes, requests := day(seed)
+		nodes, requests := drawDay(seed)
 		w := world.New(set, nodes, 1, 500, seed)
 		s, err := scheduler.New(set, int64(seed))
 		if err != nil {
 			return r, err
 		}
-		w.Start(0, s)
+		w.StartFront(0, s)
 		for _, q := range requests {
-			if q.At < warmed || q.At >= warmed+down {
-				w.At(q.At, func() { w.Ask(q) })
+			if q.At < learnTime || q.At >= learnTime+downtime {
+				w.At(q.At, func() { w.Submit(q) })
 			}
 		}
-		w.At(coldAt, func() {
+		w.At(coldStart, func() {
 			w.Restart(w.Nodes[2])
-			w.Tell(0)
+			w.PublishNodeList(0)
 		})
-		var kept snapshot.Snapshot
-		w.At(warmed-saved+scheduler.Micros(seed%5)*second, func() { kept = save(w, s) })
+		var saved snapshot.Snapshot
+		w.At(learnTime-maxSnapshotAge+scheduler.Micros(seed%5)*second, func() { saved = takeSnapshot(w, s) })
 		if v > 0 {
-			w.At(warmed+down, func() {
-				again, _ := scheduler.New(set, int64(seed)+1) // the settings were valid the first time
-				w.Start(0, again)
+			w.At(learnTime+downtime, func() {
+				restarted, _ := scheduler.New(set, int64(seed)+1) // the settings were valid the first time
+				w.StartFront(0, restarted)
 				if v == 1 {
-					again.ImportLearned(w.Now, recall(w, s, kept))
+					restarted.ImportLearned(w.Now, restoreSnapshot(w, s, saved))
 				}
 			})
 		}
-		w.Run(warmed + down + counted + 7*second)
+		w.Run(learnTime + downtime + countedTime + 7*second)
 		asked := 0.0
 		for _, q := range requests {
-			if q.At < warmed+down {
+			if q.At < learnTime+downtime {
 				continue
 			}
 			worth := set.Classes[q.Class].Priority * q.Units
 			asked += worth
-			if w.Ended(q.ID).Verdict == world.Served {
+			if w.Outcome(q.ID).Verdict == world.Served {
 				r.Served[v] += worth
 			}
 		}
 		r.Asked = asked
 		for _, n := range nodes {
-			if n.Fallen {
-				r.Fallen[v]++
+			if n.Failed {
+				r.Failed[v]++
 			}
 		}
 	}
 	return r, nil
 }
 
-// save returns a snapshot of the front's learned state.
-func save(w *world.World, front *scheduler.Scheduler) snapshot.Snapshot {
+// takeSnapshot returns a snapshot of the front's learned state.
+func takeSnapshot(w *world.World, front *scheduler.Scheduler) snapshot.Snapshot {
 	l, _ := front.ExportLearned(w.Now, 0, math.MaxInt32)
 	s := snapshot.Snapshot{Front: "lab", Settings: snapshot.Fingerprint(w.Set), Saved: w.Now, Accounts: l.Volumes, Leads: l.Flows}
 	for _, k := range l.Nodes {
@@ -170,8 +170,8 @@
 	return s
 }
 
-// recall returns the part of a snapshot that is still valid.
-func recall(w *world.World, front *scheduler.Scheduler, s snapshot.Snapshot) scheduler.Learned {
+// restoreSnapshot returns the part of a snapshot that is still valid.
+func restoreSnapshot(w *world.World, front *scheduler.Scheduler, s snapshot.Snapshot) scheduler.Learned {
 	now := decay.Current{At: w.Now, Front: "lab", Settings: snapshot.Fingerprint(w.Set), Fresh: front.NewNodeStats()}
 	for _, l := range w.List().Endpoints {
 		now.Nodes = append(now.Nodes, snapshot.Node{LearnedNode: scheduler.LearnedNode{Endpoint: l}})
@@ -189,14 +189,14 @@
 	fmt.Fprintln(w, "seed\tworth asked\tnever\twith\twithout\twith/never\twithout/never\tpushed over\t")
 	var with, without []float64
 	for seed := range uint64(seeds) {
-		r, err := Play(seed + 1)
+		r, err := Simulate(seed + 1)
 		if err != nil {
 			return err
 		}
 		share := func(v int) float64 { return r.Served[v] / r.Asked }
 		with, without = append(with, r.Served[1]/r.Served[0]), append(without, r.Served[2]/r.Served[0])
 		fmt.Fprintf(w, "%d\t%.0f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d %d %d\t\n", r.Seed, r.Asked, share(0), share(1), share(2),
-			with[seed], without[seed], r.Fallen[0], r.Fallen[1], r.Fallen[2])
+			with[seed], without[seed], r.Failed[0], r.Failed[1], r.Failed[2])
 	}
 	w.Flush()
 	slices.Sort(with)
--- a/internal/lab/restart/restart_test.go
+++ b/internal/lab/restart/restart_test.go
@@ -8,18 +8,18 @@
 	const seeds = 2
 	kept := 0.0
 	for seed := range uint64(seeds) {
-		r, err := Play(seed + 1)
+		r, err := Simulate(seed + 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Fallen != [3]int{} {
-			t.Errorf("seed %d: nodes failed by overload, by variant: %v", seed+1, r.Fallen)
+		if r.Failed != [3]int{} {
+			t.Errorf("seed %d: nodes failed by overload, by variant: %v", seed+1, r.Failed)
 		}
 		kept += r.Served[1] / r.Served[0] / seeds
 		if seed > 0 {
 			continue
 		}
-		if again, err := Play(seed + 1); err != nil || again != r {
+		if again, err := Simulate(seed + 1); err != nil || again != r {
 			t.Errorf("two runs with the same seed differ: %+v and %+v; error %v", r, again, err)
 		}
 	}
--- a/internal/lab/scenario/build.go
+++ b/internal/lab/scenario/build.go
@@ -13,12 +13,12 @@
 
 // Build returns a variant that is decided by another build of this program, such as an earlier release: path names its
 // benchlink executable, which is driven through its standard input and output. The variant restarts the executable for each
-// simulated day. The caller stops it with close.
-func Build(name, path string) (v Variant, close func() error) {
+// simulated day. The caller ends the executable with stop.
+func Build(name, path string) (v Variant, stop func() error) {
 	var cmd *exec.Cmd
 	var in io.WriteCloser
 	var remote *wire.Remote
-	close = func() error {
+	stop = func() error {
 		if cmd == nil {
 			return nil
 		}
@@ -28,7 +28,7 @@
 		return err
 	}
 	start := func() error {
-		if err := close(); err != nil {
+		if err := stop(); err != nil {
 			return err
 		}
 		next := exec.Command(path)
@@ -56,5 +56,5 @@
 			return nil, fmt.Errorf("build %s: %w", path, err)
 		}
 		return i, nil
-	}}, close
+	}}, stop
 }
--- a/internal/lab/scenario/file.go
+++ b/internal/lab/scenario/file.go
@@ -57,7 +57,7 @@
 	}
 
 	mix      Mix
-	captured []captured
+	captured []capturedRequest
 }
 
 // Event is one incident of a scenario.
@@ -74,8 +74,8 @@
 	Projects int           // flood: number of projects
 }
 
-// needs lists the required fields of each kind of event.
-var needs = map[string][]string{
+// requiredFields lists the required fields of each kind of event.
+var requiredFields = map[string][]string{
 	"replace": {"share", "over"},            // nodes drain one after another, and their replacements start cold
 	"die":     {"share", "back"},            // nodes die at the same time and restart cold
 	"slow":    {"share", "for", "times"},    // nodes run slower
@@ -97,11 +97,11 @@
 	if err != nil {
 		return s, fmt.Errorf("%s: %w", path, err)
 	}
-	if odd := meta.Undecoded(); len(odd) > 0 {
-		return s, fmt.Errorf("%s: %s: unknown field", path, odd[0])
+	if undecoded := meta.Undecoded(); len(undecoded) > 0 {
+		return s, fmt.Errorf("%s: %s: unknown field", path, undecoded[0])
 	}
 	if s.Load.Mix == "" {
-		s.Load.Mix = usualMix
+		s.Load.Mix = defaultMix
 	}
 	if s.mix, err = parseMix(s.Load.Mix); err != nil {
 		return s, fmt.Errorf("%s: load.mix: %w", path, err)
@@ -115,7 +115,7 @@
 			return s, fmt.Errorf("%s: load.captured: %w", path, err)
 		}
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return s, fmt.Errorf("%s: %w", path, err)
 	}
 	return s, nil
@@ -123,64 +123,65 @@
 
 // Limits of a scenario, so that a run takes at most minutes on an ordinary machine.
 const (
-	mostLength = 10 * time.Minute
-	mostFronts = 128
-	mostNodes  = 1000
+	maxLength = 10 * time.Minute
+	maxFronts = 128
+	maxNodes  = 1000
 )
 
-func (s *Scenario) check() error {
-	bad := ""
-	must := func(ok bool, format string, args ...any) {
-		if !ok && bad == "" {
-			bad = fmt.Sprintf(format, args...)
+func (s *Scenario) validate() error {
+	problem := ""
+	require := func(ok bool, format string, args ...any) {
+		if !ok && problem == "" {
+			problem = fmt.Sprintf(format, args...)
 		}
 	}
 	share := func(x float64) bool { return x >= 0 && x <= 1 }
-	n, l := s.Nodes, s.Load
-	must(s.Name != "", "name: missing")
-	must(s.Length >= 2*time.Second && s.Length <= mostLength, "length: must be 2s to %v", mostLength)
-	must(s.Fronts > 0 && s.Fronts <= mostFronts, "fronts: must be 1 to %d", mostFronts)
-	must(s.Told >= 0 && s.Told <= 10*time.Second, "told: must be 0s to 10s")
-	must(n.Count > 0 && n.Count <= mostNodes, "nodes.count: must be 1 to %d", mostNodes)
-	must(n.Halls >= 0 && n.Halls <= n.Count, "nodes.halls: must be 0 to nodes.count")
-	must(n.Cores > 0 && n.Room > 0, "nodes: cores and room must be above 0")
-	must(n.Speed[0] > 0 && n.Speed[1] >= n.Speed[0], "nodes.speed: must be two numbers above 0, the lower one first")
-	must(n.ColdFrom > 0 && n.ColdFrom <= 1, "nodes.cold_from: must be above 0 and at most 1")
-	must(n.Ramp >= 0, "nodes.ramp: must not be below 0")
-	must(n.Overfull >= 0 && n.Overfull <= 10, "nodes.overfull: must be 0 to 10")
-	must(share(n.PutOff) && (n.PutOff == 0) == (n.PutFor <= 0), "nodes: put_off must be 0 to 1, and above 0 only together with put_off_for")
-	must(share(n.Near), "nodes.near: must be 0 to 1")
-	must(n.Probe >= 0 && n.Connect >= 0 && n.Conns >= 0, "nodes: probe, connect and conns must not be below 0")
-	must(l.Busy > 0 && l.Busy <= 5, "load.busy: must be above 0 and at most 5")
-	must(l.Projects > 0 && l.Pieces >= 0, "load: projects must be above 0, pieces must not be below 0")
-	must(share(l.Limited), "load.limited: must be 0 to 1")
-	must(l.Limited == 0 || l.Limit > 0 && l.Burst >= float64(16*s.Fronts),
+	nodes, load := s.Nodes, s.Load
+	require(s.Name != "", "name: missing")
+	require(s.Length >= 2*time.Second && s.Length <= maxLength, "length: must be 2s to %v", maxLength)
+	require(s.Fronts > 0 && s.Fronts <= maxFronts, "fronts: must be 1 to %d", maxFronts)
+	require(s.Told >= 0 && s.Told <= 10*time.Second, "told: must be 0s to 10s")
+	require(nodes.Count > 0 && nodes.Count <= maxNodes, "nodes.count: must be 1 to %d", maxNodes)
+	require(nodes.Halls >= 0 && nodes.Halls <= nodes.Count, "nodes.halls: must be 0 to nodes.count")
+	require(nodes.Cores > 0 && nodes.Room > 0, "nodes: cores and room must be above 0")
+	require(nodes.Speed[0] > 0 && nodes.Speed[1] >= nodes.Speed[0], "nodes.speed: must be two numbers above 0, the lower one first")
+	require(nodes.ColdFrom > 0 && nodes.ColdFrom <= 1, "nodes.cold_from: must be above 0 and at most 1")
+	require(nodes.Ramp >= 0, "nodes.ramp: must not be below 0")
+	require(nodes.Overfull >= 0 && nodes.Overfull <= 10, "nodes.overfull: must be 0 to 10")
+	require(share(nodes.PutOff) && (nodes.PutOff == 0) == (nodes.PutFor <= 0),
+		"nodes: put_off must be 0 to 1, and above 0 only together with put_off_for")
+	require(share(nodes.Near), "nodes.near: must be 0 to 1")
+	require(nodes.Probe >= 0 && nodes.Connect >= 0 && nodes.Conns >= 0, "nodes: probe, connect and conns must not be below 0")
+	require(load.Busy > 0 && load.Busy <= 5, "load.busy: must be above 0 and at most 5")
+	require(load.Projects > 0 && load.Pieces >= 0, "load: projects must be above 0, pieces must not be below 0")
+	require(share(load.Limited), "load.limited: must be 0 to 1")
+	require(load.Limited == 0 || load.Limit > 0 && load.Burst >= float64(16*s.Fronts),
 		"load: limit must be above 0, burst at least two maximum-size requests per front")
-	must(share(l.Recent) && share(l.Comes) && share(l.Heeds), "load: recent, comes and heeds must be 0 to 1")
+	require(share(load.Recent) && share(load.Comes) && share(load.Heeds), "load: recent, comes and heeds must be 0 to 1")
 	for i, v := range s.Variants {
-		must(v.Name != "" && v.Tries >= 0 && v.Advice >= 0, "variants[%d]: name must not be empty, tries and advice must not be below 0", i)
+		require(v.Name != "" && v.Tries >= 0 && v.Advice >= 0, "variants[%d]: name must not be empty, tries and advice must not be below 0", i)
 	}
 	for i, e := range s.Happens {
-		must(e.At > 0 && e.At < s.Length, "happens[%d].at: must be above 0s and below length", i)
-		fields, known := needs[e.What]
-		must(known, "happens[%d].what: unknown event %q, must be one of %s", i, e.What, strings.Join(kindsOfEvents(), ", "))
-		must(e.Hall >= 0 && e.Hall < max(n.Halls, 1), "happens[%d].hall: must be at least 0 and below nodes.halls", i)
-		given := map[string]bool{
+		require(e.At > 0 && e.At < s.Length, "happens[%d].at: must be above 0s and below length", i)
+		fields, known := requiredFields[e.What]
+		require(known, "happens[%d].what: unknown event %q, must be one of %s", i, e.What, strings.Join(eventKinds(), ", "))
+		require(e.Hall >= 0 && e.Hall < max(nodes.Halls, 1), "happens[%d].hall: must be at least 0 and below nodes.halls", i)
+		valid := map[string]bool{
 			"share": e.Share > 0 && e.Share <= 1, "over": e.Over > 0, "back": e.Back > 0, "for": e.For > 0,
-			"times": e.Times > 0, "projects": e.Projects > 0 && e.Projects <= l.Projects,
+			"times": e.Times > 0, "projects": e.Projects > 0 && e.Projects <= load.Projects,
 		}
 		for _, f := range fields {
-			must(given[f], "happens[%d].%s: missing or out of range", i, f)
+			require(valid[f], "happens[%d].%s: missing or out of range", i, f)
 		}
 	}
-	if bad != "" {
-		return fmt.Errorf("%s", bad)
+	if problem != "" {
+		return fmt.Errorf("%s", problem)
 	}
 	return nil
 }
 
-func kindsOfEvents() (names []string) {
-	for name := range needs {
+func eventKinds() (names []string) {
+	for name := range requiredFields {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -192,9 +193,9 @@
 	s.Name, s.Length, s.Fronts, s.Told = "calm", length, fronts, 2*time.Second
 	n := &s.Nodes
 	n.Count, n.Cores, n.Speed, n.Room, n.ColdFrom, n.Ramp = nodes, 2, [2]float64{0.85, 1.7}, 24, 0.25, 15*time.Second
-	s.Load.Busy, s.Load.Projects, s.Load.Mix = 0.6, 4*nodes, usualMix
-	if s.mix, err = parseMix(usualMix); err != nil {
+	s.Load.Busy, s.Load.Projects, s.Load.Mix = 0.6, 4*nodes, defaultMix
+	if s.mix, err = parseMix(defaultMix); err != nil {
 		return s, err
 	}
-	return s, s.check()
+	return s, s.validate()
 }
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -12,19 +12,19 @@
 	"otterturn/scheduler"
 )
 
-// captured is one request of a recorded load: milliseconds since the start, kind, project, units, shard.
-type captured struct {
+// capturedRequest is one request of a recorded load: milliseconds since the start, kind, project, units, shard.
+type capturedRequest struct {
 	at             float64
 	class, project int
 	units          float64
 	shard          int
 }
 
-// mostCaptured limits the number of requests of a recorded load.
-const mostCaptured = 5_000_000
+// maxCaptured limits the number of requests of a recorded load.
+const maxCaptured = 5_000_000
 
 // readCaptured reads a recorded load from a CSV file without a header. Its errors name the line.
-func readCaptured(name string, s Scenario) ([]captured, error) {
+func readCaptured(name string, s Scenario) ([]capturedRequest, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, err
@@ -36,7 +36,7 @@
 	for i, k := range s.mix.Kinds {
 		classes[k.Name] = i
 	}
-	var out []captured
+	var out []capturedRequest
 	for row, err := r.Read(); row != nil || err != nil; row, err = r.Read() {
 		if err != nil {
 			if len(out) > 0 && err.Error() == "EOF" {
@@ -52,62 +52,62 @@
 				return nil, fmt.Errorf("%s: line %d: %q is not a number", name, line, text)
 			}
 		}
-		c := captured{n[0], class, int(n[1]), n[2], int(n[3])}
+		c := capturedRequest{n[0], class, int(n[1]), n[2], int(n[3])}
 		switch {
 		case !known:
 			return nil, fmt.Errorf("%s: line %d: %q is not a kind of load.mix", name, line, row[1])
 		case len(out) > 0 && c.at < out[len(out)-1].at, c.at < 0:
 			return nil, fmt.Errorf("%s: line %d: earlier than the preceding line, or below 0", name, line)
-		case c.project < 0 || c.project >= s.Load.Projects || c.units <= 0 || c.units > mostUnits || c.shard < -1 || c.shard >= s.Nodes.Count:
+		case c.project < 0 || c.project >= s.Load.Projects || c.units <= 0 || c.units > maxUnits || c.shard < -1 || c.shard >= s.Nodes.Count:
 			return nil, fmt.Errorf("%s: line %d: project, units or shard out of range", name, line)
-		case len(out) == mostCaptured:
-			return nil, fmt.Errorf("%s: more than %d lines", name, mostCaptured)
+		case len(out) == maxCaptured:
+			return nil, fmt.Errorf("%s: more than %d lines", name, maxCaptured)
 		}
 		out = append(out, c)
 	}
 	return out, nil
 }
 
-// draw draws all requests of a day. power is the work that all nodes together do per microsecond. The arrivals are drawn
+// drawRequests draws all requests of a day. power is the work that all nodes together do per microsecond. The arrivals are drawn
 // at the highest possible rate and thinned out to the rate at their time.
-func (s Scenario) draw(rng *rand.Rand, power float64) []world.Request {
-	d := drawer{Scenario: s, rng: rng}
+func (s Scenario) drawRequests(rng *rand.Rand, power float64) []world.Request {
+	generator := requestGenerator{Scenario: s, rng: rng}
 	if s.captured != nil {
 		for _, c := range s.captured {
 			if at := scheduler.Micros(c.at * 1000); at < micros(s.Length) {
-				d.add(at, c.class, c.project, c.units, c.shard)
+				generator.add(at, c.class, c.project, c.units, c.shard)
 			}
 		}
-		return d.out
+		return generator.requests
 	}
-	base := s.Load.Busy * power / s.mix.mean() // requests per microsecond
-	top := 1.0                                 // upper bound of the rate, as a multiple of base
+	baseRate := s.Load.Busy * power / s.mix.meanWork() // requests per microsecond
+	maxMultiple := 1.0                                 // upper bound of the rate, as a multiple of baseRate
 	for _, e := range s.Happens {
 		if e.What == "surge" || e.What == "flood" {
-			top += e.Times
+			maxMultiple += e.Times
 		}
 	}
 	for at := 0.0; ; {
-		at += rng.ExpFloat64() / (base * top)
+		at += rng.ExpFloat64() / (baseRate * maxMultiple)
 		if at >= float64(micros(s.Length)) {
-			return d.out
+			return generator.requests
 		}
-		now, rate := time.Duration(at)*time.Microsecond, 1.0
+		now, multiple := time.Duration(at)*time.Microsecond, 1.0
 		var flood Event
 		for _, e := range s.Happens {
 			switch {
 			case now < e.At || now >= e.At+e.For:
 			case e.What == "surge":
-				rate *= e.Times
+				multiple *= e.Times
 			case e.What == "flood":
 				flood = e
 			}
 		}
-		pick := rng.Float64() * top
+		pick := rng.Float64() * maxMultiple
 		project := rng.IntN(s.Load.Projects)
-		if pick >= rate+flood.Times {
+		if pick >= multiple+flood.Times {
 			continue
-		} else if pick >= rate {
+		} else if pick >= multiple {
 			project = rng.IntN(flood.Projects)
 		}
 		class, share := 0, rng.Float64()*100
@@ -119,29 +119,29 @@
 		if s.mix.Kinds[class].New {
 			shard = -1
 		}
-		d.add(scheduler.Micros(at), class, project, units, shard)
+		generator.add(scheduler.Micros(at), class, project, units, shard)
 	}
 }
 
-// drawer draws the random properties of requests.
-type drawer struct {
+// requestGenerator draws the random properties of requests.
+type requestGenerator struct {
 	Scenario
-	rng    *rand.Rand
-	out    []world.Request
-	recent []world.Request // writes of new objects, the oldest first
+	rng          *rand.Rand
+	requests     []world.Request
+	recentWrites []world.Request // writes of new objects, the oldest first
 }
 
-// fresh is the maximum age of the writes whose objects Load.Recent reads.
-const fresh = 2 * second
+// maxRecentAge is the maximum age of the writes whose objects Load.Recent reads.
+const maxRecentAge = 2 * second
 
-func (d *drawer) add(at scheduler.Micros, class, project int, units float64, shard int) {
-	k, rng := d.mix.Kinds[class], d.rng
+func (d *requestGenerator) add(at scheduler.Micros, class, project int, units float64, shard int) {
+	kind, rng := d.mix.Kinds[class], d.rng
 	q := world.Request{
-		At: at, Front: rng.IntN(d.Fronts), Work: units * float64(k.Costs.micros()) * (0.5 + rng.Float64()),
-		Write: k.Write(), Comes: rng.Float64() < d.Load.Comes, Heeds: rng.Float64() < d.Load.Heeds,
+		At: at, Front: rng.IntN(d.Fronts), Work: units * float64(kind.Costs.micros()) * (0.5 + rng.Float64()),
+		Write: kind.Write(), Retries: rng.Float64() < d.Load.Comes, HeedsRetryAfter: rng.Float64() < d.Load.Heeds,
 		Request: scheduler.Request{
-			ID: strconv.Itoa(len(d.out)), Class: class, Volume: fmt.Sprintf("%016x", project), Units: units,
-			Shard: shard, Fronts: d.Fronts, TimeLeft: k.Waits.micros(),
+			ID: strconv.Itoa(len(d.requests)), Class: class, Volume: fmt.Sprintf("%016x", project), Units: units,
+			Shard: shard, Fronts: d.Fronts, TimeLeft: kind.Waits.micros(),
 		},
 	}
 	now := time.Duration(at) * time.Microsecond
@@ -150,24 +150,24 @@
 			q.Work *= e.Times
 		}
 	}
-	piece := len(d.out)
+	object := len(d.requests)
 	if d.Load.Pieces > 0 {
-		piece = project*d.Load.Pieces + rng.IntN(d.Load.Pieces)
+		object = project*d.Load.Pieces + rng.IntN(d.Load.Pieces)
 	}
 	if float64(project) < d.Load.Limited*float64(d.Load.Projects) {
 		q.Plan = 1
 	}
-	if k.New {
-		q.Writes = q.ID
-		d.recent = append(d.recent, q)
+	if kind.New {
+		q.WritesObject = q.ID
+		d.recentWrites = append(d.recentWrites, q)
 	} else if !q.Write && rng.Float64() < d.Load.Recent {
-		for len(d.recent) > 0 && d.recent[0].At < at-fresh {
-			d.recent = d.recent[1:]
+		for len(d.recentWrites) > 0 && d.recentWrites[0].At < at-maxRecentAge {
+			d.recentWrites = d.recentWrites[1:]
 		}
-		if len(d.recent) > 0 {
-			q.Reads = d.recent[rng.IntN(len(d.recent))].ID
+		if len(d.recentWrites) > 0 {
+			q.ReadsObject = d.recentWrites[rng.IntN(len(d.recentWrites))].ID
 		}
 	}
-	q.Key = fmt.Sprintf("%016x", piece)
-	d.out = append(d.out, q)
+	q.Key = fmt.Sprintf("%016x", object)
+	d.requests = append(d.requests, q)
 }
--- a/internal/lab/scenario/mix.go
+++ b/internal/lab/scenario/mix.go
@@ -12,12 +12,12 @@
 	"otterturn/scheduler"
 )
 
-// usualMix is the mix of a scenario that gives none: three classes, of reads, writes of new objects and bulk reads.
-const usualMix = "55% read costs 20ms within 300ms waits 2.5s worth 2, " +
+// defaultMix is the mix of a scenario that gives none: three classes, of reads, writes of new objects and bulk reads.
+const defaultMix = "55% read costs 20ms within 300ms waits 2.5s worth 2, " +
 	"30% write new keyed 3s costs 35ms within 400ms waits 2s worth 2, " +
 	"15% bulk-read costs 60ms within 2s waits 6s worth 1"
 
-// Mix is the distribution of the kinds of requests, written as in usualMix.
+// Mix is the distribution of the kinds of requests, written as in defaultMix.
 type Mix struct {
 	Kinds []Kind `parser:"@@ (',' @@)*"`
 }
@@ -56,8 +56,8 @@
 })),
 	participle.Elide("Space"))
 
-// mostKinds is the maximum number of kinds in a mix.
-const mostKinds = 16
+// maxKinds is the maximum number of kinds in a mix.
+const maxKinds = 16
 
 // parseMix parses a mix. Its errors name the column.
 func parseMix(text string) (Mix, error) {
@@ -73,9 +73,9 @@
 				k.Pos.Column, k.Name)
 		}
 	}
-	if math.Abs(sum-100) > 0.01 || len(m.Kinds) > mostKinds {
+	if math.Abs(sum-100) > 0.01 || len(m.Kinds) > maxKinds {
 		return Mix{}, fmt.Errorf("column %d: the shares of at most %d kinds must add up to 100%%, not %v%%",
-			m.Kinds[len(m.Kinds)-1].Pos.Column, mostKinds, sum)
+			m.Kinds[len(m.Kinds)-1].Pos.Column, maxKinds, sum)
 	}
 	return m, nil
 }
@@ -95,8 +95,8 @@
 	return c
 }
 
-// mean returns the mean work of a request in microseconds on a core of speed 1. A request has 2 units on average.
-func (m Mix) mean() (work float64) {
+// meanWork returns the mean work of a request in microseconds on a core of speed 1. A request has 2 units on average.
+func (m Mix) meanWork() (work float64) {
 	for _, k := range m.Kinds {
 		work += k.Share / 100 * float64(k.Costs.micros()) * 2
 	}
--- a/internal/lab/scenario/page.go
+++ b/internal/lab/scenario/page.go
@@ -20,8 +20,8 @@
 	"otterturn/scheduler"
 )
 
-// mostTold limits the traces that JSON writes of a variant's first day.
-const mostTold = 300
+// maxWrittenTraces limits the traces that JSON writes of a variant's first day.
+const maxWrittenTraces = 300
 
 // JSON writes comparisons as JSON, with the traces of those requests of each variant's first day that were not served in
 // time.
@@ -40,7 +40,7 @@
 		e := entry{Comparison: c}
 		for _, r := range c.Rows {
 			traces := slices.DeleteFunc(slices.Clone(r.Days[0].Traces), func(t Trace) bool { return t.Verdict == world.Served.String() })
-			e.Causes = append(e.Causes, causes{r.Variant, Causes(traces), traces[:min(len(traces), mostTold)]})
+			e.Causes = append(e.Causes, causes{r.Variant, Causes(traces), traces[:min(len(traces), maxWrittenTraces)]})
 		}
 		entries = append(entries, e)
 	}
@@ -49,8 +49,8 @@
 	return enc.Encode(entries)
 }
 
-// hues are the line colours of the variants, distinguishable with colour vision deficiency.
-var hues = []color.Color{
+// lineColors are the line colours of the variants, distinguishable with colour vision deficiency.
+var lineColors = []color.Color{
 	color.RGBA{0, 90, 181, 255},
 	color.RGBA{220, 50, 32, 255},
 	color.RGBA{120, 120, 120, 255},
@@ -59,8 +59,8 @@
 	color.RGBA{86, 60, 140, 255},
 }
 
-// svg plots lines and returns an SVG element.
-func svg(title, x, y string, top float64, lines []plotter.XYs, names []string, log bool) (template.HTML, error) {
+// plotSVG plots lines and returns an SVG element.
+func plotSVG(title, x, y string, maxY float64, lines []plotter.XYs, names []string, log bool) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Legend.Top, p.Legend.Left = log, true
@@ -70,13 +70,13 @@
 		if err != nil {
 			return "", err
 		}
-		line.Color, line.Width = hues[i%len(hues)], vg.Points(1.4)
+		line.Color, line.Width = lineColors[i%len(lineColors)], vg.Points(1.4)
 		p.Add(line)
 		p.Legend.Add(names[i], line)
 	}
 	p.Add(plotter.NewGrid())
-	if top > 0 {
-		p.Y.Min, p.Y.Max = 0, top
+	if maxY > 0 {
+		p.Y.Min, p.Y.Max = 0, maxY
 	}
 	if log {
 		p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
@@ -94,8 +94,8 @@
 	return template.HTML(text), nil
 }
 
-// picture is a comparison as the page template reads it.
-type picture struct {
+// pageEntry is a comparison as the page template reads it.
+type pageEntry struct {
 	Comparison
 	Seeds         int
 	Head          string
@@ -105,8 +105,8 @@
 	Why           []string
 }
 
-func (c Comparison) picture() (p picture, err error) {
-	p = picture{Comparison: c, Seeds: len(c.Rows[0].Days), Causes: Causes(c.Rows[0].Days[0].Traces), Traced: len(c.Rows[0].Days[0].Traces)}
+func (c Comparison) pageEntry() (p pageEntry, err error) {
+	p = pageEntry{Comparison: c, Seeds: len(c.Rows[0].Days), Causes: Causes(c.Rows[0].Days[0].Traces), Traced: len(c.Rows[0].Days[0].Traces)}
 	_, p.Why = c.Kept()
 	p.Head = fmt.Sprintf("%d fronts, %d nodes, %v", c.Scenario.Fronts, c.Scenario.Nodes.Count, c.Scenario.Length)
 	var served, latency []plotter.XYs
@@ -128,20 +128,22 @@
 		}
 		latency = append(latency, q)
 	}
-	if p.Time, err = svg("Worth served in time, of that asked for in a second", "seconds", "share", 1.05, served, names, false); err != nil {
+	if p.Time, err = plotSVG("Worth served in time, of that asked for in a second",
+		"seconds", "share", 1.05, served, names, false); err != nil {
 		return p, err
 	}
-	p.Latency, err = svg("Latency of '"+c.Scenario.mix.Kinds[0].Name+"', since it was meant to be sent", "nines (1: 90%, 2: 99%, 3: 99.9%)",
+	p.Latency, err = plotSVG("Latency of '"+c.Scenario.mix.Kinds[0].Name+"', since it was meant to be sent",
+		"nines (1: 90%, 2: 99%, 3: 99.9%)",
 		"milliseconds", 0, latency, names, true)
 	return p, err
 }
 
-var page = template.Must(template.New("page").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"percent": func(of map[string]float64, what string) string { return fmt.Sprintf("%.1f%%", 100*of[what]) },
 	"three":   func(x float64) string { return fmt.Sprintf("%.3f", x) },
 	"ms":      func(t scheduler.Micros) string { return fmt.Sprintf("%.0f", float64(t)/1000) },
 	"seconds": func(t scheduler.Micros) string { return fmt.Sprintf("%.3f", float64(t)/1e6) },
-	"parts":   func(r Row) map[string]float64 { return r.parts },
+	"parts":   func(r Row) map[string]float64 { return r.verdictShares },
 	"share":   func(n, of int) string { return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(max(of, 1))) },
 }).Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>Rehearsals</title>
@@ -174,13 +176,13 @@
 
 // Page writes comparisons as an HTML page with plots.
 func Page(out io.Writer, all []Comparison) error {
-	var pictures []picture
+	var pictures []pageEntry
 	for _, c := range all {
-		p, err := c.picture()
+		p, err := c.pageEntry()
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.Name, err)
 		}
 		pictures = append(pictures, p)
 	}
-	return page.Execute(out, pictures)
+	return pageTemplate.Execute(out, pictures)
 }
--- a/internal/lab/scenario/play.go
+++ b/internal/lab/scenario/play.go
@@ -12,15 +12,15 @@
 
 const second = scheduler.Micros(1_000_000)
 
-// mostUnits is the maximum size of a request.
-const mostUnits = 8
+// maxUnits is the maximum size of a request.
+const maxUnits = 8
 
 func micros(d time.Duration) scheduler.Micros { return scheduler.Micros(d / time.Microsecond) }
 
 // Settings returns the scheduler's settings for the scenario.
 func (s Scenario) Settings() scheduler.Settings {
 	set := scheduler.Settings{
-		Fronts: s.Fronts, PeerMessages: true, Tick: 2000, MeanUnits: 2, MaxUnits: mostUnits, MaxAttempts: 4, HealthChecks: true, ServedElsewhereTold: false,
+		Fronts: s.Fronts, PeerMessages: true, Tick: 2000, MeanUnits: 2, MaxUnits: maxUnits, MaxAttempts: 4, HealthChecks: true, ServedElsewhereTold: false,
 		RetryAfter: true, MaxRetryAfter: second / 2,
 		InitialCapacity: s.Nodes.ColdFrom, SlowStart: micros(s.Nodes.Ramp), OverloadMultiple: 2.5, OverloadSpan: second, SlowStartUnits: 8,
 		Plans: []scheduler.Plan{{Reservation: 8, Weight: 1}, {Weight: 1}},
@@ -85,9 +85,9 @@
 		f := model.Figures{
 			Cores: n.Cores, Speed: n.Speed[0] + (n.Speed[1]-n.Speed[0])*rng.Float64(),
 			Room: n.Room, ColdFrom: n.ColdFrom, Ramp: int64(micros(n.Ramp)), FallTimes: set.OverloadMultiple,
-			FallSpan: int64(set.OverloadSpan), FallFree: set.SlowStartUnits * 60_000, Overfull: n.Overfull, PutOff: n.PutOff,
-			PutOffFor: int64(micros(n.PutFor)), ProbeWork: float64(micros(n.Probe)), ConnWork: float64(micros(n.Connect)),
-			MostConns: n.Conns, MostMemory: 10_000,
+			FallSpan: int64(set.OverloadSpan), FallFree: set.SlowStartUnits * 60_000, FullQueueCost: n.Overfull, DeferredShare: n.PutOff,
+			DeferredFor: int64(micros(n.PutFor)), ProbeWork: float64(micros(n.Probe)), ConnWork: float64(micros(n.Connect)),
+			MaxConns: n.Conns, MostMemory: 10_000,
 		}
 		if n.Near > 0 {
 			f.Near, f.NearSpan = n.Near, int64(second)
@@ -98,7 +98,7 @@
 		power += f.Speed * float64(f.Cores)
 		nodes = append(nodes, model.New(f))
 	}
-	return Day{s, world.New(set, nodes, n.Halls, 500, seed), s.draw(rng, power), seed}
+	return Day{s, world.New(set, nodes, n.Halls, 500, seed), s.drawRequests(rng, power), seed}
 }
 
 // Kinds returns the kinds of requests, indexed by class.
@@ -118,33 +118,33 @@
 		if err != nil {
 			return Result{}, err
 		}
-		d.World.Start(i, decider)
+		d.World.StartFront(i, decider)
 	}
 	return d.Run(), nil
 }
 
 // Run runs the day with the fronts that have been added to the world, and returns its result.
 func (d Day) Run() Result {
-	traces := newTraces(d)
+	traces := newTracer(d)
 	d.World.Watch(traces)
 	for _, q := range d.requests {
-		d.World.At(q.At, func() { d.World.Ask(q) })
+		d.World.At(q.At, func() { d.World.Submit(q) })
 	}
 	for _, e := range d.Happens {
-		d.plan(e)
+		d.scheduleEvent(e)
 	}
 	longest := scheduler.Micros(0)
 	for _, k := range d.mix.Kinds {
 		longest = max(longest, k.Waits.micros())
 	}
 	d.World.Run(micros(d.Length) + longest + second)
-	return d.judge(traces)
+	return d.result(traces)
 }
 
-// plan schedules the effects of an event on nodes and fronts. Its effects on the load are drawn with the requests.
-func (d Day) plan(e Event) {
-	w, late := d.World, micros(d.Told)
-	chosen := func() []*world.Node {
+// scheduleEvent schedules the effects of an event on nodes and fronts. Its effects on the load are drawn with the requests.
+func (d Day) scheduleEvent(e Event) {
+	w, maxDelay := d.World, micros(d.Told)
+	affectedNodes := func() []*world.Node {
 		var running []*world.Node
 		for _, n := range w.Nodes {
 			if n.State == scheduler.Running && !n.Silent() && (e.What != "cut" || n.Zone == e.Hall) {
@@ -158,42 +158,42 @@
 		}
 		return running[:min(len(running), int(e.Share*float64(d.Nodes.Count)+0.5))]
 	}
-	over := micros(e.At + e.For)
+	end := micros(e.At + e.For)
 	w.At(micros(e.At), func() {
 		if e.What == "deaf" {
-			w.Deafen(0, w.Now+micros(e.For))
+			w.BlockNodeList(0, w.Now+micros(e.For))
 		}
-		for i, n := range chosen() {
+		for i, n := range affectedNodes() {
 			switch e.What {
 			case "die":
 				w.Kill(n)
 				w.At(micros(e.At+e.Back), func() {
 					w.Restart(n)
-					w.Tell(late)
+					w.PublishNodeList(maxDelay)
 				})
 			case "slow":
 				n.Speed /= e.Times
-				w.At(over, func() { n.Speed *= e.Times })
+				w.At(end, func() { n.Speed *= e.Times })
 			case "pause":
 				n.Pause(int64(w.Now), int64(w.Now+micros(e.For)))
 			case "silence", "cut":
 				n.Mute = true
-				w.At(over, func() { n.Mute = false })
+				w.At(end, func() { n.Mute = false })
 			case "break":
-				n.Breaks = e.Share
-				w.At(over, func() { n.Breaks = 0 })
+				n.BreakShare = e.Share
+				w.At(end, func() { n.BreakShare = 0 })
 			case "spoil":
-				n.Spoils = e.Share
-				w.At(over, func() { n.Spoils = 0 })
+				n.MalformedShare = e.Share
+				w.At(end, func() { n.MalformedShare = 0 })
 			case "replace":
-				begins := micros(e.At) + micros(e.Over)*scheduler.Micros(i)/scheduler.Micros(max(1, int(e.Share*float64(d.Nodes.Count))))
-				w.At(begins, func() {
+				start := micros(e.At) + micros(e.Over)*scheduler.Micros(i)/scheduler.Micros(max(1, int(e.Share*float64(d.Nodes.Count))))
+				w.At(start, func() {
 					n.State = scheduler.Draining
-					w.Tell(late)
+					w.PublishNodeList(maxDelay)
 				})
-				w.At(begins+micros(e.Drain), func() {
-					w.Successor(n)
-					w.Tell(late)
+				w.At(start+micros(e.Drain), func() {
+					w.ReplaceNode(n)
+					w.PublishNodeList(maxDelay)
 				})
 			}
 		}
--- a/internal/lab/scenario/report.go
+++ b/internal/lab/scenario/report.go
@@ -22,18 +22,18 @@
 
 // Row holds the results of one variant.
 type Row struct {
-	Variant   string
-	Share     float64 // median of the shares served in time
-	Worst     float64 // median of Result.Worst
-	Fallen    int
-	Broken    int
-	Behind    float64 // mean over the seeds by which the first variant's share is higher
-	Within    float64 // half of the 90% confidence interval of Behind (Student's t); 0 with a single seed
-	HasBehind bool
-	Quantiles []Quantiles
-	Days      []Result
-	latencies []*hdrhistogram.Histogram
-	parts     map[string]float64
+	Variant       string
+	Share         float64 // median of the shares served in time
+	Worst         float64 // median of Result.Worst
+	Fallen        int
+	Broken        int
+	Behind        float64 // mean over the seeds by which the first variant's share is higher
+	Within        float64 // half of the 90% confidence interval of Behind (Student's t); 0 with a single seed
+	HasBehind     bool
+	Quantiles     []Quantiles
+	Days          []Result
+	latencies     []*hdrhistogram.Histogram
+	verdictShares map[string]float64
 }
 
 // Difference formats by how much the first variant's share is higher.
@@ -57,9 +57,9 @@
 func (s Scenario) Compare(seeds int, variants []Variant) (Comparison, error) {
 	c := Comparison{Scenario: s, Name: s.Name}
 	for i, v := range variants {
-		row := Row{Variant: v.Name, parts: map[string]float64{}}
+		row := Row{Variant: v.Name, verdictShares: map[string]float64{}}
 		for range s.mix.Kinds {
-			row.latencies = append(row.latencies, hdrhistogram.New(1, mostLatency, 3))
+			row.latencies = append(row.latencies, hdrhistogram.New(1, maxLatency, 3))
 		}
 		requests := 0
 		var shares, worst, behind []float64
@@ -70,7 +70,7 @@
 			}
 			shares, worst = append(shares, r.Share()), append(worst, r.Worst)
 			for ended, n := range r.Ended {
-				row.parts[ended] += float64(n)
+				row.verdictShares[ended] += float64(n)
 			}
 			for k, h := range r.Latency {
 				row.latencies[k].Merge(h)
@@ -84,11 +84,11 @@
 			}
 			row.Days = append(row.Days, r)
 		}
-		for ended := range row.parts {
-			row.parts[ended] /= float64(requests)
+		for ended := range row.verdictShares {
+			row.verdictShares[ended] /= float64(requests)
 		}
 		row.Share, row.Worst, row.HasBehind = median(shares), median(worst), i > 0
-		row.Behind, row.Within = interval(behind)
+		row.Behind, row.Within = confidenceInterval(behind)
 		for k, h := range row.latencies {
 			ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 			row.Quantiles = append(row.Quantiles, Quantiles{s.mix.Kinds[k].Name, ms(50), ms(90), ms(99), ms(99.9)})
@@ -103,7 +103,7 @@
 func (c Comparison) Kept() (kept bool, why []string) {
 	kept = true
 	for _, r := range c.Rows[0].Days {
-		kept = kept && r.kept()
+		kept = kept && r.keptRules()
 		why = append(why, r.Breaks[:min(3, len(r.Breaks))]...)
 	}
 	return kept, why[:min(10, len(why))]
@@ -120,7 +120,7 @@
 	}
 	fmt.Fprintln(w)
 	for _, r := range c.Rows {
-		part := func(v world.Verdict) string { return fmt.Sprintf("%.1f%%", 100*r.parts[v.String()]) }
+		part := func(v world.Verdict) string { return fmt.Sprintf("%.1f%%", 100*r.verdictShares[v.String()]) }
 		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%s\t%s\t%s\t%d\t%d\t%s\t", r.Variant, r.Share, r.Worst, part(world.Late),
 			part(world.Refused), part(world.Failed), r.Fallen, r.Broken, r.Difference())
 		for _, q := range r.Quantiles {
@@ -143,9 +143,9 @@
 	return sorted[len(sorted)/2]
 }
 
-// interval returns the mean and half of its 90% confidence interval by the t distribution. With a single value the second
+// confidenceInterval returns the mean and half of its 90% confidence interval by the t distribution. With a single value the second
 // result is 0.
-func interval(all []float64) (mean, half float64) {
+func confidenceInterval(all []float64) (mean, half float64) {
 	n := float64(len(all))
 	for _, x := range all {
 		mean += x / n
--- a/internal/lab/scenario/judge.go
+++ b/internal/lab/scenario/result.go
@@ -35,22 +35,22 @@
 // worstSpan is the length in seconds of the intervals of which Result.Worst reports the worst.
 const worstSpan = 10
 
-// mostLatency is the largest latency that the histograms hold, in microseconds; longer ones are recorded as this one.
-const mostLatency = 60_000_000
+// maxLatency is the largest latency that the histograms hold, in microseconds; longer ones are recorded as this one.
+const maxLatency = 60_000_000
 
-// judge computes the result. Requests of the first second are not counted.
-func (d Day) judge(traces *traces) Result {
+// result computes the result. Requests of the first second are not counted.
+func (d Day) result(traces *tracer) Result {
 	w := d.World
 	r := Result{
-		Seed: d.seed, Ended: map[string]int{}, Fallen: w.Audit.Fallen(), Breaks: w.Audit.Breaks,
+		Seed: d.seed, Ended: map[string]int{}, Fallen: w.Audit.FailedNodes(), Breaks: w.Audit.Violations,
 		Seconds: make([]Second, 1+micros(d.Length)/second),
 	}
 	for range d.mix.Kinds {
-		r.Latency = append(r.Latency, hdrhistogram.New(1, mostLatency, 3))
+		r.Latency = append(r.Latency, hdrhistogram.New(1, maxLatency, 3))
 	}
 	digest := xxhash.New()
 	for _, q := range d.requests {
-		end := w.Ended(q.ID)
+		end := w.Outcome(q.ID)
 		fmt.Fprintln(digest, q.ID, end.Verdict, end.After)
 		if q.At < second {
 			continue
@@ -59,41 +59,41 @@
 		r.Ended[end.String()]++
 		r.Requests++
 		r.Asked += worth
-		at := &r.Seconds[q.At/second]
-		at.Asked += worth
+		bySecond := &r.Seconds[q.At/second]
+		bySecond.Asked += worth
 		if end.Verdict == world.Served {
 			r.Served += worth
-			at.Served += worth
+			bySecond.Served += worth
 		}
 		if end.Verdict == world.Served || end.Verdict == world.Late {
-			r.Latency[q.Class].RecordValue(min(int64(end.After), mostLatency))
+			r.Latency[q.Class].RecordValue(min(int64(end.After), maxLatency))
 		}
 	}
 	r.Digest = fmt.Sprintf("%016x", digest.Sum64())
-	r.Worst = worst(r.Seconds)
-	missing := w.Audit.Unanswered()
-	slices.Sort(missing)
-	for _, id := range missing {
+	r.Worst = worstShare(r.Seconds)
+	unanswered := w.Audit.Unanswered()
+	slices.Sort(unanswered)
+	for _, id := range unanswered {
 		r.Breaks = append(r.Breaks, fmt.Sprintf("request %s has no final answer", id))
 	}
-	r.Traces = traces.all()
+	r.Traces = traces.ended()
 	return r
 }
 
-// worst returns the lowest share served in time within an interval of worstSpan.
-func worst(seconds []Second) float64 {
-	least := 1.0
+// worstShare returns the lowest share served in time within an interval of worstSpan.
+func worstShare(seconds []Second) float64 {
+	lowest := 1.0
 	for from := 1; from < len(seconds); from += worstSpan {
 		var sum Second
 		for _, s := range seconds[from:min(from+worstSpan, len(seconds))] {
 			sum.Asked, sum.Served = sum.Asked+s.Asked, sum.Served+s.Served
 		}
 		if sum.Asked > 0 {
-			least = min(least, sum.Served/sum.Asked)
+			lowest = min(lowest, sum.Served/sum.Asked)
 		}
 	}
-	return least
+	return lowest
 }
 
-// kept reports whether no rule was broken and no node failed by overload.
-func (r Result) kept() bool { return r.Fallen == 0 && len(r.Breaks) == 0 }
+// keptRules reports whether no rule was broken and no node failed by overload.
+func (r Result) keptRules() bool { return r.Fallen == 0 && len(r.Breaks) == 0 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -12,24 +12,24 @@
 	"otterturn/scheduler"
 )
 
-const folder = "../../../deploy/rehearsals"
+const scenarioFolder = "../../../deploy/rehearsals"
 
 // A short form of 'make rehearse': one day of each shipped scenario breaks no rule and makes no cold node fail by overload.
 // The rolling deploy gives the same result when it is run again.
 func TestShippedScenariosKeepTheRules(t *testing.T) {
-	files, err := filepath.Glob(folder + "/*.toml")
+	files, err := filepath.Glob(scenarioFolder + "/*.toml")
 	if err != nil || len(files) < 6 {
 		t.Fatalf("scenario files %v, want at least 6; error %v", files, err)
 	}
 	for _, name := range files {
 		t.Run(filepath.Base(name), func(t *testing.T) {
 			t.Parallel()
-			shipped(t, name)
+			checkShipped(t, name)
 		})
 	}
 }
 
-func shipped(t *testing.T, name string) {
+func checkShipped(t *testing.T, name string) {
 	s, err := Load(name)
 	if err != nil {
 		t.Fatal(err)
@@ -64,8 +64,8 @@
 	}
 }
 
-func TestBadScenarioNamesTheField(t *testing.T) {
-	good, err := os.ReadFile(folder + "/deploy.toml")
+func TestInvalidScenarioErrorNamesTheField(t *testing.T) {
+	good, err := os.ReadFile(scenarioFolder + "/deploy.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 }
 
 // A recorded load is read from a file, and errors name the invalid line.
-func TestCapturedLoad(t *testing.T) {
+func TestReadsCapturedLoad(t *testing.T) {
 	folder := t.TempDir()
 	load := func(captured string) (Scenario, error) {
 		text, err := os.ReadFile("../../../deploy/rehearsals/calm.toml")
@@ -129,7 +129,7 @@
 }
 
 // Each kind of event changes the outcome of a day and breaks no rule, with all optional properties of clients and nodes on.
-func TestEveryKindOfIncident(t *testing.T) {
+func TestEachKindOfEventChangesTheOutcome(t *testing.T) {
 	s, err := Calm(4, 2, 10_000_000_000)
 	if err != nil {
 		t.Fatal(err)
@@ -138,17 +138,17 @@
 	s.Nodes.Probe, s.Nodes.Connect = 1e6, 2e6
 	s.Load.Pieces, s.Load.Recent, s.Load.Comes, s.Load.Heeds = 20, 0.2, 0.8, 0.7
 	calm, err := s.Play(1, Ours)
-	if err != nil || !calm.kept() || calm.Share() < 0.9 {
+	if err != nil || !calm.keptRules() || calm.Share() < 0.9 {
 		t.Fatalf("without events: result %+v, error %v", calm, err)
 	}
-	for what := range needs {
-		bad := s
-		bad.Happens = []Event{{At: 3e9, What: what, Share: 0.5, Over: 3e9, Back: 2e9, For: 4e9, Times: 4, Projects: 2}}
-		if err := bad.check(); err != nil {
+	for what := range requiredFields {
+		eventful := s
+		eventful.Happens = []Event{{At: 3e9, What: what, Share: 0.5, Over: 3e9, Back: 2e9, For: 4e9, Times: 4, Projects: 2}}
+		if err := eventful.validate(); err != nil {
 			t.Error(err)
 		}
-		r, err := bad.Play(1, Ours)
-		if err != nil || !r.kept() {
+		r, err := eventful.Play(1, Ours)
+		if err != nil || !r.keptRules() {
 			t.Errorf("%s: error %v, broken rules %v, %d nodes failed by overload", what, err, r.Breaks, r.Fallen)
 		}
 		// Missing node lists alone change nothing, as the list stays the same.
--- a/internal/lab/scenario/traces.go
+++ b/internal/lab/scenario/traces.go
@@ -16,92 +16,92 @@
 	"otterturn/scheduler"
 )
 
-// mostTraces limits roughly how many requests of a day are traced.
-const mostTraces = 4000
-
-// traces records OpenTelemetry spans of a sample of a world's requests: one per request, with a child span per attempt.
-type traces struct {
-	day   Day
-	one   uint64 // sampling ratio: one in this many requests is traced
-	trace trace.Tracer
-	spans []sdk.ReadOnlySpan
-	open  map[string]*traced
-	ids   uint64
+// maxTraces limits roughly how many requests of a day are traced.
+const maxTraces = 4000
+
+// tracer records OpenTelemetry spans of a sample of a world's requests: one per request, with a child span per attempt.
+type tracer struct {
+	day         Day
+	sampleOneIn uint64 // one in this many requests is traced
+	spanTracer  trace.Tracer
+	spans       []sdk.ReadOnlySpan
+	open        map[string]*openTrace
+	lastID      uint64
 }
 
-type traced struct {
+type openTrace struct {
 	ctx     context.Context
 	request trace.Span
 	attempt trace.Span
 }
 
-func newTraces(d Day) *traces {
-	t := &traces{day: d, one: 1 + uint64(len(d.requests)/mostTraces), open: map[string]*traced{}}
-	t.trace = sdk.NewTracerProvider(sdk.WithSyncer(t), sdk.WithIDGenerator(t)).Tracer("otterturn/lab")
+func newTracer(d Day) *tracer {
+	t := &tracer{day: d, sampleOneIn: 1 + uint64(len(d.requests)/maxTraces), open: map[string]*openTrace{}}
+	t.spanTracer = sdk.NewTracerProvider(sdk.WithSyncer(t), sdk.WithIDGenerator(t)).Tracer("otterturn/lab")
 	return t
 }
 
 // NewIDs numbers the traces and spans in sequence, so that equal days have equal identifiers.
-func (t *traces) NewIDs(ctx context.Context) (id trace.TraceID, span trace.SpanID) {
-	binary.BigEndian.PutUint64(id[8:], t.ids+1)
+func (t *tracer) NewIDs(ctx context.Context) (id trace.TraceID, span trace.SpanID) {
+	binary.BigEndian.PutUint64(id[8:], t.lastID+1)
 	return id, t.NewSpanID(ctx, id)
 }
 
-func (t *traces) NewSpanID(context.Context, trace.TraceID) (span trace.SpanID) {
-	t.ids++
-	binary.BigEndian.PutUint64(span[:], t.ids)
+func (t *tracer) NewSpanID(context.Context, trace.TraceID) (span trace.SpanID) {
+	t.lastID++
+	binary.BigEndian.PutUint64(span[:], t.lastID)
 	return span
 }
 
 // ExportSpans stores the spans that have ended.
-func (t *traces) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
+func (t *tracer) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
 	t.spans = append(t.spans, spans...)
 	return nil
 }
 
-// Shutdown does nothing: all reads the stored spans.
-func (t *traces) Shutdown(context.Context) error { return nil }
+// Shutdown does nothing: ended reads the stored spans.
+func (t *tracer) Shutdown(context.Context) error { return nil }
 
-func (t *traces) at() time.Time { return time.UnixMicro(int64(t.day.World.Now)) }
+func (t *tracer) now() time.Time { return time.UnixMicro(int64(t.day.World.Now)) }
 
-// Told ignores node lists.
-func (t *traces) Told(int, scheduler.EndpointsChanged) {}
+// NodeListSent ignores node lists.
+func (t *tracer) NodeListSent(int, scheduler.EndpointsChanged) {}
 
-func (t *traces) Asked(front int, r scheduler.Request) {
-	if xxhash.Sum64String(r.ID)%t.one != 0 {
+func (t *tracer) RequestSubmitted(front int, r scheduler.Request) {
+	if xxhash.Sum64String(r.ID)%t.sampleOneIn != 0 {
 		return
 	}
-	ctx, span := t.trace.Start(context.Background(), "request", trace.WithTimestamp(t.at()), trace.WithAttributes(
+	ctx, span := t.spanTracer.Start(context.Background(), "request", trace.WithTimestamp(t.now()), trace.WithAttributes(
 		attribute.String("id", r.ID), attribute.String("kind", t.day.mix.Kinds[r.Class].Name), attribute.String("project", r.Volume),
 		attribute.Float64("units", r.Units), attribute.Int("front", front)))
-	t.open[r.ID] = &traced{ctx: ctx, request: span}
+	t.open[r.ID] = &openTrace{ctx: ctx, request: span}
 }
 
-func (t *traces) Sent(_ int, id, node string) {
+func (t *tracer) AttemptStarted(_ int, id, node string) {
 	if r := t.open[id]; r != nil {
-		_, r.attempt = t.trace.Start(r.ctx, "attempt", trace.WithTimestamp(t.at()), trace.WithAttributes(attribute.String("node", node)))
+		_, r.attempt = t.spanTracer.Start(r.ctx, "attempt", trace.WithTimestamp(t.now()), trace.WithAttributes(attribute.String("node", node)))
 	}
 }
 
-func (t *traces) Back(id string, result scheduler.Result) {
+func (t *tracer) AttemptEnded(id string, result scheduler.Result) {
 	if r := t.open[id]; r != nil && r.attempt != nil {
 		r.attempt.SetAttributes(attribute.String("result", result.String()))
-		r.attempt.End(trace.WithTimestamp(t.at()))
+		r.attempt.End(trace.WithTimestamp(t.now()))
 		r.attempt = nil
 	}
 }
 
-func (t *traces) Answered(id string, v world.Verdict, why scheduler.Reason) {
+func (t *tracer) RequestAnswered(id string, v world.Verdict, why scheduler.Reason) {
 	r := t.open[id]
 	if r == nil {
 		return
 	}
 	delete(t.open, id)
 	if r.attempt != nil {
-		r.attempt.End(trace.WithTimestamp(t.at()))
+		r.attempt.End(trace.WithTimestamp(t.now()))
 	}
 	r.request.SetAttributes(attribute.String("verdict", v.String()), attribute.String("why", string(why)))
-	r.request.End(trace.WithTimestamp(t.at()))
+	r.request.End(trace.WithTimestamp(t.now()))
 }
 
 // Trace tells where a request spent its time, in microseconds.
@@ -120,15 +120,15 @@
 	From, For    scheduler.Micros // start since the request's start; duration
 }
 
-// all returns the traces that have ended, in the order of their start times.
-func (t *traces) all() []Trace {
+// ended returns the traces that have ended, in the order of their start times.
+func (t *tracer) ended() []Trace {
 	attempts := map[trace.SpanID][]sdk.ReadOnlySpan{}
 	for _, s := range t.spans {
 		if s.Name() == "attempt" {
 			attempts[s.Parent().SpanID()] = append(attempts[s.Parent().SpanID()], s)
 		}
 	}
-	begin := t.day.World.Now - t.day.World.Since()
+	begin := t.day.World.Now - t.day.World.Elapsed()
 	var out []Trace
 	for _, s := range t.spans {
 		if s.Name() != "request" {
@@ -165,13 +165,13 @@
 	Worst        Trace            // the longest request
 }
 
-// mostCauses is the maximum number of causes that are listed per day.
-const mostCauses = 12
+// maxCauses is the maximum number of causes that are listed per day.
+const maxCauses = 12
 
 // Causes groups the traced requests that were not served in time by cause, the most frequent cause first.
 func Causes(all []Trace) (out []Cause) {
 	type key struct{ verdict, why, where string }
-	by := map[key]*Cause{}
+	causes := map[key]*Cause{}
 	for _, t := range all {
 		if t.Verdict == world.Served.String() {
 			continue
@@ -185,22 +185,22 @@
 			}
 		}
 		k := key{t.Verdict, t.Why, where}
-		c := by[k]
+		c := causes[k]
 		if c == nil {
 			c = &Cause{Verdict: t.Verdict, Why: t.Why, Where: where}
-			by[k] = c
+			causes[k] = c
 		}
 		c.Held, c.Total = c.Held+t.Held, c.Total+t.Total
 		if c.Count++; t.Total > c.Worst.Total || c.Count == 1 {
 			c.Worst = t
 		}
 	}
-	for _, c := range by {
+	for _, c := range causes {
 		c.Held, c.Total = c.Held/scheduler.Micros(c.Count), c.Total/scheduler.Micros(c.Count)
 		out = append(out, *c)
 	}
 	slices.SortFunc(out, func(a, b Cause) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Where, b.Where), cmp.Compare(a.Why, b.Why), cmp.Compare(a.Verdict, b.Verdict))
 	})
-	return out[:min(len(out), mostCauses)]
+	return out[:min(len(out), maxCauses)]
 }
--- a/internal/lab/world/audit_test.go
+++ b/internal/lab/world/audit_test.go
@@ -92,12 +92,12 @@
 		if fault == "silence" {
 			w.Put(0, silent{})
 		} else {
-			w.Start(0, &naive{fault: fault, open: map[string]scheduler.Request{}})
+			w.StartFront(0, &naive{fault: fault, open: map[string]scheduler.Request{}})
 		}
 		ask := func(at scheduler.Micros, id string, class, plan, count int) {
 			for i := range count {
 				w.At(at+scheduler.Micros(i), func() {
-					w.Ask(Request{Work: 20_000, Request: scheduler.Request{
+					w.Submit(Request{Work: 20_000, Request: scheduler.Request{
 						ID: id + string(rune('1'+i)), Class: class, Plan: plan, Volume: id, Units: 7,
 						TimeLeft: 2_000_000,
 					}})
@@ -106,29 +106,29 @@
 		}
 		ask(1_000_000, "read-", 0, 0, 3)
 		ask(1_000_000, "plan-", 0, 1, 9)
-		w.At(1_900_000, func() { w.Nodes[0].Spoils = 1 })
+		w.At(1_900_000, func() { w.Nodes[0].MalformedShare = 1 })
 		ask(2_000_000, "write-", 1, 0, 1)
 		ask(2_100_000, "once-", 2, 0, 1)
 		w.At(3_000_000, func() {
-			w.Nodes[0].Spoils, w.Nodes[0].State = 0, scheduler.Draining
-			w.Tell(0)
+			w.Nodes[0].MalformedShare, w.Nodes[0].State = 0, scheduler.Draining
+			w.PublishNodeList(0)
 		})
 		ask(4_000_000, "read-late-", 0, 0, 1)
 		w.At(8_000_000, func() {
 			w.Nodes[0].State = scheduler.Running
-			if w.Tell(0); fault == "cold" {
+			if w.PublishNodeList(0); fault == "cold" {
 				w.Nodes[0].Restart(int64(w.Now))
 			}
 		})
 		ask(9_000_000, "many-", 0, 0, 50)
 		w.Run(15_000_000)
-		found := strings.Join(w.Audit.Breaks, "\n")
-		if w.Audit.Fallen() > 0 {
+		found := strings.Join(w.Audit.Violations, "\n")
+		if w.Audit.FailedNodes() > 0 {
 			found += "pushed over"
 		}
 		if fault == "after the answer" { // not possible for a simulated front, only for one behind a socket
-			w.Audit.Sent(0, "read-1", w.Nodes[0].Name)
-			found = strings.Join(w.Audit.Breaks, "\n")
+			w.Audit.AttemptStarted(0, "read-1", w.Nodes[0].Name)
+			found = strings.Join(w.Audit.Violations, "\n")
 		}
 		if len(w.Audit.Unanswered()) > 0 {
 			found += "no final answer"
--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -24,63 +24,63 @@
 	return [...]string{"open", "served", "late", "refused", "failed", "lost"}[v]
 }
 
-// End is the outcome of a request; for a client that retried, the outcome of the last try.
-type End struct {
+// Outcome is how a request ended; for a client that retried, how the last try ended.
+type Outcome struct {
 	Verdict
 	After scheduler.Micros // time since the planned send time of the first try
 }
 
 // Request is a request of a day, drawn before the day runs.
 type Request struct {
-	At     scheduler.Micros // planned send time, since the start of the day
-	Front  int              // index of the front that receives it
-	Work   float64          // microseconds on a core of speed 1
-	Write  bool
-	Comes  bool   // its client retries after a rejection
-	Heeds  bool   // its client waits for the advised retry time
-	Writes string // name of the object that it writes, "" for none
-	Reads  string // name of the object that it reads, if that has been written; "" for any
+	At              scheduler.Micros // planned send time, since the start of the day
+	Front           int              // index of the front that receives it
+	Work            float64          // microseconds on a core of speed 1
+	Write           bool
+	Retries         bool   // its client retries after a rejection
+	HeedsRetryAfter bool   // its client waits for the advised retry time
+	WritesObject    string // name of the object that it writes, "" for none
+	ReadsObject     string // name of the object that it reads, if that has been written; "" for any
 	scheduler.Request
 }
 
-// rush is the time in microseconds after which clients that ignore the advised retry time retry.
-const rush = scheduler.Micros(20_000)
+// defaultRetryDelay is the time in microseconds after which clients that ignore the advised retry time retry.
+const defaultRetryDelay = scheduler.Micros(20_000)
 
 // try is the first submission of a client's request or a later one.
 type try struct {
 	Request
-	n     int
-	asked scheduler.Micros // planned send time of the first try
-	aimAt scheduler.Micros
-	leave scheduler.Micros
+	number      int
+	plannedAt   scheduler.Micros // planned send time of the first try
+	objectiveAt scheduler.Micros
+	leavesAt    scheduler.Micros
 }
 
-func (t *try) base() string { return t.Request.ID }
+func (t *try) requestID() string { return t.Request.ID }
 
 func (t *try) id() string {
-	if t.n == 0 {
+	if t.number == 0 {
 		return t.Request.ID
 	}
-	return fmt.Sprint(t.Request.ID, "~", t.n)
+	return fmt.Sprint(t.Request.ID, "~", t.number)
 }
 
-// Ask submits the first try of a request at its planned time, whatever the state of earlier requests. Latencies count from
-// here.
-func (w *World) Ask(q Request) {
-	if shard, done := w.placed[q.Reads]; done {
+// Submit submits the first try of a request at its planned time, whatever the state of earlier requests. Latencies count from
+// this time.
+func (w *World) Submit(q Request) {
+	if shard, done := w.objectShards[q.ReadsObject]; done {
 		q.Request.Shard = shard
 	}
 	class := w.Set.Classes[q.Class]
-	w.ask(&try{Request: q, asked: w.Now, aimAt: w.Now + class.LatencyObjective, leave: w.Now + q.TimeLeft})
+	w.submit(&try{Request: q, plannedAt: w.Now, objectiveAt: w.Now + class.LatencyObjective, leavesAt: w.Now + q.TimeLeft})
 }
 
-func (w *World) ask(t *try) {
+func (w *World) submit(t *try) {
 	r := t.Request.Request
-	r.ID, r.TimeLeft = t.id(), t.leave-w.Now
+	r.ID, r.TimeLeft = t.id(), t.leavesAt-w.Now
 	w.open[r.ID] = t
-	w.ended[t.base()] = End{Open, 0}
-	for _, x := range w.watch {
-		x.Asked(t.Front, r)
+	w.outcomes[t.requestID()] = Outcome{Open, 0}
+	for _, x := range w.watchers {
+		x.RequestSubmitted(t.Front, r)
 	}
 	w.Fronts[t.Front].Submit(r)
 }
@@ -102,8 +102,8 @@
 func (w *World) Reach(id string, n *Node) (j model.Job, known bool) {
 	j, known = w.Job(id)
 	if known {
-		for _, x := range w.watch {
-			x.Sent(w.open[id].Front, id, n.Name)
+		for _, x := range w.watchers {
+			x.AttemptStarted(w.open[id].Front, id, n.Name)
 		}
 	}
 	return j, known
@@ -111,46 +111,46 @@
 
 // Left reports the result of an attempt as it leaves the node.
 func (w *World) Left(id string, n *Node, r scheduler.Result) {
-	for _, x := range w.watch {
-		x.Back(id, r)
+	for _, x := range w.watchers {
+		x.AttemptEnded(id, r)
 	}
 	if r == scheduler.OK {
-		w.Wrote(id, n.Shard)
+		w.RecordWrite(id, n.Shard)
 	}
 }
 
-// Wrote records the shard of the object that a request has written.
-func (w *World) Wrote(id string, shard int) {
-	if t := w.open[id]; t != nil && t.Writes != "" {
-		w.placed[t.Writes] = shard
+// RecordWrite records the shard of the object that a request has written.
+func (w *World) RecordWrite(id string, shard int) {
+	if t := w.open[id]; t != nil && t.WritesObject != "" {
+		w.objectShards[t.WritesObject] = shard
 	}
 }
 
 // Answer takes a front's final answer to a try. After a rejection the client may retry.
 func (w *World) Answer(id string, v Verdict, why scheduler.Reason, retryAfter scheduler.Micros) {
 	t := w.open[id]
-	if t != nil && v == Served && w.Now > t.aimAt {
+	if t != nil && v == Served && w.Now > t.objectiveAt {
 		v = Late
 	}
-	for _, x := range w.watch {
-		x.Answered(id, v, why)
+	for _, x := range w.watchers {
+		x.RequestAnswered(id, v, why)
 	}
 	if t == nil {
 		return
 	}
 	delete(w.open, id)
-	w.ended[t.base()] = End{v, w.Now - t.asked}
-	if v != Refused || !t.Comes {
+	w.outcomes[t.requestID()] = Outcome{v, w.Now - t.plannedAt}
+	if v != Refused || !t.Retries {
 		return
 	}
-	wait := rush
-	if t.Heeds && retryAfter > 0 {
+	wait := defaultRetryDelay
+	if t.HeedsRetryAfter && retryAfter > 0 {
 		wait = retryAfter
 	}
-	if next := (&try{t.Request, t.n + 1, t.asked, t.aimAt, t.leave}); w.Now+wait < t.leave-rush {
-		w.plan(w.Now+wait, func() { w.ask(next) })
+	if next := (&try{t.Request, t.number + 1, t.plannedAt, t.objectiveAt, t.leavesAt}); w.Now+wait < t.leavesAt-defaultRetryDelay {
+		w.schedule(w.Now+wait, func() { w.submit(next) })
 	}
 }
 
-// Ended returns the outcome of a request.
-func (w *World) Ended(id string) End { return w.ended[id] }
+// Outcome returns how a request ended.
+func (w *World) Outcome(id string) Outcome { return w.outcomes[id] }
--- a/internal/lab/world/node.go
+++ b/internal/lab/world/node.go
@@ -17,14 +17,14 @@
 	Garbled
 )
 
-// Ticket is an attempt at a node. reply is called once, or never if the node becomes silent.
-type Ticket struct {
+// nodeAttempt is an attempt at a node. reply is called once, or never if the node becomes silent.
+type nodeAttempt struct {
 	node  *Node
 	reply func(Reply)
 }
 
-// back sends the reply, unless one was sent or the node is mute.
-func (t *Ticket) back(r Reply) {
+// sendReply sends the reply, unless one was sent or the node is mute.
+func (t *nodeAttempt) sendReply(r Reply) {
 	if reply := t.reply; reply != nil && !t.node.Mute {
 		t.reply = nil
 		reply(r)
@@ -33,23 +33,23 @@
 
 // Arrive delivers an attempt to a node.
 func (w *World) Arrive(n *Node, j model.Job, reply func(Reply)) {
-	t := &Ticket{n, reply}
+	t := &nodeAttempt{n, reply}
 	switch {
 	case n.Dead:
-		t.back(Unreachable)
+		t.sendReply(Unreachable)
 		return
 	case n.Mute:
 		return
-	case n.Breaks > 0 && w.Rand.Float64() < n.Breaks:
-		t.back(Broken)
+	case n.BreakShare > 0 && w.Rand.Float64() < n.BreakShare:
+		t.sendReply(Broken)
 		return
 	}
 	j.Tag = t
 	if !n.Node.Arrive(int64(w.Now), j) {
-		t.back(TurnedAway)
+		t.sendReply(TurnedAway)
 		return
 	}
-	w.tend(n)
+	w.scheduleNextEnd(n)
 }
 
 // Probe delivers a health check to a node and returns whether it answers and how many jobs are queued.
@@ -60,24 +60,24 @@
 	return scheduler.HealthChecked{Node: n.Name, OK: true, Queue: float64(n.Node.Probe(int64(w.Now)))}
 }
 
-// tend schedules the next end of a job at a node.
-func (w *World) tend(n *Node) {
+// scheduleNextEnd schedules the next end of a job at a node.
+func (w *World) scheduleNextEnd(n *Node) {
 	at, ok := n.Next()
 	if !ok {
 		return
 	}
-	life := n.Up
-	w.plan(scheduler.Micros(at), func() {
-		if n.Up != life || n.Dead { // the process has ended or was restarted
+	startedAt := n.StartedAt
+	w.schedule(scheduler.Micros(at), func() {
+		if n.StartedAt != startedAt || n.Dead { // the process has ended or was restarted
 			return
 		}
 		for _, d := range n.Finish(int64(w.Now)) {
 			r := Answer
-			if n.Spoils > 0 && w.Rand.Float64() < n.Spoils {
+			if n.MalformedShare > 0 && w.Rand.Float64() < n.MalformedShare {
 				r = Garbled
 			}
-			d.Tag.(*Ticket).back(r)
+			d.Tag.(*nodeAttempt).sendReply(r)
 		}
-		w.tend(n)
+		w.scheduleNextEnd(n)
 	})
 }
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -13,31 +13,31 @@
 	"otterturn/scheduler"
 )
 
-// begin is the start time of every virtual world, in Unix microseconds.
-const begin scheduler.Micros = 1_800_000_000_000_000
+// virtualStart is the start time of every virtual world, in Unix microseconds.
+const virtualStart scheduler.Micros = 1_800_000_000_000_000
 
-// World is a simulated site: nodes, fronts and clients.
+// World is the state of a simulated site.
 type World struct {
-	Now     scheduler.Micros
-	Set     scheduler.Settings // settings of the fronts
-	Nodes   []*Node
-	Fronts  []Front
-	Audit   *Audit
-	Rand    *rand.Rand              // random source of events at nodes and fronts
-	Changed func(*Node)             // called for a node that is added, dies or restarts, before any front is told
-	Cut     func(from, to int) bool // reports whether messages between these fronts are lost; nil if none are
-	begin   scheduler.Micros
-	delay   scheduler.Micros
-	queue   events
-	order   int
-	watch   []Watcher
-	deaf    map[int]scheduler.Micros
-	open    map[string]*try
-	ended   map[string]End
-	placed  map[string]int // shard of each written object, by name
-	inbox   chan func()
-	over    chan struct{}
-	halted  bool
+	Now          scheduler.Micros
+	Set          scheduler.Settings // settings of the fronts
+	Nodes        []*Node
+	Fronts       []Front
+	Audit        *Audit
+	Rand         *rand.Rand              // random source of events at nodes and fronts
+	Changed      func(*Node)             // called for a node that is added, dies or restarts, before any front is told
+	Partitioned  func(from, to int) bool // reports whether messages between these fronts are lost; nil if none are
+	start        scheduler.Micros
+	delay        scheduler.Micros
+	queue        events
+	lastOrder    int
+	watchers     []Watcher
+	blockedUntil map[int]scheduler.Micros
+	open         map[string]*try
+	outcomes     map[string]Outcome
+	objectShards map[string]int // shard of each written object, by name
+	inbox        chan func()
+	done         chan struct{}
+	halted       bool
 }
 
 // Front takes requests, calls World.Answer once for each, and receives node lists.
@@ -49,22 +49,22 @@
 
 // Watcher observes the events of a world.
 type Watcher interface {
-	Told(front int, list scheduler.EndpointsChanged)
-	Asked(front int, r scheduler.Request)
-	Sent(front int, id, node string)
-	Back(id string, r scheduler.Result)
-	Answered(id string, v Verdict, why scheduler.Reason)
+	NodeListSent(front int, list scheduler.EndpointsChanged)
+	RequestSubmitted(front int, r scheduler.Request)
+	AttemptStarted(front int, id, node string)
+	AttemptEnded(id string, r scheduler.Result)
+	RequestAnswered(id string, v Verdict, why scheduler.Reason)
 }
 
 // Node is a node of the node list.
 type Node struct {
 	*model.Node
-	Name   string
-	Shard  int
-	Zone   int // index of its zone
-	State  scheduler.NodeState
-	Breaks float64 // share of the attempts that don't reach it because the connection breaks
-	Spoils float64 // share of its answers that are malformed
+	Name           string
+	Shard          int
+	Zone           int // index of the zone that it is in
+	State          scheduler.NodeState
+	BreakShare     float64 // share of the attempts that don't reach it because the connection breaks
+	MalformedShare float64 // share of its answers that are malformed
 }
 
 // event is a scheduled call. Events of the same time run in the order in which they were scheduled.
@@ -92,8 +92,9 @@
 // round-robin. delay is the one-way delay of the network.
 func New(set scheduler.Settings, nodes []*model.Node, halls int, delay scheduler.Micros, seed uint64) *World {
 	w := &World{
-		Now: begin, begin: begin, Set: set, delay: delay, Rand: rand.New(rand.NewPCG(seed, 2)), deaf: map[int]scheduler.Micros{},
-		open: map[string]*try{}, ended: map[string]End{}, placed: map[string]int{}, Changed: func(*Node) {},
+		Now: virtualStart, start: virtualStart, Set: set, delay: delay, Rand: rand.New(rand.NewPCG(seed, 2)),
+		blockedUntil: map[int]scheduler.Micros{},
+		open:         map[string]*try{}, outcomes: map[string]Outcome{}, objectShards: map[string]int{}, Changed: func(*Node) {},
 	}
 	w.Audit = newAudit(w)
 	w.Watch(w.Audit)
@@ -104,38 +105,38 @@
 }
 
 // Watch adds a watcher.
-func (w *World) Watch(x Watcher) { w.watch = append(w.watch, x) }
+func (w *World) Watch(x Watcher) { w.watchers = append(w.watchers, x) }
 
 // At schedules a call at a time since the start.
-func (w *World) At(at scheduler.Micros, do func()) { w.plan(w.begin+at, do) }
+func (w *World) At(at scheduler.Micros, do func()) { w.schedule(w.start+at, do) }
 
-// Since returns the time since the start.
-func (w *World) Since() scheduler.Micros { return w.Now - w.begin }
+// Elapsed returns the time since the start.
+func (w *World) Elapsed() scheduler.Micros { return w.Now - w.start }
 
-func (w *World) plan(at scheduler.Micros, do func()) {
-	w.order++
-	heap.Push(&w.queue, event{max(at, w.Now), w.order, do})
+func (w *World) schedule(at scheduler.Micros, do func()) {
+	w.lastOrder++
+	heap.Push(&w.queue, event{max(at, w.Now), w.lastOrder, do})
 }
 
 // Run runs all events up to a time since the start, in virtual time or live.
 func (w *World) Run(to scheduler.Micros) {
 	if w.inbox != nil {
-		w.live(w.begin + to)
+		w.runLive(w.start + to)
 		return
 	}
-	for len(w.queue) > 0 && w.queue[0].at <= w.begin+to {
+	for len(w.queue) > 0 && w.queue[0].at <= w.start+to {
 		e := heap.Pop(&w.queue).(event)
 		w.Now = e.at
 		e.do()
 	}
-	w.Now = w.begin + to
+	w.Now = w.start + to
 }
 
 // Live switches the world to the wall clock, starting now. It must be called before any event is scheduled.
 func (w *World) Live() {
-	w.begin = scheduler.Micros(time.Now().UnixMicro())
-	w.Now = w.begin
-	w.inbox, w.over = make(chan func(), 1024), make(chan struct{})
+	w.start = scheduler.Micros(time.Now().UnixMicro())
+	w.Now = w.start
+	w.inbox, w.done = make(chan func(), 1024), make(chan struct{})
 }
 
 // Do queues a call to run between two events of a live world. It may be called from any goroutine. Once the world has ended,
@@ -143,14 +144,14 @@
 func (w *World) Do(do func()) {
 	select {
 	case w.inbox <- do:
-	case <-w.over:
+	case <-w.done:
 	}
 }
 
 // Halt ends a live world early.
 func (w *World) Halt() { w.Do(func() { w.halted = true }) }
 
-func (w *World) live(to scheduler.Micros) {
+func (w *World) runLive(to scheduler.Micros) {
 	now := func() scheduler.Micros { return max(w.Now, scheduler.Micros(time.Now().UnixMicro())) }
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -170,7 +171,7 @@
 		case <-timer.C:
 		}
 	}
-	close(w.over)
+	close(w.done)
 }
 
 // Node returns the node of a name, removed ones included, as an attempt may still be on its way to one.
@@ -188,53 +189,55 @@
 	out := scheduler.EndpointsChanged{Full: true}
 	for _, n := range w.Nodes {
 		if n.State != scheduler.Removed {
-			out.Endpoints = append(out.Endpoints, scheduler.Endpoint{Node: n.Name, Shard: n.Shard, Zone: n.Zone, State: n.State, StartedAt: scheduler.Micros(n.Up)})
+			out.Endpoints = append(out.Endpoints, scheduler.Endpoint{
+				Node: n.Name, Shard: n.Shard, Zone: n.Zone, State: n.State, StartedAt: scheduler.Micros(n.StartedAt),
+			})
 		}
 	}
 	return out
 }
 
 // Put adds a front at an index, 0 for the first, and gives it the node list. A front that was there before ends.
-func (w *World) Put(place int, f Front) {
-	if place < len(w.Fronts) {
-		w.Fronts[place].End()
+func (w *World) Put(index int, front Front) {
+	if index < len(w.Fronts) {
+		w.Fronts[index].End()
 		for id, t := range w.open {
-			if t.Front == place {
+			if t.Front == index {
 				delete(w.open, id)
-				w.ended[t.base()] = End{Lost, w.Now - t.asked}
+				w.outcomes[t.requestID()] = Outcome{Lost, w.Now - t.plannedAt}
 			}
 		}
-		w.Fronts[place] = f
+		w.Fronts[index] = front
 	} else {
-		w.Fronts = append(w.Fronts, f)
+		w.Fronts = append(w.Fronts, front)
 	}
-	w.tell(place)
+	w.sendNodeList(index)
 }
 
-func (w *World) tell(place int) {
+func (w *World) sendNodeList(index int) {
 	list := w.List()
-	for _, x := range w.watch {
-		x.Told(place, list)
+	for _, x := range w.watchers {
+		x.NodeListSent(index, list)
 	}
-	w.Fronts[place].Tell(list)
+	w.Fronts[index].Tell(list)
 }
 
-// Deafen keeps node lists from a front until a time, when it receives the current one.
-func (w *World) Deafen(place int, until scheduler.Micros) {
-	w.deaf[place] = until
-	w.plan(until, func() { w.tell(place) })
+// BlockNodeList keeps node lists from a front until a time, when it receives the current one.
+func (w *World) BlockNodeList(index int, until scheduler.Micros) {
+	w.blockedUntil[index] = until
+	w.schedule(until, func() { w.sendNodeList(index) })
 }
 
-// Tell gives every front the node list, each after its own random delay of up to late.
-func (w *World) Tell(late scheduler.Micros) {
-	for place := range w.Fronts {
-		after := scheduler.Micros(0)
-		if late > 0 {
-			after = scheduler.Micros(w.Rand.Int64N(int64(late)))
+// PublishNodeList gives every front the node list, each after its own random delay below maxDelay.
+func (w *World) PublishNodeList(maxDelay scheduler.Micros) {
+	for index := range w.Fronts {
+		delay := scheduler.Micros(0)
+		if maxDelay > 0 {
+			delay = scheduler.Micros(w.Rand.Int64N(int64(maxDelay)))
 		}
-		w.plan(w.Now+after, func() {
-			if w.Now >= w.deaf[place] {
-				w.tell(place)
+		w.schedule(w.Now+delay, func() {
+			if w.Now >= w.blockedUntil[index] {
+				w.sendNodeList(index)
 			}
 		})
 	}
@@ -243,8 +246,8 @@
 // Kill ends a node's process: its jobs are lost, and new connections are refused.
 func (w *World) Kill(n *Node) {
 	for _, j := range n.Die() {
-		if t, waits := j.Tag.(*Ticket); waits {
-			t.back(Broken)
+		if t, waits := j.Tag.(*nodeAttempt); waits {
+			t.sendReply(Broken)
 		}
 	}
 	w.Changed(n)
@@ -256,9 +259,9 @@
 	w.Changed(n)
 }
 
-// Successor replaces a node by another machine with a new name, which starts cold and holds the same shard. The old node
+// ReplaceNode replaces a node by another machine with a new name, which starts cold and holds the same shard. The old node
 // is removed.
-func (w *World) Successor(old *Node) *Node {
+func (w *World) ReplaceNode(old *Node) *Node {
 	w.Kill(old)
 	old.State = scheduler.Removed
 	n := &Node{Node: model.New(old.Figures), Name: fmt.Sprintf("node-%02d", len(w.Nodes)), Shard: old.Shard, Zone: old.Zone}
