--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -31,10 +31,10 @@
 
 type request struct {
 	scheduler.Request
-	deadline   scheduler.Micros
-	node       *node // node of the running attempt, nil for none
-	attempts   int
-	mayHaveRun bool // an attempt may have run
+	deadline    scheduler.Micros
+	attemptNode *node // node of the running attempt, nil for none
+	attempts    int
+	mayHaveRun  bool // an attempt may have run
 }
 
 type bucket struct {
@@ -72,9 +72,9 @@
 		if r == nil {
 			return
 		}
-		if r.node != nil {
-			r.node.running--
-			r.node = nil
+		if r.attemptNode != nil {
+			r.attemptNode.running--
+			r.attemptNode = nil
 		}
 		if e.Final {
 			delete(d.open, e.ID)
@@ -108,7 +108,7 @@
 func (d *Decider) dispatch() {
 	waiting := make([]*request, 0, len(d.open))
 	for _, r := range d.open {
-		if r.node == nil {
+		if r.attemptNode == nil {
 			waiting = append(waiting, r)
 		}
 	}
@@ -123,7 +123,7 @@
 			d.finish(r)
 		case n != nil && n.State == scheduler.Running && (d.window == 0 || n.running < d.window) && d.takeUnits(r):
 			n.running++
-			r.node, r.attempts = n, r.attempts+1
+			r.attemptNode, r.attempts = n, r.attempts+1
 			d.actions = append(d.actions, scheduler.StartAttempt{ID: r.ID, Node: n.Node})
 		case n == nil || d.window == 0: // waiting would not help
 			d.finish(r)
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -146,7 +146,7 @@
 			}
 			worth := set.Classes[q.Class].Priority * q.Units
 			asked += worth
-			if w.Outcome(q.ID).Verdict == world.Served {
+			if w.OutcomeOf(q.ID).Verdict == world.Served {
 				r.Served[v] += worth
 			}
 		}
--- a/internal/lab/scenario/result.go
+++ b/internal/lab/scenario/result.go
@@ -50,7 +50,7 @@
 	}
 	digest := xxhash.New()
 	for _, q := range d.requests {
-		end := w.Outcome(q.ID)
+		end := w.OutcomeOf(q.ID)
 		fmt.Fprintln(digest, q.ID, end.Verdict, end.After)
 		if q.At < second {
 			continue
--- a/internal/lab/scenario/traces.go
+++ b/internal/lab/scenario/traces.go
@@ -83,7 +83,7 @@
 	}
 }
 
-func (t *tracer) AttemptEnded(id string, result scheduler.Result) {
+func (t *tracer) AttemptFinished(id string, result scheduler.Result) {
 	if r := t.open[id]; r != nil && r.attempt != nil {
 		r.attempt.SetAttributes(attribute.String("result", result.String()))
 		r.attempt.End(trace.WithTimestamp(t.now()))
--- a/internal/lab/world/audit.go
+++ b/internal/lab/world/audit.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// AttemptEnded records the result of an attempt as its front saw it.
-func (a *Audit) AttemptEnded(id string, result scheduler.Result) {
+// AttemptFinished records the result of an attempt as its front saw it.
+func (a *Audit) AttemptFinished(id string, result scheduler.Result) {
 	r := a.requests[id]
 	if r == nil {
 		return
--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -112,7 +112,7 @@
 // Left reports the result of an attempt as it leaves the node.
 func (w *World) Left(id string, n *Node, r scheduler.Result) {
 	for _, x := range w.watchers {
-		x.AttemptEnded(id, r)
+		x.AttemptFinished(id, r)
 	}
 	if r == scheduler.OK {
 		w.RecordWrite(id, n.Shard)
@@ -152,5 +152,5 @@
 	}
 }
 
-// Outcome returns how a request ended.
-func (w *World) Outcome(id string) Outcome { return w.outcomes[id] }
+// OutcomeOf returns how a request ended.
+func (w *World) OutcomeOf(id string) Outcome { return w.outcomes[id] }
--- a/internal/lab/world/fleet_test.go
+++ b/internal/lab/world/fleet_test.go
@@ -110,7 +110,7 @@
 func (f *fleet) NodeListSent(int, scheduler.EndpointsChanged) {}
 func (f *fleet) RequestSubmitted(int, scheduler.Request)      {}
 func (f *fleet) AttemptStarted(int, string, string)           {}
-func (f *fleet) AttemptEnded(string, scheduler.Result)        {}
+func (f *fleet) AttemptFinished(string, scheduler.Result)     {}
 func (f *fleet) RequestAnswered(_ string, v world.Verdict, _ scheduler.Reason) {
 	if v == world.Served || v == world.Late {
 		f.served++
--- a/internal/lab/world/front.go
+++ b/internal/lab/world/front.go
@@ -159,7 +159,7 @@
 		}
 		o.ID, o.Attempt, o.Latency = a.ID, attempt, w.Now-sent
 		for _, x := range w.watchers {
-			x.AttemptEnded(a.ID, o.Result)
+			x.AttemptFinished(a.ID, o.Result)
 		}
 		if o.Final {
 			f.answer(a.ID, Served, "", 0)
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -52,7 +52,7 @@
 	NodeListSent(front int, list scheduler.EndpointsChanged)
 	RequestSubmitted(front int, r scheduler.Request)
 	AttemptStarted(front int, id, node string)
-	AttemptEnded(id string, r scheduler.Result)
+	AttemptFinished(id string, r scheduler.Result)
 	RequestAnswered(id string, v Verdict, why scheduler.Reason)
 }
 
