--- a/internal/fleet/monitor/monitor.go
+++ b/internal/fleet/monitor/monitor.go
@@ -146,7 +146,7 @@
 }
 
 // AttemptEnded takes in how an attempt ended whose start was taken in. There is room for it.
-func (m *Monitor) AttemptFinished(node string, e scheduler.AttemptEnded) {
+func (m *Monitor) AttemptEnded(node string, e scheduler.AttemptEnded) {
 	m.inbox.put(health.AttemptEnded{Node: node, ID: e.ID, Attempt: e.Attempt, Result: e.Result, Alive: e.Alive})
 }
 
--- a/internal/fleet/monitor/monitor_test.go
+++ b/internal/fleet/monitor/monitor_test.go
@@ -81,7 +81,7 @@
 	if !z.monitors[0].AttemptStarted("a", "x", 0) {
 		t.Fatal("no room")
 	}
-	z.monitors[0].AttemptFinished("a", scheduler.AttemptEnded{ID: "x", Result: scheduler.Unreachable})
+	z.monitors[0].AttemptEnded("a", scheduler.AttemptEnded{ID: "x", Result: scheduler.Unreachable})
 	for _, reports := range z.reports {
 		if e := standin.Await(t, "a report", reports); e.(scheduler.NodeSilent).Node != "a" {
 			t.Errorf("reported %+v", e)
@@ -154,7 +154,7 @@
 		}
 	}
 	for range taken {
-		m.AttemptFinished("a", scheduler.AttemptEnded{ID: "x"})
+		m.AttemptEnded("a", scheduler.AttemptEnded{ID: "x"})
 	}
 	message := health.Message{Incarnation: 1, Sequence: 1, Sent: 1, Entries: []health.Entry{{Node: 1, State: health.Silent}}}
 	if !m.Intercept(1, message.Encode()) {
--- a/internal/net/routing/observer.go
+++ b/internal/net/routing/observer.go
@@ -8,7 +8,7 @@
 	// its end is not told then.
 	AttemptStarted(node, id string, attempt int) bool
 	// AttemptEnded tells how an attempt ended that AttemptStarted took.
-	AttemptFinished(node string, e scheduler.AttemptEnded)
+	AttemptEnded(node string, e scheduler.AttemptEnded)
 }
 
 // observeStart tells the observer, where there is one, of an attempt.
@@ -28,5 +28,5 @@
 	if e.Attempt < 0 || e.Attempt >= len(call.nodes) || call.nodes[e.Attempt] == "" {
 		return
 	}
-	c.Observer.AttemptFinished(call.nodes[e.Attempt], e)
+	c.Observer.AttemptEnded(call.nodes[e.Attempt], e)
 }
--- a/internal/net/routing/observer_test.go
+++ b/internal/net/routing/observer_test.go
@@ -18,7 +18,7 @@
 	return node != "b"
 }
 
-func (o *observed) AttemptFinished(node string, e scheduler.AttemptEnded) {
+func (o *observed) AttemptEnded(node string, e scheduler.AttemptEnded) {
 	o.lines <- fmt.Sprint("end ", node, " ", e.ID, " ", e.Attempt, " ", e.Result, " ", e.Alive)
 }
 
