--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -21,7 +21,7 @@
 	DeferredFor   int64   // delay after which the deferred work is done in one piece on one core
 	Near          float64 // share of its work that a job costs if one for the same object came within NearSpan
 	NearSpan      int64   // see Near
-	KeyWindow     int64   // a job whose key was used within this time costs nothing, as a duplicate
+	KeyWindow     int64   // a job whose key was used within this time is a duplicate: it is dropped and answered at once
 	ProbeWork     float64 // deferred work of a health check
 	ConnWork      float64 // deferred work of a new connection
 	MaxConns      int     // maximum number of open connections
@@ -54,11 +54,11 @@
 	queue         []Job
 	received      []Done  // work received within the last FallSpan while cold
 	pausedUntil   int64   // end of a stall
-	deferredWork  float64 // deferred work
+	deferredWork  float64 // microseconds on a core of speed 1
 	deferredSince int64   // time since which there is deferred work
 	conns         int
 	objects       map[string]int64 // time of the last job, by object
-	keys          map[string]int64 // time of the first job, by key
+	keys          map[string]int64 // time of the last job that was not dropped, by key
 }
 
 // New returns a warm node.
