--- a/internal/lab/record/streams.go
+++ b/internal/lab/record/streams.go
@@ -8,7 +8,7 @@
 	"otterturn/scheduler"
 )
 
-// Make plays a rough day and records its first front. The names are those of Streams.
+// Make runs the day of that name in Streams and returns the recording of its first front.
 func Make(name string) (Stream, error) {
 	d := Streams[name]
 	s, err := scenario.Calm(d.nodes, d.fronts, d.length)
@@ -19,7 +19,7 @@
 	s.Load.Comes, s.Load.Heeds = 0.5, 0.5
 	set := s.Settings()
 	set.CancelAttempts, set.RetryBudgetSpan, set.RetryBudgetMin, set.RetryBudgetShare = true, 10_000_000, 10, 0.2
-	d.edit(&s, &set)
+	d.configure(&s, &set)
 	var r Recorder
 	_, err = s.PlayWith(1, set, scenario.Variant{Name: name, Make: func(front int, set scheduler.Settings, seed int64) (world.Decider, error) {
 		set.FrontIndex = front
@@ -33,16 +33,16 @@
 	return r.Stream, err
 }
 
-// day is what a stream is recorded on.
-type day struct {
+// dayConfig describes the scenario of a recording.
+type dayConfig struct {
 	nodes, fronts int
 	length        time.Duration
-	edit          func(s *scenario.Scenario, set *scheduler.Settings)
+	configure     func(s *scenario.Scenario, set *scheduler.Settings)
 }
 
-// Streams are rough days: a rolling deploy, failures of all kinds, a flood beyond what there is room for with requests
-// that run in turn, and a long one with so little to do that what was learned is forgotten again.
-var Streams = map[string]day{
+// Streams are the days to record, by name: a rolling deploy; several kinds of failures; a flood beyond the limit of open
+// requests, with a class whose requests run in order; and a long day with so little load that learned state expires.
+var Streams = map[string]dayConfig{
 	"deploy": {10, 3, 16 * time.Second, func(s *scenario.Scenario, _ *scheduler.Settings) {
 		s.Happens = []scenario.Event{
 			{At: 3 * time.Second, What: "replace", Share: 0.9, Over: 8 * time.Second, Drain: time.Second},
--- a/internal/lab/scenario/report.go
+++ b/internal/lab/scenario/report.go
@@ -13,30 +13,30 @@
 	"otterturn/internal/lab/world"
 )
 
-// Comparison is a scenario played over seeds from 1 in several variants.
+// Comparison holds the results of a scenario for several variants, each run with the seeds from 1.
 type Comparison struct {
 	Scenario Scenario `json:"-"`
 	Name     string
 	Rows     []Row
 }
 
-// Row is one variant's days.
+// Row holds the results of one variant.
 type Row struct {
-	Variant   string
-	Share     float64 // median of the worth served in time
-	Worst     float64 // the same of the worst stretch
-	Fallen    int
-	Broken    int
-	Behind    float64 // what the first variant serves more, in the mean, seed by seed
-	Within    float64 // half of the interval that holds nine tenths of such means (Student's t); of one seed there is none
-	HasBehind bool
-	Quantiles []Quantiles
-	Days      []Result
-	latencies []*hdrhistogram.Histogram
-	parts     map[string]float64
+	Variant       string
+	Share         float64 // median of the shares served in time
+	Worst         float64 // median of Result.Worst
+	Fallen        int
+	Broken        int
+	Behind        float64 // mean over the seeds by which the first variant's share is higher
+	Within        float64 // half of the 90% confidence interval of Behind (Student's t); 0 with a single seed
+	HasBehind     bool
+	Quantiles     []Quantiles
+	Days          []Result
+	latencies     []*hdrhistogram.Histogram
+	verdictShares map[string]float64
 }
 
-// Difference tells what the first variant serves more.
+// Difference formats by how much the first variant's share is higher.
 func (r Row) Difference() string {
 	switch {
 	case !r.HasBehind:
@@ -47,19 +47,19 @@
 	return fmt.Sprintf("%.3f ± %.3f", r.Behind, r.Within)
 }
 
-// Quantiles are a kind's latencies in milliseconds since the time at which a request was meant to be sent.
+// Quantiles are latencies of one kind of request, in milliseconds since the planned send time.
 type Quantiles struct {
 	Kind                    string
-	Half, Most, Nearly, All float64 // 50, 90, 99 and 99.9 of 100
+	Half, Most, Nearly, All float64 // the 50%, 90%, 99% and 99.9% quantiles
 }
 
-// Compare plays a scenario in variants.
+// Compare runs a scenario with each variant.
 func (s Scenario) Compare(seeds int, variants []Variant) (Comparison, error) {
 	c := Comparison{Scenario: s, Name: s.Name}
 	for i, v := range variants {
-		row := Row{Variant: v.Name, parts: map[string]float64{}}
+		row := Row{Variant: v.Name, verdictShares: map[string]float64{}}
 		for range s.mix.Kinds {
-			row.latencies = append(row.latencies, hdrhistogram.New(1, mostLatency, 3))
+			row.latencies = append(row.latencies, hdrhistogram.New(1, maxLatency, 3))
 		}
 		requests := 0
 		var shares, worst, behind []float64
@@ -70,7 +70,7 @@
 			}
 			shares, worst = append(shares, r.Share()), append(worst, r.Worst)
 			for ended, n := range r.Ended {
-				row.parts[ended] += float64(n)
+				row.verdictShares[ended] += float64(n)
 			}
 			for k, h := range r.Latency {
 				row.latencies[k].Merge(h)
@@ -79,16 +79,16 @@
 			if i > 0 {
 				behind = append(behind, c.Rows[0].Days[seed].Share()-r.Share())
 			}
-			if seed > 0 { // causes are told of the first day
+			if seed > 0 { // causes are reported for the first day only
 				r.Traces = nil
 			}
 			row.Days = append(row.Days, r)
 		}
-		for ended := range row.parts {
-			row.parts[ended] /= float64(requests)
+		for ended := range row.verdictShares {
+			row.verdictShares[ended] /= float64(requests)
 		}
 		row.Share, row.Worst, row.HasBehind = median(shares), median(worst), i > 0
-		row.Behind, row.Within = interval(behind)
+		row.Behind, row.Within = confidenceInterval(behind)
 		for k, h := range row.latencies {
 			ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 			row.Quantiles = append(row.Quantiles, Quantiles{s.mix.Kinds[k].Name, ms(50), ms(90), ms(99), ms(99.9)})
@@ -98,17 +98,18 @@
 	return c, nil
 }
 
-// Kept tells whether the first variant kept the rules on every day, and else names the first few that it broke.
+// Kept reports whether the first variant broke no rule and made no node fail on any day, and returns the first violations:
+// up to 3 per day and 10 in total.
 func (c Comparison) Kept() (kept bool, why []string) {
 	kept = true
 	for _, r := range c.Rows[0].Days {
-		kept = kept && r.kept()
+		kept = kept && r.keptRules()
 		why = append(why, r.Breaks[:min(3, len(r.Breaks))]...)
 	}
 	return kept, why[:min(10, len(why))]
 }
 
-// Table writes the comparison for a terminal.
+// Table writes the comparison as a plain-text table.
 func (c Comparison) Table(out io.Writer) error {
 	s := c.Scenario
 	fmt.Fprintf(out, "%s: %d fronts, %d nodes, %v, %d seeds\n", s.Name, s.Fronts, s.Nodes.Count, s.Length, len(c.Rows[0].Days))
@@ -119,7 +120,7 @@
 	}
 	fmt.Fprintln(w)
 	for _, r := range c.Rows {
-		part := func(v world.Verdict) string { return fmt.Sprintf("%.1f%%", 100*r.parts[v.String()]) }
+		part := func(v world.Verdict) string { return fmt.Sprintf("%.1f%%", 100*r.verdictShares[v.String()]) }
 		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%s\t%s\t%s\t%d\t%d\t%s\t", r.Variant, r.Share, r.Worst, part(world.Late),
 			part(world.Refused), part(world.Failed), r.Fallen, r.Broken, r.Difference())
 		for _, q := range r.Quantiles {
@@ -142,9 +143,9 @@
 	return sorted[len(sorted)/2]
 }
 
-// interval is the mean and half of the interval around it that holds nine tenths, by the t distribution. Of a single
-// value there is none.
-func interval(all []float64) (mean, half float64) {
+// confidenceInterval returns the mean and half of its 90% confidence interval by the t distribution. With a single value the second
+// result is 0.
+func confidenceInterval(all []float64) (mean, half float64) {
 	n := float64(len(all))
 	for _, x := range all {
 		mean += x / n
--- a/internal/lab/world/audit_test.go
+++ b/internal/lab/world/audit_test.go
@@ -8,8 +8,8 @@
 	"otterturn/scheduler"
 )
 
-// naive sends each request to the node that it was told of first for its shard, and keeps the rules as long as nothing
-// goes wrong; with a fault it breaks one of them on purpose.
+// naive is a decider that sends each request to the running node of its shard and keeps the rules as long as no attempt
+// fails. With a fault it breaks one rule on purpose.
 type naive struct {
 	fault string
 	nodes map[int]scheduler.Endpoint
@@ -62,14 +62,14 @@
 	return out
 }
 
-// silent is a front that answers nothing.
+// silent is a front that never answers.
 type silent struct{}
 
 func (silent) Submit(scheduler.Request)        {}
 func (silent) Tell(scheduler.EndpointsChanged) {}
 func (silent) End()                            {}
 
-// Every judge notices: a front made to break one rule is caught at it, and one that breaks none is not.
+// The audit reports the violation of each rule, and nothing for a front that breaks none.
 func TestAuditCatchesEveryBrokenRule(t *testing.T) {
 	set := scheduler.Settings{
 		Fronts: 1, Tick: 2000, MeanUnits: 2, MaxUnits: 8,
@@ -92,12 +92,12 @@
 		if fault == "silence" {
 			w.Put(0, silent{})
 		} else {
-			w.Start(0, &naive{fault: fault, open: map[string]scheduler.Request{}})
+			w.StartFront(0, &naive{fault: fault, open: map[string]scheduler.Request{}})
 		}
 		ask := func(at scheduler.Micros, id string, class, plan, count int) {
 			for i := range count {
 				w.At(at+scheduler.Micros(i), func() {
-					w.Ask(Request{Work: 20_000, Request: scheduler.Request{
+					w.Submit(Request{Work: 20_000, Request: scheduler.Request{
 						ID: id + string(rune('1'+i)), Class: class, Plan: plan, Volume: id, Units: 7,
 						TimeLeft: 2_000_000,
 					}})
@@ -106,29 +106,29 @@
 		}
 		ask(1_000_000, "read-", 0, 0, 3)
 		ask(1_000_000, "plan-", 0, 1, 9)
-		w.At(1_900_000, func() { w.Nodes[0].Spoils = 1 })
+		w.At(1_900_000, func() { w.Nodes[0].MalformedShare = 1 })
 		ask(2_000_000, "write-", 1, 0, 1)
 		ask(2_100_000, "once-", 2, 0, 1)
 		w.At(3_000_000, func() {
-			w.Nodes[0].Spoils, w.Nodes[0].State = 0, scheduler.Draining
-			w.Tell(0)
+			w.Nodes[0].MalformedShare, w.Nodes[0].State = 0, scheduler.Draining
+			w.PublishNodeList(0)
 		})
 		ask(4_000_000, "read-late-", 0, 0, 1)
 		w.At(8_000_000, func() {
 			w.Nodes[0].State = scheduler.Running
-			if w.Tell(0); fault == "cold" {
+			if w.PublishNodeList(0); fault == "cold" {
 				w.Nodes[0].Restart(int64(w.Now))
 			}
 		})
 		ask(9_000_000, "many-", 0, 0, 50)
 		w.Run(15_000_000)
-		found := strings.Join(w.Audit.Breaks, "\n")
-		if w.Audit.Fallen() > 0 {
+		found := strings.Join(w.Audit.Violations, "\n")
+		if w.Audit.FailedNodes() > 0 {
 			found += "pushed over"
 		}
-		if fault == "after the answer" { // a simulated front can't, one behind a socket can
-			w.Audit.Sent(0, "read-1", w.Nodes[0].Name)
-			found = strings.Join(w.Audit.Breaks, "\n")
+		if fault == "after the answer" { // not possible for a simulated front, only for one behind a socket
+			w.Audit.AttemptStarted(0, "read-1", w.Nodes[0].Name)
+			found = strings.Join(w.Audit.Violations, "\n")
 		}
 		if len(w.Audit.Unanswered()) > 0 {
 			found += "no final answer"
--- a/internal/lab/world/node.go
+++ b/internal/lab/world/node.go
@@ -5,54 +5,54 @@
 	"otterturn/scheduler"
 )
 
-// Reply is what comes of an attempt at a node.
+// Reply is the outcome of an attempt at a node.
 type Reply int
 
-// The kinds of Reply. Where there is none the node is silent.
+// The replies. A silent node gives none.
 const (
 	Answer Reply = iota
 	TurnedAway
 	Unreachable
-	Broken // the connection broke, it may have run or not
+	Broken // the connection broke; the request may have run
 	Garbled
 )
 
-// Ticket is an attempt at a node: reply is called once, or never where the node falls silent.
-type Ticket struct {
+// nodeAttempt is an attempt at a node. reply is called once, or never if the node becomes silent.
+type nodeAttempt struct {
 	node  *Node
 	reply func(Reply)
 }
 
-// back gives the reply, if it still gets out.
-func (t *Ticket) back(r Reply) {
+// sendReply sends the reply, unless one was sent or the node is mute.
+func (t *nodeAttempt) sendReply(r Reply) {
 	if reply := t.reply; reply != nil && !t.node.Mute {
 		t.reply = nil
 		reply(r)
 	}
 }
 
-// Arrive has an attempt reach a node.
+// Arrive delivers an attempt to a node.
 func (w *World) Arrive(n *Node, j model.Job, reply func(Reply)) {
-	t := &Ticket{n, reply}
+	t := &nodeAttempt{n, reply}
 	switch {
 	case n.Dead:
-		t.back(Unreachable)
+		t.sendReply(Unreachable)
 		return
 	case n.Mute:
 		return
-	case n.Breaks > 0 && w.Rand.Float64() < n.Breaks:
-		t.back(Broken)
+	case n.BreakShare > 0 && w.Rand.Float64() < n.BreakShare:
+		t.sendReply(Broken)
 		return
 	}
 	j.Tag = t
 	if !n.Node.Arrive(int64(w.Now), j) {
-		t.back(TurnedAway)
+		t.sendReply(TurnedAway)
 		return
 	}
-	w.tend(n)
+	w.scheduleNextEnd(n)
 }
 
-// Probe has a probe reach a node, and tells whether it answers, and how many jobs wait.
+// Probe delivers a health check to a node and returns whether it answers and how many jobs are queued.
 func (w *World) Probe(n *Node) scheduler.HealthChecked {
 	if n.Silent() {
 		return scheduler.HealthChecked{Node: n.Name, Queue: -1}
@@ -60,24 +60,24 @@
 	return scheduler.HealthChecked{Node: n.Name, OK: true, Queue: float64(n.Node.Probe(int64(w.Now)))}
 }
 
-// tend plans for a node's next end of a job.
-func (w *World) tend(n *Node) {
+// scheduleNextEnd schedules the next end of a job at a node.
+func (w *World) scheduleNextEnd(n *Node) {
 	at, ok := n.Next()
 	if !ok {
 		return
 	}
-	life := n.Up
-	w.plan(scheduler.Micros(at), func() {
-		if n.Up != life || n.Dead { // another process by now
+	startedAt := n.StartedAt
+	w.schedule(scheduler.Micros(at), func() {
+		if n.StartedAt != startedAt || n.Dead { // the process has ended or was restarted
 			return
 		}
 		for _, d := range n.Finish(int64(w.Now)) {
 			r := Answer
-			if n.Spoils > 0 && w.Rand.Float64() < n.Spoils {
+			if n.MalformedShare > 0 && w.Rand.Float64() < n.MalformedShare {
 				r = Garbled
 			}
-			d.Tag.(*Ticket).back(r)
+			d.Tag.(*nodeAttempt).sendReply(r)
 		}
-		w.tend(n)
+		w.scheduleNextEnd(n)
 	})
 }
