--- a/cmd/otterlab/rehearse.go
+++ b/cmd/otterlab/rehearse.go
@@ -133,7 +133,7 @@
 			return err
 		}
 		took := time.Since(began)
-		fmt.Fprintf(out, "speed: %d nodes, %d fronts: %d requests in %.1f s, %.1f virtual seconds a second, %.0f us a request, %.3f in time\n", nodes, c.Fronts,
+		fmt.Fprintf(out, "speed: %d nodes, %d fronts: %d requests in %.1f s, %.1f virtual seconds per second, %.0f us per request, %.3f in time\n", nodes, c.Fronts,
 			r.Requests, took.Seconds(), s.Length.Seconds()/took.Seconds(), took.Seconds()*1e6/float64(r.Requests), r.Share())
 	}
 	return nil
--- a/cmd/otterturn/fleet_site_test.go
+++ b/cmd/otterturn/fleet_site_test.go
@@ -113,8 +113,8 @@
 		return
 	}
 	for _, f := range s.fronts {
-		_, figures := operatorCall(s.t, "GET", f.control, "/stats")
-		s.t.Logf("front %d:\n%s%s", f.number, figures, f.output)
+		_, stats := operatorCall(s.t, "GET", f.control, "/stats")
+		s.t.Logf("front %d:\n%s%s", f.number, stats, f.output)
 	}
 	for _, n := range s.nodes {
 		s.t.Logf("%s: %+v", n.name, n.counts())
--- a/cmd/otterturn/log_test.go
+++ b/cmd/otterturn/log_test.go
@@ -31,7 +31,7 @@
 	clients.stopUnderLoad(t, p, deadline, syscall.SIGTERM)
 }
 
-// fillPipe fills a pipe. It opens the pipe anew, so that only its own file description is non-blocking and the other writer still
+// fillPipe fills a pipe. It opens the pipe a second time: only this file description is non-blocking, and the other writer still
 // blocks.
 func fillPipe(t *testing.T, pipe *os.File) {
 	t.Helper()
--- a/cmd/otterturn/reload_test.go
+++ b/cmd/otterturn/reload_test.go
@@ -12,8 +12,8 @@
 	"otterturn/internal/standin"
 )
 
-// Guards against a program that SIGHUP ends. SIGHUP switches to the discovery address in the reloaded file, whose versions start
-// anew. An invalid file changes nothing, and SIGTERM immediately after SIGHUP still ends the program with status 0.
+// SIGHUP must not end the program. It switches to the discovery address in the reloaded file, whose versions start again at a
+// low number. An invalid file changes nothing, and SIGTERM immediately after SIGHUP still ends the program with status 0.
 func TestReloadSwitchesDiscovery(t *testing.T) {
 	list := `{"seq":%d,"whole":true,"hosts":[{"host":%q,"dial":%q,"site":"a","block":0,"health":"up","born_ms":0}]}`
 	discovery := func(seq int, host string) (addr string, calls chan string) {
--- a/cmd/otterturn/renewals_test.go
+++ b/cmd/otterturn/renewals_test.go
@@ -229,7 +229,7 @@
 		return all[len(all)/2].Round(10 * time.Microsecond)
 	}
 	fmt.Printf("renewals: %d in %v, %d transfers open throughout, %d requests answered and %d refused, %d without an answer; %d new connections "+
-		"(%.0f a second), %d connections failed, %d expired certificates served; a handshake %v in the median around a renewal, %v else; "+
+		"(%.0f per second), %d connections failed, %d expired certificates served; a handshake %v in the median around a renewal, %v else; "+
 		"accounts %d\n", len(renewed), took.Round(time.Second), transfers, tally.answered, tally.refused, tally.unanswered, len(tally.handshakes),
 		float64(len(tally.handshakes))/took.Seconds(), tally.failed, tally.expired, median(nearRenewal), median(otherwise), ca.Counts().Accounts)
 	if tally.failed+tally.unanswered+tally.expired > 0 || tally.answered == 0 || ca.Counts().Accounts != 1 {
--- a/internal/admission/retryafter.go
+++ b/internal/admission/retryafter.go
@@ -8,8 +8,8 @@
 	return q.retryAfter(now, w.project, w.cost)
 }
 
-// Cancel removes a waiting request whose client disconnected. As no client is told when to retry, the project is promised no
-// time, and the retries of other clients are not delayed.
+// Cancel removes a waiting request whose client disconnected. Its client gets no answer, so no retry time is promised to its
+// project, and the retries of other clients are not delayed.
 func (q *Queue) Cancel(t Ticket) { q.remove(t) }
 
 func (q *Queue) remove(t Ticket) {
--- a/internal/admission/retryafter_test.go
+++ b/internal/admission/retryafter_test.go
@@ -40,7 +40,7 @@
 	}
 	begin := now
 	var out []client
-	usedQueues := map[*project]bool{} // one project per queue: projects that share one share its promised times and are told later ones
+	usedQueues := map[*project]bool{} // one project per queue: projects that share one share its promised times and get later ones
 	var names []string
 	for i := 0; len(names) < 300; i++ {
 		name := fmt.Sprint("project-", i)
--- a/internal/fleet/health/codec.go
+++ b/internal/fleet/health/codec.go
@@ -134,7 +134,7 @@
 }
 
 // varintError returns the error of decoding a varint, nil if there is none. n is the length that binary.Uvarint returned: 0 for
-// truncated input, negative for overflow. outside is set if the value is out of its range.
+// truncated input, negative for overflow. outOfRange reports whether the decoded value is out of its range.
 func varintError(n int, outOfRange bool) error {
 	switch {
 	case n == 0:
--- a/internal/fleet/monitor/monitor_test.go
+++ b/internal/fleet/monitor/monitor_test.go
@@ -24,7 +24,7 @@
 
 var testBounds = Bounds{Inbox: 16, MaxProbeWait: standin.Patience}
 
-// zone contains the monitors of two fronts that exchange messages, and the channels behind their hooks.
+// zone contains the monitors of two fronts that exchange messages, and the channels to which their hooks write.
 type zone struct {
 	monitors [2]*Monitor
 	reports  [2]chan scheduler.Event
--- a/internal/lifecycle/decision.go
+++ b/internal/lifecycle/decision.go
@@ -46,7 +46,7 @@
 	return all
 }
 
-// Reason is why an operation is denied.
+// Reason is the reason why an operation is denied.
 type Reason int
 
 // The reasons. Allowed means that the operation is not denied.
@@ -112,7 +112,7 @@
 // answerBy returns the time at which all requests must be answered during a shutdown.
 func (s state) answerBy() time.Time { return s.shutdownStart.Add(s.limits.Answer) }
 
-// decide returns why an operation must not be carried out now, or Allowed. by is the operation's own deadline, zero for none.
+// decide returns why an operation must not be carried out now, or Allowed. deadline is the operation's own, zero for none.
 func (s state) decide(op Operation, now, deadline time.Time) Reason {
 	phase := s.phase(now)
 	switch op {
@@ -145,7 +145,8 @@
 	return Allowed
 }
 
-// deadline returns the deadline of a request that has the time left, which is earlier during a shutdown.
+// deadline returns the deadline of a request whose client waits for the time left: its end, or the time by which a shutdown
+// requires all answers if that is earlier.
 func (s state) deadline(now time.Time, left time.Duration) time.Time {
 	clientDeadline := now.Add(left)
 	if by := s.answerBy(); s.stopping() && by.Before(clientDeadline) {
@@ -154,8 +155,8 @@
 	return clientDeadline
 }
 
-// overdue returns by how much an operation that ended now was late, or 0. by is its deadline, zero for none. A stall of the
-// process up to the limit does not count as late.
+// overdue returns how late an operation was that ended now, or 0. deadline is the operation's own, zero for none. During a
+// shutdown its limits apply too. A stall of the process up to the limit does not count as late.
 func (s state) overdue(op Operation, now, deadline time.Time) time.Duration {
 	var late time.Duration
 	if !deadline.IsZero() {
--- a/internal/lifecycle/guard.go
+++ b/internal/lifecycle/guard.go
@@ -22,7 +22,7 @@
 	log   *slog.Logger
 	state atomic.Pointer[state]
 
-	mu        sync.Mutex // guards changes of state, and the timer
+	mu        sync.Mutex // guards the fields below and changes of state
 	endTimer  *time.Timer
 	ending    chan struct{} // closed when the Ending phase begins
 	stopping  chan struct{} // closed when a shutdown begins
@@ -115,15 +115,17 @@
 // Limits returns the limits in force.
 func (g *Guard) Limits() limits.StopLimits { return g.state.Load().limits }
 
-// Deadline returns the deadline of a request whose client waits for the time left, which is earlier during a shutdown.
+// Deadline returns the deadline of a request whose client waits for the time left: its end, or the time by which a shutdown
+// requires all answers if that is earlier.
 func (g *Guard) Deadline(left time.Duration) time.Time {
 	return g.state.Load().deadline(g.clock(), left)
 }
 
-// minWait is the minimum of BeforeKill: a process that is not killed in time still writes its answers.
+// minWait is the shortest wait that BeforeKill returns: a process that is not killed on time still writes its answers.
 const minWait = 50 * time.Millisecond
 
-// BeforeKill returns a wait that begins now, shortened during a shutdown so that it ends before SIGKILL, if there is time.
+// BeforeKill returns the given wait, which begins now. During a shutdown it is shortened to end before SIGKILL, but not below
+// minWait.
 func (g *Guard) BeforeKill(wait time.Duration) time.Duration {
 	s := g.state.Load()
 	if !s.stopping() {
@@ -132,8 +134,8 @@
 	return max(minWait, min(wait, s.shutdownStart.Add(s.limits.Kill-s.limits.HoldUp).Sub(g.clock())))
 }
 
-// Allow returns nil if an operation may be carried out now, and a *DeniedError otherwise. by is the operation's own deadline,
-// such as the time for which its client waits or the deduplication window of a retry, zero for none.
+// Allow returns nil if an operation may be carried out now, and a *DeniedError otherwise. deadline is the operation's own,
+// such as the end of the time for which its client waits or of a retry's deduplication window, zero for none.
 func (g *Guard) Allow(op Operation, deadline time.Time) error {
 	if reason := g.state.Load().decide(op, g.clock(), deadline); reason != Allowed {
 		g.denied[op].Add(1)
@@ -148,8 +150,8 @@
 	return g.state.Load().decide(op, g.clock(), time.Time{}) == Allowed
 }
 
-// Done checks an operation that was just carried out. It is a violation if the operation was later than its deadline by more
-// than the stall that is allowed for.
+// Done checks an operation that was just carried out. If it was late, by more than the longest stall of the process that the
+// limits allow for, it is counted as a violation.
 func (g *Guard) Done(op Operation, deadline time.Time) {
 	if late := g.state.Load().overdue(op, g.clock(), deadline); late > 0 {
 		g.Violated(op, "late by "+late.String())
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -21,7 +21,7 @@
 type RequestLimits struct {
 	Inbox       int           // events that may be queued for the scheduler
 	Open        int           // open requests; further ones are rejected
-	Scheduled   int           // open requests above which the scheduler sheds load, requests of the lowest value first
+	Scheduled   int           // open requests above which the scheduler sheds load, the least valuable requests first
 	PastIDs     int           // ids of finished requests that are remembered, in each of two generations
 	IDRetention time.Duration // how long the id of a finished request is remembered
 	AnswerGrace time.Duration // time after a request's deadline in which its answer is late but not lost
@@ -54,7 +54,7 @@
 	Conns         int // connections, idle ones included
 	ResponseHeads int // headers of one answer: informational ones and the final one
 	WriteTries    int // connections tried for a request that could not be written completely
-	ConnectTries  int // attempts to connect for one connection, hedged or after a reset
+	ConnectTries  int // attempts to establish one connection, hedged or after a reset
 	ProbeTries    int // health checks sent while the answer can't be parsed
 
 	ConnectTimeout time.Duration // for connecting
@@ -97,7 +97,7 @@
 	Conns         int           // connections without a complete request; above that the oldest is closed
 	CallTimeout   time.Duration // for reading a request, and for writing its answer
 	BodyBytes     int64         // largest body of a request
-	ReportTimeout time.Duration // for collecting the figures of a report
+	ReportTimeout time.Duration // for collecting the metrics of a report
 }
 
 // FileLimits bounds the SFTP server.
--- a/internal/limits/operation.go
+++ b/internal/limits/operation.go
@@ -5,7 +5,7 @@
 // A front counts as knowing what its own discovery agent knows. The agent answers at once and at no cost, or not at all while
 // discovery is down. So an unanswered watch has to be given up, and the next one begun, within the drain grace less one stall
 // of the front. WatchHold, AnswerTimeout and the longest pause take three and a half of the 4 parts of that time, which leaves
-// an eighth.
+// an eighth of it.
 const (
 	agentParts    = 4
 	minDrainGrace = 250 * time.Millisecond // the drain grace counts as at least this, and at most maxDrainGrace
@@ -14,8 +14,8 @@
 
 // Limits for one discovery that all fronts share. When 80 fronts began their watches together, it answered one first watch per
 // 30 ms; its rate for later watches was not observed. The limits use half of that rate, as far as the time allows: a front
-// counts as informed 6 s after a change and 4 s after SIGHUP, whether or not it received an answer. The slowest way to learn of
-// a change is a watch that gets no answer, or a call that fails, followed by the pause before the next call.
+// counts as informed 6 s after a change and 4 s after SIGHUP, whether or not it received an answer. A change is received latest
+// after a watch without an answer, or a call that fails, and the pause before the next call.
 const (
 	sharedSpreadPerFront = 60 * time.Millisecond
 	sharedMaxSpread      = 3 * time.Second         // first watches begin within this for any number of fronts
@@ -48,7 +48,7 @@
 }
 
 // After SIGTERM a process is killed no earlier than after its longest deadline, or stopMaxDeadline if that is shorter, plus
-// stopExtra. Within that time, SIGTERM may be noticed late by one stall, and an answer be written late by another one.
+// stopExtra. Within that time, one stall may delay the handling of SIGTERM, and another one an answer.
 const (
 	stopMaxDeadline     = 3 * time.Second
 	stopExtra           = 700 * time.Millisecond
@@ -57,7 +57,7 @@
 	stopWriteTime       = 50 * time.Millisecond            // for writing the answers that are due at the same time
 	stopServeMargin     = stopAnswerMargin + stopCloseTime // connections bring no more requests this long before the kill
 	stopCloseTime       = 150 * time.Millisecond           // for closing idle connections, and for requests already in transit
-	stopMinTime         = 20 * time.Millisecond            // a request with less is rejected, as no node answers so fast
+	stopMinTime         = 20 * time.Millisecond            // a request with less time is rejected, as no node answers so fast
 	stopAccept          = 500 * time.Millisecond
 	stopExitExtra       = 2 * time.Second // beyond the longest deadline
 	stopConnsPerRequest = 2
--- a/internal/limits/site.go
+++ b/internal/limits/site.go
@@ -6,7 +6,7 @@
 type Site struct {
 	MemoryMB   int           // memory of the process, in MiB
 	Sockets    int           // file descriptors of the process
-	Open       int           // maximum of open requests, 0 for one per client connection
+	Open       int           // maximum number of open requests, 0 for one per client connection
 	ConnIdle   time.Duration // time after which a node closes an idle connection
 	Connect    time.Duration // timeout for connecting to a node
 	Deadline   time.Duration // the longest deadline of any request
@@ -36,8 +36,8 @@
 	reservedSockets = 32 // for listeners, discovery, the console and the Go runtime
 	spareConns      = 24 // see ClientLimits.SpareConns
 	minConns        = 16 // minimum of the sockets for clients and nodes
-	nodeShare       = 3  // one in this many of the sockets for clients and nodes is for nodes
-	scheduledShare  = 4  // open requests may use one in this many of all sockets, as clients have at most a third
+	nodeShare       = 3  // nodes get 1/nodeShare of the sockets for clients and nodes
+	scheduledShare  = 4  // open requests may use 1/scheduledShare of all sockets, as clients may use at most a third
 )
 
 // Estimates of memory, in bytes.
@@ -48,7 +48,7 @@
 	headerBytes    = 16 << 10  // largest header of a message
 	idBytes        = 256       // maximum per remembered id
 	memoryPercent  = 60        // soft memory limit of the Go runtime, as a share of the process's memory
-	memoryFraction = 32        // ids, and likewise the endpoint list, take one in this many bytes of that limit
+	memoryFraction = 32        // ids, and likewise the endpoint list, may take 1/memoryFraction of that limit
 )
 
 const acceptRetry = 20 * time.Millisecond
--- a/internal/limits/traffic.go
+++ b/internal/limits/traffic.go
@@ -5,7 +5,7 @@
 const (
 	inboxPerClient = 4                      // events that may be queued for each client connection
 	minPastIDs     = 1024                   // minimum number of remembered ids
-	answerGrace    = 350 * time.Millisecond // with maxStall half a second, within which a late answer is not lost
+	answerGrace    = 350 * time.Millisecond // with maxStall 500 ms, within which a late answer is not lost
 )
 
 func requestLimits(site Site, available resources) RequestLimits {
@@ -38,7 +38,7 @@
 	clientMinIdle       = 20 * time.Millisecond
 	clientLastAnswer    = 250 * time.Millisecond
 	handshakeTimeout    = 3 * time.Second
-	handshakeShare      = 8 // one in this many client connections may be in a handshake
+	handshakeShare      = 8 // 1/handshakeShare of the client connections may be in a handshake
 	minHandshakes       = 8
 )
 
@@ -68,8 +68,8 @@
 	nodeMinTimeout   = 250 * time.Millisecond // minimum for an answer's header, and for the next part of its body
 	nodeBufferTime   = 250 * time.Millisecond
 	streamSilence    = 10 * time.Second
-	hedgesPerTimeout = 8 // hedge delays in the timeout for connecting
-	connectsPerProbe = 2 // connect timeouts in the timeout for a health check
+	hedgesPerTimeout = 8 // the hedge delay is the connect timeout divided by this
+	connectsPerProbe = 2 // a health check's timeout, in connect timeouts
 )
 
 func nodeLimits(site Site, available resources) NodeLimits {
--- a/internal/net/protocol/list.go
+++ b/internal/net/protocol/list.go
@@ -10,12 +10,12 @@
 	"otterturn/scheduler"
 )
 
-// List is an answer of discovery: the whole endpoint list, or the entries that changed.
+// List is an answer of discovery: the full endpoint list, or the entries that changed.
 type List struct {
 	Seq   int64
 	Whole bool
 	Hosts []Host
-	Odd   []string // nodes with an impossible entry, which is ignored: what was known of the node stays
+	Odd   []string // nodes with an invalid entry, which is ignored: such a node keeps its former entry
 }
 
 // Host is a node's entry: its endpoint as the scheduler knows it, and the address to connect to.
@@ -34,8 +34,8 @@
 	return -1 - int(crc32.ChecksumIEEE([]byte(name)))
 }
 
-// ParseList parses an answer of discovery. If any field can't be parsed, the whole list is rejected. An entry with a negative shard
-// or start time, or with a start after now, is impossible and ignored. If now is 0, any start time is accepted.
+// ParseList parses an answer of discovery. If any field can't be parsed, the answer is rejected as a whole. An entry with a negative
+// shard or start time, or with a start after now, is invalid and ignored. If now is 0, any start time is accepted.
 func ParseList(text []byte, zones []string, now scheduler.Micros) (List, error) {
 	var in struct {
 		Seq   *int64
--- a/internal/net/routing/core.go
+++ b/internal/net/routing/core.go
@@ -79,7 +79,7 @@
 
 	SendToPeer func(to int, a scheduler.Action) // sends a message to another front; set before Run, discards messages by default
 
-	Observer Observer // is told of attempts; set before Run, may be nil
+	Observer Observer // is notified of attempts; set before Run, may be nil
 
 	Log *slog.Logger // logs the progress of each request at level debug; set before Run, discards by default
 
--- a/internal/net/routing/observer.go
+++ b/internal/net/routing/observer.go
@@ -2,16 +2,16 @@
 
 import "otterturn/scheduler"
 
-// Observer is told of the start and end of attempts. It is called by the core's goroutine and must not block.
+// Observer is notified of the start and end of attempts. It is called by the core's goroutine and must not block.
 type Observer interface {
-	// AttemptStarted is called when the scheduler has decided on an attempt. It returns false if the observer has no
-	// room for it; AttemptEnded is not called for the attempt then.
+	// AttemptStarted is called when the scheduler has decided on an attempt. It returns false if the observer can't
+	// record it; then AttemptEnded is not called for the attempt.
 	AttemptStarted(node, id string, attempt int) bool
 	// AttemptEnded is called with the outcome of an attempt for which AttemptStarted returned true.
 	AttemptEnded(node string, e scheduler.AttemptEnded)
 }
 
-// observeStart tells the observer, if there is one, of the start of an attempt.
+// observeStart notifies the observer, if there is one, of the start of an attempt.
 func (c *Core) observeStart(inflight *inflight, start scheduler.StartAttempt) {
 	if c.Observer == nil {
 		return
@@ -23,7 +23,7 @@
 	inflight.nodes = append(inflight.nodes, node)
 }
 
-// observeEnd tells the observer of the end of an attempt.
+// observeEnd notifies the observer of the end of an attempt.
 func (c *Core) observeEnd(inflight *inflight, e scheduler.AttemptEnded) {
 	if e.Attempt < 0 || e.Attempt >= len(inflight.nodes) || inflight.nodes[e.Attempt] == "" {
 		return
--- a/internal/net/routing/observer_test.go
+++ b/internal/net/routing/observer_test.go
@@ -22,9 +22,9 @@
 	o.lines <- fmt.Sprint("end ", node, " ", e.ID, " ", e.Attempt, " ", e.Result, " ", e.Alive)
 }
 
-// The observer is told of the start and the end of each attempt, with node and number; an attempt that it did not accept has
-// no end.
-func TestObserverIsToldOfEachAttempt(t *testing.T) {
+// The observer is notified of the start and the end of each attempt, with node and number. It is not notified of the end of an
+// attempt that it did not accept.
+func TestObserverIsNotifiedOfEachAttempt(t *testing.T) {
 	settings := standin.Settings()
 	core, err := routing.New(settings, 1, standin.Limits(), func(node string) scheduler.HealthChecked {
 		return scheduler.HealthChecked{Node: node, OK: true, Queue: -1}
--- a/internal/net/routing/request.go
+++ b/internal/net/routing/request.go
@@ -57,7 +57,7 @@
 }
 
 // SubmitWhenReady submits a request when the scheduler could send it at once, or after the given time at the latest. Until
-// then the request is not accepted: it needs no answer and its time left does not run. If ctx ends first, SubmitWhenReady
+// then the request is not accepted: it needs no answer, and its time left is not reduced by the wait. If ctx ends first, SubmitWhenReady
 // returns its cause.
 func (c *Core) SubmitWhenReady(ctx context.Context, r scheduler.Request, maxWait time.Duration) (*Submission, error) {
 	s, err := c.submitRequest(r, c.clock.Now()+scheduler.Micros(maxWait/time.Microsecond))
--- a/internal/net/transport/clientlimits_test.go
+++ b/internal/net/transport/clientlimits_test.go
@@ -138,7 +138,7 @@
 			t.Errorf("%.400q: status %d, close %v", text, r.StatusCode, r.Close)
 		}
 	}
-	pipelined := dialClient(t, front) // the head begins in the data behind another request, where framing doesn't see it
+	pipelined := dialClient(t, front) // the head begins in the data after another request, which framing doesn't check
 	if r, _ := pipelined.roundTrip(t, fmt.Sprintf(requestHead, "ahead")+"\r\n"+put+"Content-Length: 4\r\n"); r.StatusCode != 200 {
 		t.Errorf("first request: status %d", r.StatusCode)
 	}
--- a/internal/net/transport/clients.go
+++ b/internal/net/transport/clients.go
@@ -19,7 +19,7 @@
 	pending      int                  // accepted connections that are not in conns yet
 	closingCount int                  // connections in conns that are to be closed or are being closed
 	handOff      func(net.Conn) error // takes over idle connections, nil while they are kept
-	changed      chan struct{}        // has a buffer of one: a connection was closed or became idle
+	changed      chan struct{}        // receives an element when a connection was closed or became idle; has a buffer of one
 }
 
 func newClientConns(l limits.Limits, guard *lifecycle.Guard) *clientConns {
@@ -60,7 +60,7 @@
 	return true
 }
 
-// markClosing marks a connection as one to close. An idle one closes when its read is interrupted, unless data arrives
+// markClosing marks a connection to be closed. An idle one closes when its read is interrupted, unless data arrives
 // first. The caller holds the lock.
 func (s *clientConns) markClosing(c *clientConn) {
 	if !c.markedClosing {
--- a/internal/net/transport/conn.go
+++ b/internal/net/transport/conn.go
@@ -63,7 +63,7 @@
 func (c *clientConn) Read(p []byte) (int, error) {
 	for {
 		if c.clients.shouldEnd(c) {
-			return 0, io.EOF // net/http takes the client for gone; Close closes the connection or hands it over
+			return 0, io.EOF // to net/http the client has left; Close closes the connection or hands it over
 		}
 		requestComplete := c.framing.isComplete()
 		switch {
@@ -179,7 +179,7 @@
 const overflowPause = time.Millisecond
 
 // bufferAhead keeps data that arrives before the current answer is written. Beyond the limit the data is dropped buffer by
-// buffer, so that the end of the connection after it is seen.
+// buffer, so that the end of the connection is still noticed.
 func (c *clientConn) bufferAhead(p []byte) {
 	if len(p) == 0 {
 		return
--- a/internal/net/transport/discovery.go
+++ b/internal/net/transport/discovery.go
@@ -15,7 +15,7 @@
 	"otterturn/scheduler"
 )
 
-// FullList as the version makes a watch begin with the whole list.
+// FullList is the version with which a watch begins with the full list.
 const FullList = -1
 
 // Watch follows discovery from version seq on until ctx ends, and calls apply with each list, never after ctx has ended. An
@@ -24,7 +24,7 @@
 //
 // A watch that failed, or was silent for too long, is reopened by a call with a hold of 0, because only an immediate answer
 // shows that discovery is available. Changes that were lost with the watch are newer than seq, so the answer contains them.
-// A list with a version below seq is not applied. Discovery may have been restarted, so the whole list is requested next,
+// A list with a version below seq is not applied. Discovery may have been restarted, so the full list is requested next,
 // and that one is applied.
 //
 // now is the front's clock, which does not follow steps of the system clock. No node has started later than now.
@@ -89,7 +89,7 @@
 // clockSlack is how far a node's clock may be ahead of this machine's.
 const clockSlack = time.Minute
 
-// fetchList requests the changes since a version, or the whole list. Discovery may hold the answer for up to hold.
+// fetchList requests the changes since version seq, or the full list. Discovery may delay the answer for up to hold.
 func fetchList(ctx context.Context, client *http.Client, addr string, seq int64, hold time.Duration, zones []string,
 	l limits.Limits, now func() scheduler.Micros,
 ) (protocol.List, error) {
--- a/internal/net/transport/exchange.go
+++ b/internal/net/transport/exchange.go
@@ -101,7 +101,7 @@
 }
 
 // encodeForNow encodes a request with the time that its client has left now. Opening a connection may take long, and a node
-// that is told an earlier value would work for longer than the client waits.
+// that receives an earlier value would work for longer than the client waits.
 func encodeForNow(ctx context.Context, r *http.Request) ([]byte, error) {
 	if deadline, ok := ctx.Deadline(); ok {
 		protocol.SetLeft(r.Header, time.Until(deadline))
@@ -165,8 +165,8 @@
 	case err != nil:
 		return nil, scheduler.AttemptEnded{Result: scheduler.Reset, Alive: s.Reconnect(a.Node)}, true
 	}
-	// The node's work is over with its first byte. How long the rest took to arrive says nothing about its queue: counted as
-	// latency, slowly arriving answers closed every budget.
+	// The node has done its work when the first byte arrives. The time until the rest has arrived says nothing about its queue:
+	// when it was counted as latency, answers that arrived slowly closed every budget.
 	result = protocol.ParseOutcome(resp.StatusCode, resp.Header)
 	result.Latency = toMicros(firstByte.Sub(startedAt))
 	return resp, result, true
--- a/internal/net/transport/front.go
+++ b/internal/net/transport/front.go
@@ -90,10 +90,10 @@
 	}
 }
 
-// ClassNames returns the class names by number, including removed classes.
+// ClassNames returns the names of the classes, indexed by class number, including removed classes.
 func (f *Front) ClassNames() []string { return f.settings.Load().Names }
 
-// PlanNames returns the plan names by number, including removed plans.
+// PlanNames returns the names of the plans, indexed by plan number, including removed plans.
 func (f *Front) PlanNames() []string { return f.settings.Load().PlanNames }
 
 // Serve accepts clients until Stop. For TLS, l is a Handshakes listener.
@@ -154,7 +154,7 @@
 	f.answer(answer, r, inbound, current.Scheduler.Plans)
 }
 
-// answer gets a complete request answered.
+// answer sends a complete request to the nodes once it is admitted, and writes the final answer.
 func (f *Front) answer(w http.ResponseWriter, r *http.Request, inbound inboundRequest, plans []scheduler.Plan) {
 	release, err := f.admit(r, &inbound, plans)
 	if err != nil {
--- a/internal/net/transport/listener.go
+++ b/internal/net/transport/listener.go
@@ -111,8 +111,8 @@
 	return true
 }
 
-// setPaused leaves new connections to other processes that listen on the same socket, or waiting in the kernel. If paused is
-// false, they are accepted again.
+// setPaused stops accepting connections, or resumes it if paused is false. While accepting is paused, new connections go to other
+// processes that listen on the same socket, or wait in the kernel.
 func (l *listener) setPaused(paused bool) {
 	tcp, ok := l.Listener.(*net.TCPListener)
 	if !ok {
--- a/internal/net/transport/peers.go
+++ b/internal/net/transport/peers.go
@@ -104,7 +104,7 @@
 			}
 			continue
 		}
-		if err != nil { // a message to a peer that is gone makes the next read fail
+		if err != nil { // a message to a peer whose process has ended makes the next read fail
 			sleep(ctx, p.retryDelay)
 			continue
 		}
--- a/internal/net/transport/races_test.go
+++ b/internal/net/transport/races_test.go
@@ -23,7 +23,7 @@
 // of events.
 
 // The only connection to the node is in use, so the second attempt waits for it as for one that takes long to open. Its
-// client leaves meanwhile, after sending any amount of data behind its request. The end of the connection was once noticed
+// client leaves meanwhile, after sending any amount of data after its request. The end of the connection was once noticed
 // only if no such data came before it, and the attempt was made when there was a connection.
 func TestNoAttemptBeginsAfterClientLeft(t *testing.T) {
 	for name, leave := range map[string]func(c *testClient){
--- a/internal/net/transport/sftp/front.go
+++ b/internal/net/transport/sftp/front.go
@@ -57,7 +57,7 @@
 	return f
 }
 
-// byProject counts a project's commands by result.
+// counters counts a project's commands by result.
 type counters struct{ served, refused, failed atomic.Int64 }
 
 // Count is a snapshot of a project's counters.
--- a/internal/net/transport/shutdown.go
+++ b/internal/net/transport/shutdown.go
@@ -25,7 +25,7 @@
 		if setMaxOpen != nil && remaining > 0 && !yielded {
 			setMaxOpen(max(1, remaining/f.limits.Stop.ConnsPerRequest))
 		}
-		accepted := false // all connections that waited in the kernel
+		accepted := false // whether all connections that waited in the kernel have been accepted
 		if !f.guard.Permits(lifecycle.Accept) {
 			accepted = f.drainListener()
 		}
@@ -51,7 +51,7 @@
 	f.clients.handOffIdle(takeOver)
 }
 
-// Pause leaves new connections in the kernel, or accepts them again if paused is false.
+// Pause stops accepting connections, which then wait in the kernel, or resumes it if paused is false.
 func (f *Front) Pause(paused bool) {
 	if l := f.listener.Load(); l != nil {
 		l.setPaused(paused)
@@ -65,8 +65,8 @@
 	f.Pause(false)
 }
 
-// drainListener accepts no more connections for good, after those waiting in the kernel. It reports whether these were
-// accepted.
+// drainListener accepts the connections that wait in the kernel, and none after them. It reports whether that has been
+// done.
 func (f *Front) drainListener() bool {
 	l := f.listener.Load()
 	return l == nil || l.drain()
--- a/internal/net/transport/upload.go
+++ b/internal/net/transport/upload.go
@@ -36,14 +36,14 @@
 
 var buffers bufferPool
 
-// upload is a long request that was sent to a node except for its end. A node begins a request when its last byte arrives,
-// so the scheduler decides only whether the end is sent, when the client's last byte has arrived, as with any other request.
-// The bytes that were sent are not kept, so no other node can get the request.
+// upload is a long request that was sent to a node except for its end. A node begins to carry out a request when its last
+// byte arrives. The scheduler decides on the request when the client's last byte has arrived, as on any other request: if an
+// attempt starts, the end is sent. The bytes that were sent are not kept, so no other node can get the request.
 type upload struct {
 	node      string
 	conn      *nodes.Conn[*stream]
 	request   *http.Request
-	unsentEnd []byte // the end, which is not sent yet
+	unsentEnd []byte // the end of the request as it will be written
 	guard     *lifecycle.Guard
 	release   func(reusable bool)
 }
@@ -83,7 +83,7 @@
 	buffer := buffers.Get()
 	defer buffers.Put(buffer)
 	for {
-		for ; len(bodyStart) > len(buffer); bodyStart = bodyStart[len(buffer):] { // it is one byte longer than a buffered body may be
+		for ; len(bodyStart) > len(buffer); bodyStart = bodyStart[len(buffer):] { // bodyStart is one byte longer than the largest buffered body
 			body.Write(bodyStart[:len(buffer)])
 			if err := u.write(&pending, l); err != nil {
 				return err
@@ -143,7 +143,7 @@
 	}
 }
 
-// finishUpload writes the end of a long request and reads the answer. It can do so once.
+// finishUpload writes the end of a long request and reads the answer. The result of any further call is NotStarted.
 func (s *Nodes) finishUpload(ctx context.Context, a routing.Attempt, u *upload) (*http.Response, scheduler.AttemptEnded) {
 	if u.node != a.Node || u.release == nil || a.Permitted() != nil {
 		return nil, scheduler.AttemptEnded{Result: scheduler.NotStarted}
@@ -180,5 +180,5 @@
 	return nil
 }
 
-// errNoNodeAvailable says that no node can take a request now.
+// errNoNodeAvailable is returned if no node can take a request now.
 var errNoNodeAvailable = errors.New("no node can take the request")
--- a/internal/program/operator_settings.go
+++ b/internal/program/operator_settings.go
@@ -90,7 +90,7 @@
 	return out
 }
 
-// currentNodeList returns the node list with the address that dial chooses for each node.
+// nodeList returns the operator's nodes as a full list, with the address that dial chooses for each node.
 func (o *Operator) nodeList(dial func(sftp, http string) string) protocol.List {
 	out := protocol.List{Whole: true}
 	for _, n := range o.Nodes {
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -13,7 +13,7 @@
 	"otterturn/internal/net/transport"
 )
 
-// classRetention is how long clients may still name a class that a reload removed, as they learn of it late.
+// classRetention is how long clients may still name a class that a reload removed: they are informed of the reload late.
 const classRetention = 2 * time.Second
 
 func readConfig(path string) (protocol.Config, []byte, error) {
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -50,7 +50,7 @@
 // nodeAccepts reports whether a node may be sent its next request. The node's own queue has no priorities,
 // so requests of a low rank wait here until that queue is short.
 func (s *Scheduler) nodeAccepts(n *node, r *request, rank int) bool {
-	if n.isOutlier() { // for any rank: a waiting request becomes late, and late ones wait for others
+	if n.isOutlier() { // at any rank: a waiting request becomes late, and late ones are sent after all others
 		return len(n.pending) == 0
 	}
 	units, count, silent := s.outstanding(n)
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -49,15 +49,15 @@
 
 // The kinds of Result. After QueueFull, Unreachable, NotStarted and Expired it is certain that the attempt never ran.
 const (
-	OK Result = iota
-	Errored
-	QueueFull
-	TimedOut
-	Unreachable
-	Reset
-	Cancelled
-	NotStarted
-	Expired // the node found the request's deadline passed, which reveals nothing about its health
+	OK          Result = iota // the node served the request
+	Errored                   // the node answered with an error
+	QueueFull                 // the node rejected the request because its queue is full
+	TimedOut                  // no answer came in time
+	Unreachable               // the request could not be written completely to any connection
+	Reset                     // the connection broke after the request was written
+	Cancelled                 // a CancelAttempt ended it
+	NotStarted                // it did not begin
+	Expired                   // the node found the request's deadline passed, which reveals nothing about its health
 )
 
 // String returns the result's name in logs.
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -7,7 +7,7 @@
 
 const ms Micros = 1000
 
-// testSettings returns round figures that no deployment uses.
+// testSettings returns settings for tests. Their values are round numbers that no deployment uses.
 func testSettings() Settings {
 	return Settings{
 		Fronts: 2, Tick: ms,
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -15,7 +15,7 @@
 	case Expired:
 		n.markAnswered(s.now)
 	case QueueFull:
-		// A full queue takes long to drain: requests sent before would be rejected again or be late.
+		// A full queue takes long to drain: requests sent earlier than that would be rejected again or be late.
 		n.markAnswered(s.now)
 		n.backoffUntil = s.now + queueFullPause*s.minObjective
 		n.Budget = max(n.Budget/2, s.settings.MeanUnits)
@@ -130,8 +130,8 @@
 }
 
 // normalizeLatency scales a latency to a request of mean size. Otherwise small requests, and retries that
-// the node has cached, would set a minimum that no other request reaches. The time per unit is a low
-// quantile, the rest of a latency is waiting time.
+// the node has cached, would set a minimum that no other request reaches. The time per unit is estimated
+// as a low quantile; the rest of a latency is waiting time.
 func (n *node) normalizeLatency(latency, units, meanUnits float64) float64 {
 	n.UnitTime = quantile.Low(n.UnitTime, latency/units)
 	waiting := max(0, latency-units*n.UnitTime)
--- a/scheduler/learned.go
+++ b/scheduler/learned.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// Forget drops what was learned of a node or a volume, at an operator's request. An empty name stands for none. The
+// Forget drops what was learned of a node or a volume, at an operator's request. An empty name means none. The
 // limit's bucket of the volume is emptied: otherwise the volume could draw again what it has drawn already.
 func (s *Scheduler) Forget(node, volume string) {
 	if n := s.nodesByName[node]; n != nil {
@@ -100,7 +100,7 @@
 }
 
 // ImportLearned takes over what a former process learned, before the first request. Nodes must be in the endpoint list
-// with the same start, others are ignored. Budgets are taken over unchanged: the caller must make sure that no node gets
+// with the same start; others are ignored. Budgets are taken over unchanged: the caller must make sure that no node gets
 // a larger budget than an unknown one.
 func (s *Scheduler) ImportLearned(now Micros, l Learned) {
 	s.now = max(s.now, now)
--- a/scheduler/nodes.go
+++ b/scheduler/nodes.go
@@ -22,7 +22,7 @@
 }
 
 // isOutlier reports whether most of a node's answers are errors. An outlier is sent one request at a time,
-// a while after its last error, and no new objects.
+// not before half the shortest objective has passed since its last error, and no new objects.
 func (n *node) isOutlier() bool { return n.ErrorRate > outlierErrorRate }
 
 // silenceTimeout returns the time without any answer after which a node counts as silent.
@@ -155,9 +155,10 @@
 	}
 }
 
-// needsCheckFirst reports whether a health check precedes a request: slow answers are not rare or the node
-// was slow, and there was no news of the node for a slow interval. Otherwise each of many fronts would find
-// out by a slow request of its own that a node is overloaded, and never that it has recovered.
+// needsCheckFirst reports whether a health check must precede a request. It must if slow answers are not rare
+// or the node was slow, and neither an answer nor a check's result has come for a slow interval. Otherwise
+// each of many fronts would notice an overloaded node only by a slow request of its own, and would not notice
+// that it has recovered.
 func (s *Scheduler) needsCheckFirst(n *node) bool {
 	slow := s.slowShare > 1.0/slowShareSamples || n.SmoothedLatency > float64(s.minObjective)
 	outdated := s.now > max(n.LatencyUpdated, n.lastCheckResult)+slowInterval
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -11,8 +11,8 @@
 )
 
 // nextRequest implements mClock: it returns the request with the earliest due reservation tag, otherwise
-// the one with the smallest weight tag. Requests that miss their objective come after all others, and
-// requests larger than maxUnits are skipped.
+// the one with the smallest weight tag, and the request's rank. Requests that miss their objective come
+// after all others, and requests larger than maxUnits are skipped.
 func (s *Scheduler) nextRequest(n *node, sh *shard, maxUnits float64) (best *request, bestRank int) {
 	bestRank, bestTag := rankNone, 0.0
 	for f := range sh.busyFlows.All {
@@ -57,14 +57,16 @@
 // priorityDeficit returns by how much a request's priority is below the highest one, from 0 to 1.
 func (s *Scheduler) priorityDeficit(r *request) float64 { return 1 - r.class.Priority/s.maxPriority }
 
-// servedBefore orders the requests of a flow: by higher priority, then by later objective. In order of
-// arrival, an overloaded flow would answer all requests just as their objectives end.
+// servedBefore reports whether a precedes b in their flow: requests of higher priority come first, then those
+// with later objectives. In order of arrival, an overloaded flow would answer all requests just as their
+// objectives end.
 func servedBefore(a, b *request) bool {
 	byPriority := cmp.Compare(b.class.Priority, a.class.Priority)
 	return cmp.Or(byPriority, cmp.Compare(b.objectiveAt, a.objectiveAt)) < 0
 }
 
-// flowHead returns the flow's next request that may start. It misses its objective only if all of them do.
+// flowHead returns the flow's next request that may start, nil if none may, and whether it misses its
+// objective. Such a request is returned only if all that may start miss theirs.
 func (s *Scheduler) flowHead(n *node, f *flow, maxUnits float64) (best *request, bestLate bool) {
 	bestLate = true
 	for _, r := range f.queued {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -25,7 +25,8 @@
 	return shard
 }
 
-// placementScore is lower for a node that has more of its budget left and answers sooner.
+// placementScore returns a node's score for a new object. It is lower for a node that has more of its budget
+// left and answers sooner.
 func (s *Scheduler) placementScore(n *node, r *request) float64 {
 	load := n.outstandingUnits + s.shardFor(n.Shard).queuedUnits
 	score := (load + r.Units) / n.Budget * (1 + placementNoise*s.rng.Float64())
--- a/scheduler/rejection.go
+++ b/scheduler/rejection.go
@@ -7,7 +7,7 @@
 
 // rejectUnservable rejects queued requests that may not be sent again or can't be answered in time. Others
 // wait until the last step that certainly precedes their deadline. A request that was never sent waits for
-// half of its time, so that its client has time to retry.
+// at most half of its time left, so that its client has time to retry.
 func (s *Scheduler) rejectUnservable() {
 	margin := timerTicks*s.settings.Tick + s.sendMargin()
 	for sh := range s.busyShards.All {
@@ -73,8 +73,8 @@
 	return rankReserved
 }
 
-// estimateAnswer returns the earliest time at which a queued request can be answered. A missing or silent
-// node is expected to stay so for as long as it has been.
+// estimateAnswer returns the earliest time at which a queued request can be answered. A node that is
+// missing or silent is expected to stay so for as long again as it has been.
 func (s *Scheduler) estimateAnswer(sh *shard, r *request) Micros {
 	n := sh.activeNode
 	switch {
@@ -88,7 +88,7 @@
 		answerAt = max(answerAt, s.now+s.unansweredFor(n))
 	}
 	answerAt += Micros(r.Units * n.UnitTime)
-	if s.missesObjective(n, r) { // it waits for all others
+	if s.missesObjective(n, r) { // late requests are sent after all others
 		queueTime := n.SmoothedLatency * (n.outstandingUnits + sh.queuedUnits) / n.Budget
 		answerAt = max(answerAt, s.now+Micros(queueTime))
 	}
@@ -99,8 +99,8 @@
 	return answerAt
 }
 
-// finish gives the final answer: a Reject only if a retry by the client is safe, with the expected time
-// until the request can be served.
+// finish ends a request with its final answer: a Reject with the expected wait until it can be served, or a
+// Fail if a retry by the client would be unsafe.
 func (s *Scheduler) finish(r *request, wait Micros, reason Reason) {
 	neverRan := r.mayHaveRun == nil && r.outstanding == 0
 	class := r.class
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -57,7 +57,7 @@
 	return Request{Class: r.Class, Volume: r.Volume, Key: r.Key, Units: r.Units}
 }
 
-// sendMargin is the time before its deadline from which a request is not sent any more.
+// sendMargin returns how long before its deadline a request is no longer sent.
 func (s *Scheduler) sendMargin() Micros { return 2 * s.settings.Tick }
 
 // attemptEnded handles the outcome of an attempt: the node's control loops learn from it, and the request
@@ -85,7 +85,7 @@
 }
 
 // removePending removes a request from those outstanding at a node. An answer overtakes all requests that
-// were sent before it.
+// were sent before the answered one.
 func (s *Scheduler) removePending(n *node, r *request, result Result) {
 	i := slices.Index(n.pending, r)
 	if i < 0 {
@@ -128,7 +128,7 @@
 	return attemptsLeft && inWindow
 }
 
-// closeRequest removes a request once it has no outstanding attempt. Until then it blocks its key.
+// closeRequest removes a request once it has no outstanding attempt. Until then the request blocks its key.
 func (s *Scheduler) closeRequest(r *request) {
 	s.dequeue(r)
 	r.finished = true
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -41,7 +41,7 @@
 	maxAttempts      int         // maximum number of attempts of a request, 0 for no bound
 }
 
-// Plan is the service that a volume has bought. Its figures apply to all fronts and nodes together.
+// Plan is the service that a volume has bought. Its values apply to all fronts and nodes together.
 type Plan struct {
 	Reservation float64 // reserved units per second, 0 for none
 	Weight      float64 // relative share of the capacity beyond the reservations
@@ -68,15 +68,15 @@
 	HealthChecks   bool `cbor:"Probing"`  // health checks are allowed
 	CancelAttempts bool `cbor:"Cancel"`   // attempts may be cancelled
 
-	ServeLate bool `cbor:"LateWanted"` // late answers still have a value: late requests are sent to nodes without outstanding ones
+	ServeLate bool `cbor:"LateWanted"` // late answers still have a value: late requests are sent to nodes without outstanding requests
 
 	RetryAfter    bool   // clients are told when to retry
-	MaxRetryAfter Micros // longest time that clients heed
+	MaxRetryAfter Micros // longest time to retry that clients observe
 
-	InitialCapacity  float64 `cbor:"ColdFrom"`     // share of its capacity that a node has when it starts
+	InitialCapacity  float64 `cbor:"ColdFrom"`     // share of its full capacity that a node has when it starts
 	SlowStart        Micros  `cbor:"Ramp"`         // time after which a started node has its full capacity at the latest
-	OverloadMultiple float64 `cbor:"FallMultiple"` // a starting node fails if it is sent this multiple of its capacity
-	OverloadSpan     Micros  `cbor:"FallSpan"`     // if that lasts for this time
+	OverloadMultiple float64 `cbor:"FallMultiple"` // a starting node fails if it is sent this multiple of its capacity for OverloadSpan
+	OverloadSpan     Micros  `cbor:"FallSpan"`     // time after which such an overload makes the node fail
 	SlowStartUnits   float64 `cbor:"ColdUnits"`    // units within OverloadSpan, over all fronts, that a starting node always withstands
 	KeyPause         Micros  `cbor:"KeyRest"`      // pause of a key after an attempt that may still run
 	RetryBudgetSpan  Micros  `cbor:"RetrySpan"`    // window of the retry budget, 0 for no budget
@@ -87,7 +87,7 @@
 	RecordLifetime Micros `cbor:"LeaseLast"` // time for which a record may be read back after it was made
 }
 
-// validate completes the settings. The error names the invalid field.
+// validate normalizes the settings and returns an error that names the first invalid field.
 func (s *Settings) validate() error {
 	s.Fronts = max(s.Fronts, 1)
 	if !s.RetryAfter {
--- a/scheduler/setup.go
+++ b/scheduler/setup.go
@@ -93,7 +93,7 @@
 }
 
 // Reconfigure applies other classes, plans, attempts and request sizes, completely or not at all. Classes and plans keep
-// their indexes, new ones are appended. Open requests keep their class as it was. Settings of other fronts, the clock and
+// their indexes; new ones are appended. Open requests keep their class as it was. Settings of other fronts, the clock and
 // slow start keep their initial values.
 func (s *Scheduler) Reconfigure(settings Settings) error {
 	old := s.settings
