--- a/cmd/otterturn/reload_test.go
+++ b/cmd/otterturn/reload_test.go
@@ -12,8 +12,9 @@
 	"otterturn/internal/standin"
 )
 
-// SIGHUP must not end the program. It switches to the discovery address in the reloaded file, whose versions start again at a
-// low number. An invalid file changes nothing, and SIGTERM immediately after SIGHUP still ends the program with status 0.
+// Guards against a program that ends at SIGHUP. The signal switches to the discovery address in the reloaded file, whose versions
+// may start again at a low number. An invalid file changes nothing, and SIGTERM immediately after SIGHUP still ends the program
+// with status 0.
 func TestReloadSwitchesDiscovery(t *testing.T) {
 	list := `{"seq":%d,"whole":true,"hosts":[{"host":%q,"dial":%q,"site":"a","block":0,"health":"up","born_ms":0}]}`
 	discovery := func(seq int, host string) (addr string, calls chan string) {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -25,8 +25,8 @@
 
 // Config bounds a queue. Times are in microseconds.
 type Config struct {
-	Room          int   // maximum of requests admitted at the same time
-	Waiting       int   // maximum of waiting requests
+	Room          int   // maximum number of requests admitted at the same time
+	Waiting       int   // maximum number of waiting requests
 	MaxRetryAfter int64 // longest time after which clients of rejected requests are told to retry
 }
 
@@ -51,7 +51,7 @@
 	rate      float64 // cost released per microsecond while the maximum of requests is admitted
 	meanHeld  float64 // mean time between admission and release, in microseconds
 	meanCost  float64 // mean cost of released requests
-	// Queues whose rejected requests were told when to retry, ordered by the last of these times, and their number.
+	// Queues that have promised retry times to rejected requests, ordered by the last of these times, and their number.
 	promised timers.Timers[int64, *project]
 	claims   int
 }
@@ -63,7 +63,7 @@
 	count         int
 	cost          float64 // of its waiting requests
 	promise       timers.Timer[int64, *project]
-	claims        bool  // a rejected request was told a time to retry that has not passed
+	claims        bool  // a rejected request was promised a retry time that has not passed
 	promisedUntil int64 // the last such time
 	clients       [clients]client
 }
--- a/internal/admission/retryafter.go
+++ b/internal/admission/retryafter.go
@@ -41,7 +41,7 @@
 // and those that were promised a time to the same project before. Each project with a promised time has an equal share of the
 // rate at which requests leave, so a flood delays only its own retries. The time is spread at random by up to a twentieth in
 // both directions, so that requests which are rejected together are not retried together. With a spread in one direction, the
-// last of them came back a tenth late and capacity was unused until then.
+// last of them were retried a tenth late and capacity was unused until then.
 func (q *Queue) retryAfter(now int64, p *project, cost float64) int64 {
 	for due, ok := q.promised.Due(now); ok; due, ok = q.promised.Due(now) {
 		due.claims, q.claims = false, q.claims-1
--- a/internal/fleet/health/attempts.go
+++ b/internal/fleet/health/attempts.go
@@ -93,12 +93,12 @@
 	n.meanLatency += (latency - n.meanLatency) / latencySmoothing
 }
 
-// stallTimeout is the time without an answer after which a node with outstanding attempts is suspected.
+// stallTimeout returns the time without an answer after which a node with outstanding attempts is suspected.
 func (m *Monitor) stallTimeout(n *node) scheduler.Micros {
 	return max(m.config.SuspectAfter, stallFactor*n.meanLatency)
 }
 
-// stallDeadline is the time at which a node is suspected unless it answers before. It is forever if no
+// stallDeadline returns the time at which a node is suspected unless it answers before. It is forever if no
 // attempt is outstanding or the node is suspected or avoided already.
 func (m *Monitor) stallDeadline(n *node) scheduler.Micros {
 	if n.outstanding == 0 || !n.running() || n.investigation != nil && (n.avoided || n.suspected) {
--- a/internal/fleet/health/config.go
+++ b/internal/fleet/health/config.go
@@ -99,13 +99,13 @@
 	return len(zones) * c.Probers
 }
 
-// maxProbeInterval is the maximum time between two probes of a node by one of its probers: the result of a probe must reach
+// maxProbeInterval returns the maximum time between two probes of a node by one of its probers: the result of a probe must reach
 // all fronts before the result of the last one expires.
 func (c Config) maxProbeInterval() scheduler.Micros {
 	return min(maxProbeInterval, c.EvidenceLifetime/repeatsPerLifetime)
 }
 
-// intervalPerProber is the time between two probes of one prober that keeps the total rate of all probers at ProbesPerNode.
+// intervalPerProber returns the time between two probes of one prober that keeps the total rate of all probers at ProbesPerNode.
 func (c Config) intervalPerProber() scheduler.Micros {
 	return scheduler.Micros(float64(c.probersOfAllZones()) / c.ProbesPerNode * microsPerSecond)
 }
--- a/internal/fleet/health/evidencerequest.go
+++ b/internal/fleet/health/evidencerequest.go
@@ -64,7 +64,7 @@
 	return int(lackingFor / takeoverAfter)
 }
 
-// requestAge is the age above which evidence is no longer sufficient. It differs between fronts, so that they do not all
+// requestAge returns the age above which evidence is no longer sufficient. It differs between fronts, so that they do not all
 // send requests at the same time.
 func (m *Monitor) requestAge(n *node) scheduler.Micros {
 	spread := float64(m.config.EvidenceLifetime-m.config.freshEvidenceAge()) / 2
--- a/internal/fleet/health/probing.go
+++ b/internal/fleet/health/probing.go
@@ -11,7 +11,7 @@
 	pausedAfter      scheduler.Micros = 500_000   // a timer that fires later than this indicates that this front was paused
 )
 
-// pausedAfter is the delay of a timer above which this front counts as paused. It is at most half of ProbeTimeout, because
+// pausedAfter returns the delay of a timer above which this front counts as paused. It is at most half of ProbeTimeout, because
 // during a longer pause a probe could time out although its answer is waiting to be read.
 func (c Config) pausedAfter() scheduler.Micros { return min(pausedAfter, c.ProbeTimeout/2) }
 
--- a/internal/fleet/health/schedulerprobe.go
+++ b/internal/fleet/health/schedulerprobe.go
@@ -79,7 +79,7 @@
 	return forever
 }
 
-// waitUntil is the time at which this front stops waiting for other fronts and probes for its scheduler: immediately if it
+// waitUntil returns the time at which this front stops waiting for other fronts and probes for its scheduler: immediately if it
 // expects no evidence from others, otherwise the later the lower its rank.
 func (m *Monitor) waitUntil(n *node) scheduler.Micros {
 	rankDelay := (float64(min(n.rank/m.config.Probers, maxRequestRounds)) + hashFraction(m.config.Self, n.key)) *
--- a/internal/fleet/health/verdict.go
+++ b/internal/fleet/health/verdict.go
@@ -59,7 +59,7 @@
 	return next
 }
 
-// freshEvidenceAge is the age up to which evidence is fresh. A front requests newer evidence after that, before the old
+// freshEvidenceAge returns the age up to which evidence is fresh. A front requests newer evidence after that, before the old
 // evidence expires.
 func (c Config) freshEvidenceAge() scheduler.Micros { return c.EvidenceLifetime * 3 / 4 }
 
--- a/internal/fleet/monitor/counters.go
+++ b/internal/fleet/monitor/counters.go
@@ -12,7 +12,7 @@
 const (
 	DropUnknownSender health.Drop = "no peer"    // the sender's address belongs to no front
 	DropTooLong       health.Drop = "too long"   // it exceeds the maximum size of a message
-	DropUnknownKind   health.Drop = "of no kind" // it is neither a health message nor a message between limiters
+	DropUnknownKind   health.Drop = "of no kind" // it is neither a health message nor a scheduler message
 )
 
 // Counters contains the counters of the monitor core and of its shell.
--- a/internal/net/protocol/settings.go
+++ b/internal/net/protocol/settings.go
@@ -90,20 +90,20 @@
 	Classes     []string        // by the scheduler's index; "" for a class that is no longer configured
 	Names       []string        // the same, with the names of classes that are no longer configured
 	PlanNames   []string        // the same for plans
-	MaxWaits    []time.Duration // by class, the longest that its clients wait
+	MaxWaits    []time.Duration // by class, the longest time that its clients wait
 	Writes      []bool          // by class, whether its requests write; empty if unknown
 	Plans       []string
 	Zones       []string
-	Shards      int    // number of shards; their indexes start at 0
-	LoadReports bool   // probes are answered with a load report
-	LoadQueue   string // field of the load report with the number of queued requests, "" if there is none
-	MaxOpen     int    // maximum number of open requests, 0 for no limit
-	Askers      int    // number of fronts that share one discovery and have to ask it; 0 if changes are pushed to an agent
-	ConnIdle    time.Duration
-	Connect     time.Duration
-	LongestWait time.Duration // the longest that a client of any class waits
+	Shards      int           // number of shards; their indexes start at 0
+	LoadReports bool          // probes are answered with a load report
+	LoadQueue   string        // field of the load report with the number of queued requests, "" if there is none
+	MaxOpen     int           // maximum number of open requests, 0 for no limit
+	Askers      int           // number of fronts that share one discovery and have to ask it; 0 if changes are pushed to an agent
+	ConnIdle    time.Duration // time after which a node closes an idle connection
+	Connect     time.Duration // timeout for connecting to a node
+	LongestWait time.Duration // the longest time that a client of any class waits
 	DrainGrace  time.Duration // time within which a drain must take effect after its announcement, 0 if unknown
-	Retry       time.Duration // longest Retry-After that clients follow
+	Retry       time.Duration // longest Retry-After that clients observe
 }
 
 // ParseSettings parses a settings object. Unknown keys are ignored. The settings of the connections may be missing.
--- a/internal/net/routing/core_test.go
+++ b/internal/net/routing/core_test.go
@@ -174,7 +174,7 @@
 }
 
 // Clients may leave at any time, also between the scheduler's decision and the start of the attempt. The scheduler must be
-// told of the end of each attempt, or it would count it as outstanding forever and send the node no more requests.
+// notified of the end of each attempt, or it would count it as outstanding forever and send the node no more requests.
 func TestClientsLeavingAtAnyTime(t *testing.T) {
 	core := newCore(t)
 	serve := func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
--- a/internal/net/transport/answerwriter.go
+++ b/internal/net/transport/answerwriter.go
@@ -41,5 +41,5 @@
 	return w.ResponseWriter.Write(p)
 }
 
-// Unwrap gives http.ResponseController access to the wrapped writer.
+// Unwrap returns the wrapped writer, for http.ResponseController.
 func (w *answerWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/net/transport/discovery_test.go
+++ b/internal/net/transport/discovery_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// A list older than the known one is not applied. Discovery may have been restarted, so the whole list is requested and
-// decides.
+// A list older than the known one is not applied. Discovery may have been restarted, so the full list is requested and
+// applied.
 func TestOlderListIsNotApplied(t *testing.T) {
 	calls, lists, logged := startWatch(t, func(*limits.Limits) {}, func(n int64, query string) string {
 		switch {
--- a/internal/net/transport/evict.go
+++ b/internal/net/transport/evict.go
@@ -27,8 +27,8 @@
 }
 
 // closeOneEnding frees a slot at once: it closes a connection whose last answer was written, though the client may still be
-// reading it. A connection with unread bytes is kept, as closing it would reset it and discard that answer. The caller holds
-// the lock.
+// reading it. It reports whether there was one. A connection with unread bytes is kept, as closing it would reset it and discard
+// that answer. The caller holds the lock.
 func (s *clientConns) closeOneEnding() bool {
 	for c := range s.conns {
 		if c.stage == stageEnding && !c.hasUnreadInput() {
--- a/internal/net/transport/exchange_test.go
+++ b/internal/net/transport/exchange_test.go
@@ -46,7 +46,7 @@
 }
 
 // A connection that breaks during a request says little about the node; whether the node accepts another connection shows
-// whether it is alive. Without that check the scheduler would take the node for dead.
+// whether it is alive. Without that check the scheduler would treat the node as restarted.
 func TestResetReportsWhetherNodeIsAlive(t *testing.T) {
 	conns := make(chan net.Conn, 4)
 	addr := standin.Peer(t, func(_ int, c net.Conn) {
--- a/internal/net/transport/nodes/nodes.go
+++ b/internal/net/transport/nodes/nodes.go
@@ -97,7 +97,7 @@
 	return event
 }
 
-// closeIdleOf closes a node's idle connections. The lock is held.
+// closeIdleOf closes a node's idle connections. The caller holds the lock.
 func (p *Pool[T]) closeIdleOf(n *node[T]) {
 	if n == nil {
 		return
@@ -108,19 +108,19 @@
 	n.idle = nil
 }
 
-// closeConn closes a connection. The lock is held.
+// closeConn closes a connection. The caller holds the lock.
 func (p *Pool[T]) closeConn(c *Conn[T]) {
 	c.Close()
 	p.decrementOpen()
 }
 
-// decrementOpen removes a connection from the count. The lock is held.
+// decrementOpen removes a connection from the count. The caller holds the lock.
 func (p *Pool[T]) decrementOpen() {
 	p.open--
 	p.notifyPlaceFreed()
 }
 
-// notifyPlaceFreed wakes the callers that wait for a place. The lock is held.
+// notifyPlaceFreed wakes the callers that wait for a place. The caller holds the lock.
 func (p *Pool[T]) notifyPlaceFreed() {
 	close(p.placeFreed)
 	p.placeFreed = make(chan struct{})
@@ -191,7 +191,8 @@
 	return reservation[T]{node: n, dial: n.Dial}, nil
 }
 
-// closeLongestIdle closes the connection that has been idle longest, of all nodes, and reports whether there was one. The lock is held.
+// closeLongestIdle closes the connection that has been idle longest, of all nodes, and reports whether there was one. The caller
+// holds the lock.
 func (p *Pool[T]) closeLongestIdle() bool {
 	var longest *node[T]
 	for _, n := range p.byName {
--- a/internal/net/transport/nodes/state.go
+++ b/internal/net/transport/nodes/state.go
@@ -24,7 +24,7 @@
 // Running reports whether a node in this state may get new requests.
 func Running(state scheduler.NodeState) bool { return state == scheduler.Running }
 
-// AnyState accepts a node in any state. Health checks use it.
+// AnyState returns true for every state. Health checks use it, as they apply to nodes in any state.
 func AnyState(scheduler.NodeState) bool { return true }
 
 // Reconfigure applies a new idle timeout, also to connections that are already idle.
--- a/internal/net/transport/races_test.go
+++ b/internal/net/transport/races_test.go
@@ -23,7 +23,7 @@
 // of events.
 
 // The only connection to the node is in use, so the second attempt waits for it as for one that takes long to open. Its
-// client leaves meanwhile, after sending any amount of data after its request. The end of the connection was once noticed
+// client leaves meanwhile, after sending any amount of data beyond its request. The end of the connection was once noticed
 // only if no such data came before it, and the attempt was made when there was a connection.
 func TestNoAttemptBeginsAfterClientLeft(t *testing.T) {
 	for name, leave := range map[string]func(c *testClient){
@@ -212,8 +212,8 @@
 	}
 }
 
-// The read of a connection is interrupted while its request awaits an answer. The client must not be taken for gone, and the
-// end that net/http sets for its own read must not be lost with the interruption.
+// The read of a connection is interrupted while its request awaits an answer. The client must not count as gone, and the end
+// that net/http sets for its own read must not be lost with the interruption.
 func TestInterruptedReadEndsNoRequest(t *testing.T) {
 	started, proceed := make(chan struct{}, 1), make(chan struct{})
 	addr, _ := startNode(t, func(_ int64, c net.Conn, _ *http.Request) {
--- a/internal/net/transport/timeleft_test.go
+++ b/internal/net/transport/timeleft_test.go
@@ -23,8 +23,8 @@
 	return left
 }
 
-// Parameters of the tests below: how long the second of two requests waits for the first, and by how much the time that a
-// node is told may exceed the time left after that wait.
+// Parameters of the tests below: how long the second of two requests waits for the first, and by how much the time in the
+// header may exceed the time left after that wait.
 const (
 	secondWait    = 400 * time.Millisecond
 	timeLeftSlack = 150 * time.Millisecond
@@ -60,14 +60,14 @@
 }
 
 // The only connection to the node is in use, so the second attempt waits for it as for one that takes long to open. The node
-// is told the time that the client has left when the request is written. It was once told the time left when the attempt was
-// decided.
+// must receive the time that the client has left when the request is written. It once received the time left when the
+// scheduler decided on the attempt.
 func TestTimeLeftIsSetWhenRequestIsWritten(t *testing.T) {
 	oneConnection := func(l *limits.Limits) { l.Nodes.ReuseDelay, l.Nodes.Conns = 0, 1 }
 	header := timeLeftOfDelayedRequest(t, oneConnection,
 		fmt.Sprintf(requestHead, "first")+"\r\n", fmt.Sprintf(requestHead, "second")+"\r\n")
 	if left := parseTimeLeft(t, header); left > 4*time.Second-secondWait+timeLeftSlack {
-		t.Errorf("the node was told %v left, %v after a request with 4 s", left, secondWait)
+		t.Errorf("the header has %v left, %v after a request with 4 s", left, secondWait)
 	}
 }
 
@@ -79,9 +79,9 @@
 	header := timeLeftOfDelayedRequest(t, func(l *limits.Limits) { l.Nodes.ReuseDelay = 0 },
 		full.Replace(fmt.Sprintf(requestHead, "first"))+"\r\n", full.Replace(putHead("second", length))+strings.Repeat("x", length))
 	if header == "" {
-		return // the node is told no time
+		return // the node receives no time
 	}
 	if left := parseTimeLeft(t, header); left > 4*time.Second-secondWait+timeLeftSlack {
-		t.Errorf("the node was told %v left, %v after the last byte of a request with 4 s", left, secondWait)
+		t.Errorf("the header has %v left, %v after the last byte of a request with 4 s", left, secondWait)
 	}
 }
--- a/internal/program/control.go
+++ b/internal/program/control.go
@@ -11,7 +11,7 @@
 // Ready reports whether this process serves clients.
 func (p *platform) Ready() bool { return p.ready.Load() }
 
-// Ban excludes a node until the ban is lifted, regardless of changes of the node list meanwhile. by names the operator. It
+// Ban excludes a node until the ban ends, regardless of changes of the node list meanwhile. by is the operator's name. Ban
 // returns false for an unknown node.
 func (p *platform) Ban(node, by string) bool {
 	known := p.changeBan("node banned", node, by, p.roster.Ban)
--- a/internal/program/other_process.go
+++ b/internal/program/other_process.go
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// sendToOther tells the front's other process, if there is one, of a ban or the end of a ban.
+// sendToOther notifies the front's other process, if there is one, of a ban or the end of a ban.
 func (p *platform) sendToOther(k handover.Kind, node, by string) {
 	if c := p.otherProcess.Load(); c != nil {
 		c.Send(k, []byte(node+"\n"+by), nil) // an error means that the process has ended and needs no message
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -55,8 +55,8 @@
 	return h
 }
 
-// Ban bans a node in the name of by and returns the resulting change of the list. Banning a node again only replaces the
-// name. It returns false for an unknown node.
+// Ban bans a node and returns the resulting change of the list. by is the operator's name; banning a node again only replaces
+// it. Ban returns false for an unknown node.
 func (r *Roster) Ban(node, by string) (protocol.List, bool) {
 	if _, listed := r.hosts[node]; !listed && r.bans[node] == "" {
 		return protocol.List{}, false
--- a/scheduler/rejection_test.go
+++ b/scheduler/rejection_test.go
@@ -35,7 +35,7 @@
 }
 
 // Requests that were never sent to a node used to be queued until just before their deadline and then rejected with no
-// time left for a retry. It cost 0.04 of the result of the calm day over sockets.
+// time left for a retry. That lowered the result of the calm day, run over sockets, by 0.04.
 func TestUnsentRequestIsRejectedAfterHalfItsTime(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.step(req("full", nil))
