--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -15,7 +15,7 @@
 	case Expired:
 		n.markAnswered(s.now)
 	case QueueFull:
-		// A full queue takes long to drain: requests sent earlier than that would be rejected again or be late.
+		// A full queue takes long to drain: requests sent before that would be rejected again or be late.
 		n.markAnswered(s.now)
 		n.backoffUntil = s.now + queueFullPause*s.minObjective
 		n.Budget = max(n.Budget/2, s.settings.MeanUnits)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -17,9 +17,9 @@
 	initialBudget            = 4                // budget of an unknown node, in requests of mean size
 	curvePoints              = 16               // slow intervals that the latency curve covers
 	curveSlope               = 0.1              // relative slope of the curve at the target latency
-	lostAfterAnswers         = 2                // an attempt counts as lost after this many answers to later ones
-	overdueFactor            = 4                // a request is overdue after this multiple of its expected latency
-	queueFullPause           = 2                // pause after QueueFull, in multiples of the shortest objective
+	lostAfterAnswers         = 2                // answers to later attempts after which one counts as lost
+	overdueFactor            = 4                // expected latencies after which a request is overdue
+	queueFullPause           = 2                // pause after QueueFull, in shortest objectives
 	slowShareSamples         = 16               // answers over which the share of slow answers is smoothed
 	errorRateSamples         = 6                // answers over which the error rate is smoothed
 	latencySamples           = 8                // answers over which the latency is smoothed
