--- a/internal/net/protocol/peer_message.go
+++ b/internal/net/protocol/peer_message.go
@@ -46,28 +46,28 @@
 		for i, value := range []*float64{&e.Units, &e.MinUnits, &e.Report.Served, &e.Report.Units, &e.Report.Time} {
 			units, err := parseUnits(words[i+1])
 			if err != nil {
-				return nil, fmt.Errorf("note: ask: %w", err)
+				return nil, fmt.Errorf("peer message: ask: %w", err)
 			}
 			*value = units
 		}
 		startedAt, err := parseTime("since", words[6], 0)
 		if err != nil {
-			return nil, fmt.Errorf("note: ask: %w", err)
+			return nil, fmt.Errorf("peer message: ask: %w", err)
 		}
 		e.StartedAt = startedAt
 		return e, nil
 	case words[0] == kindGrant && len(words) == 4:
 		units, err := parseUnits(words[1])
 		if err != nil {
-			return nil, fmt.Errorf("note: grant: %w", err)
+			return nil, fmt.Errorf("peer message: grant: %w", err)
 		}
 		validUntil, err := parseTime("until", words[2], 1)
 		if err != nil {
-			return nil, fmt.Errorf("note: grant: %w", err)
+			return nil, fmt.Errorf("peer message: grant: %w", err)
 		}
 		return scheduler.CapacityGranted{From: from, Node: words[3], Units: units, ValidUntil: validUntil}, nil
 	}
-	return nil, fmt.Errorf("note: %.40q is of no kind", text)
+	return nil, fmt.Errorf("peer message: %.40q is of no kind", text)
 }
 
 // parseTime parses a Unix time in microseconds that is not before earliest.
--- a/internal/net/transport/discovery_test.go
+++ b/internal/net/transport/discovery_test.go
@@ -92,7 +92,7 @@
 	}
 	<-calls
 	if a, b := <-calls, <-calls; !strings.HasPrefix(a, "from=45&") || b != "" {
-		t.Errorf("calls with queries %q and %q, want one from version 45 and one for the whole list", a, b)
+		t.Errorf("calls with queries %q and %q, want one from version 45 and one for the full list", a, b)
 	}
 }
 
--- a/internal/net/transport/races_test.go
+++ b/internal/net/transport/races_test.go
@@ -243,6 +243,6 @@
 		}
 	}
 	if left := core.Tally().ClientsLeft; left != 0 {
-		t.Errorf("%d clients were taken for gone", left)
+		t.Errorf("%d clients counted as gone", left)
 	}
 }
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -107,7 +107,7 @@
 	return []*node{n}
 }
 
-// updateLatency smooths the latency of answers and time-outs. With many fronts, one request per front fills
+// updateLatency smooths the latency of answers and timeouts. With many fronts, one request per front fills
 // a node, and a budget below one request would need more answers than a front gets. So at the minimum
 // budget, requests beyond the reservations are paused: for longer the further the last two latencies exceed
 // the target, for one slow interval at most.
--- a/scheduler/latency_test.go
+++ b/scheduler/latency_test.go
@@ -28,7 +28,7 @@
 	h.wantStarted(h.advance(50*ms), "y")
 }
 
-// A node whose queue is longer than clients wait returns no answers to learn from, only time-outs.
+// A node whose queue is longer than clients wait returns no answers to learn from, only timeouts.
 func TestTimeoutsCountAsLatencies(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.step(req("x", nil))
@@ -38,7 +38,7 @@
 		h.after(2000*ms, h.end(id, TimedOut, 2000*ms), ClientLeft{ID: id})
 	}
 	if n.SmoothedLatency < float64(h.s.minObjective) {
-		t.Errorf("smoothed latency %v after two time-outs, want at least the shortest objective", n.SmoothedLatency)
+		t.Errorf("smoothed latency %v after two timeouts, want at least the shortest objective", n.SmoothedLatency)
 	}
 }
 
@@ -71,7 +71,7 @@
 	}
 }
 
-// A lost answer is no latency of the node: its time-out must not reduce the budget.
+// A lost answer is no latency of the node: its timeout must not reduce the budget.
 func TestTimeoutsKeepBudget(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.step(req("x", func(r *Request) { r.Class = 2 }))
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -40,7 +40,7 @@
 	nodesByName   map[string]*node
 	placementPool *node                        // latency controller of new objects over all nodes
 	work          worklist.List[Micros, *node] // nodes to review in a step
-	slowShare     float64                      // smoothed share of answers and time-outs above the shortest objective
+	slowShare     float64                      // smoothed share of answers and timeouts above the shortest objective
 }
 
 // requestTable holds the open requests, by shard and volume.
@@ -95,7 +95,7 @@
 
 // healthState holds what attempts and health checks showed of a node's health. Times are 0 for never.
 type healthState struct {
-	silentSince       Micros // time of the failure or time-out since which there was no answer
+	silentSince       Micros // time of the failure or timeout since which there was no answer
 	lastLoss          Micros // last attempt that timed out although later ones were answered
 	checkRunning      bool
 	lastCheckSent     Micros
