--- a/internal/lifecycle/guard.go
+++ b/internal/lifecycle/guard.go
@@ -22,7 +22,7 @@
 	log   *slog.Logger
 	state atomic.Pointer[state]
 
-	mu        sync.Mutex // guards the fields below and changes of state
+	mu        sync.Mutex // guards changes of state, endTimer and endClosed
 	endTimer  *time.Timer
 	ending    chan struct{} // closed when the Ending phase begins
 	stopping  chan struct{} // closed when a shutdown begins
--- a/internal/limits/operation.go
+++ b/internal/limits/operation.go
@@ -14,8 +14,8 @@
 
 // Limits for one discovery that all fronts share. When 80 fronts began their watches together, it answered one first watch per
 // 30 ms; its rate for later watches was not observed. The limits use half of that rate, as far as the time allows: a front
-// counts as informed 6 s after a change and 4 s after SIGHUP, whether or not it received an answer. A change is received latest
-// after a watch without an answer, or a call that fails, and the pause before the next call.
+// counts as informed 6 s after a change and 4 s after SIGHUP, whether or not it received an answer. In the worst case, a change is
+// received after a watch without an answer, or a failed call, and the pause before the next call.
 const (
 	sharedSpreadPerFront = 60 * time.Millisecond
 	sharedMaxSpread      = 3 * time.Second         // first watches begin within this for any number of fronts
--- a/internal/net/protocol/settings.go
+++ b/internal/net/protocol/settings.go
@@ -103,7 +103,7 @@
 	Connect     time.Duration // timeout for connecting to a node
 	LongestWait time.Duration // the longest time that a client of any class waits
 	DrainGrace  time.Duration // time within which a drain must take effect after its announcement, 0 if unknown
-	Retry       time.Duration // longest Retry-After that clients observe
+	Retry       time.Duration // longest Retry-After that clients respect
 }
 
 // ParseSettings parses a settings object. Unknown keys are ignored. The settings of the connections may be missing.
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -71,7 +71,7 @@
 	ServeLate bool `cbor:"LateWanted"` // late answers still have a value: late requests are sent to nodes without outstanding requests
 
 	RetryAfter    bool   // clients are told when to retry
-	MaxRetryAfter Micros // longest time to retry that clients observe
+	MaxRetryAfter Micros // longest RetryAfter that clients respect
 
 	InitialCapacity  float64 `cbor:"ColdFrom"`     // share of its full capacity that a node has when it starts
 	SlowStart        Micros  `cbor:"Ramp"`         // time after which a started node has its full capacity at the latest
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -57,7 +57,7 @@
 }
 
 // slowStartAnswered handles an answer of a node in slow start and reports it to the granter. One of many fronts sends to
-// the node rarely: without the report, the granter would receive the answer's data only with this front's next request.
+// the node rarely: without the report, the granter would learn of the answer only with this front's next request.
 func (s *Scheduler) slowStartAnswered(n *node, r *request, latency Micros) {
 	n.slowStart.Answered(s.now, r.Key, r.Units, latency)
 	granter, _ := s.slowStart.Granter(n.Node, s.now)
