--- a/internal/admission/retryafter.go
+++ b/internal/admission/retryafter.go
@@ -8,8 +8,8 @@
 	return q.retryAfter(now, w.project, w.cost)
 }
 
-// Cancel removes a waiting request whose client disconnected. As no client is told when to retry, the project is promised no
-// time, and the retries of other clients are not delayed.
+// Cancel removes a waiting request whose client disconnected. Its client gets no answer, so no retry time is promised to its
+// project, and the retries of other clients are not delayed.
 func (q *Queue) Cancel(t Ticket) { q.remove(t) }
 
 func (q *Queue) remove(t Ticket) {
@@ -41,7 +41,7 @@
 // and those that were promised a time to the same project before. Each project with a promised time has an equal share of the
 // rate at which requests leave, so a flood delays only its own retries. The time is spread at random by up to a twentieth in
 // both directions, so that requests which are rejected together are not retried together. With a spread in one direction, the
-// last of them came back a tenth late and capacity was unused until then.
+// last of them were retried a tenth late and capacity was unused until then.
 func (q *Queue) retryAfter(now int64, p *project, cost float64) int64 {
 	for due, ok := q.promised.Due(now); ok; due, ok = q.promised.Due(now) {
 		due.claims, q.claims = false, q.claims-1
--- a/internal/net/routing/core.go
+++ b/internal/net/routing/core.go
@@ -34,7 +34,7 @@
 	RetryAfter time.Duration // the client should wait this long before it retries
 }
 
-func (r *RejectedError) Error() string { return fmt.Sprintf("refused, come back in %v", r.RetryAfter) }
+func (r *RejectedError) Error() string { return fmt.Sprintf("rejected, retry after %v", r.RetryAfter) }
 
 // Clock returns Unix time in microseconds, computed from its start time and the monotonic time since then, so that steps of
 // the system clock move no deadline.
@@ -79,7 +79,7 @@
 
 	SendToPeer func(to int, a scheduler.Action) // sends a message to another front; set before Run, discards messages by default
 
-	Observer Observer // is told of attempts; set before Run, may be nil
+	Observer Observer // is notified of attempts; set before Run, may be nil
 
 	Log *slog.Logger // logs the progress of each request at level debug; set before Run, discards by default
 
