--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -19,7 +19,7 @@
 func (q *Queue) Arrive(now int64, projectID, clientID string, cost, weight float64) Arrival {
 	p, c := q.find(projectID, clientID)
 	a, increment := Arrival{Evicted: noTicket}, increment(cost, weight)
-	if q.admitted < q.config.Room && q.waiting == 0 {
+	if q.admitted < q.config.MaxAdmitted && q.waiting == 0 {
 		q.admit(p, c, increment)
 		a.Admitted = true
 		return a
@@ -98,8 +98,8 @@
 	}
 	q.meanHeld += (float64(max(held, 1)) - q.meanHeld) / averagedRequests
 	q.meanCost += (cost - q.meanCost) / averagedRequests
-	q.rate = float64(q.config.Room) * q.meanCost / q.meanHeld
-	for q.admitted < q.config.Room && q.waiting > 0 {
+	q.rate = float64(q.config.MaxAdmitted) * q.meanCost / q.meanHeld
+	for q.admitted < q.config.MaxAdmitted && q.waiting > 0 {
 		p, _ := q.active.Due(math.MaxInt64)
 		var next *client
 		for i := range p.clients {
--- a/internal/admission/gate/gate.go
+++ b/internal/admission/gate/gate.go
@@ -32,7 +32,7 @@
 func New(config admission.Config, waitLimit time.Duration) *Gate {
 	return &Gate{
 		waitLimit: waitLimit, started: time.Now(), queue: admission.New(config, maphash.MakeSeed(), rand.Uint64()),
-		verdicts: make([]chan verdict, max(config.Waiting, 1)),
+		verdicts: make([]chan verdict, max(config.MaxWaiting, 1)),
 	}
 }
 
--- a/internal/admission/gate/gate_test.go
+++ b/internal/admission/gate/gate_test.go
@@ -17,7 +17,7 @@
 // Many concurrent calls: at most 8 requests are admitted at the same time, each one is admitted or rejected, and a request is
 // admitted at once afterwards.
 func TestConcurrentRequests(t *testing.T) {
-	g := New(admission.Config{Room: 8, Waiting: 64, MaxRetryAfter: 1000}, standin.Patience)
+	g := New(admission.Config{MaxAdmitted: 8, MaxWaiting: 64, MaxRetryAfter: 1000}, standin.Patience)
 	var admitted, maxAdmitted, served, rejected atomic.Int64
 	var callers sync.WaitGroup
 	for i := range 5000 {
@@ -48,7 +48,7 @@
 }
 
 func TestWaitEndsByTimeoutDisconnectOrAdmission(t *testing.T) {
-	g := New(admission.Config{Room: 1, Waiting: 4, MaxRetryAfter: 5_000_000}, standin.Patience)
+	g := New(admission.Config{MaxAdmitted: 1, MaxWaiting: 4, MaxRetryAfter: 5_000_000}, standin.Patience)
 	release, err := g.Enter(t.Context(), "a", "", 1, 1, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -25,8 +25,8 @@
 
 // Config bounds a queue. Times are in microseconds.
 type Config struct {
-	Room          int   // maximum number of requests admitted at the same time
-	Waiting       int   // maximum number of waiting requests
+	MaxAdmitted   int   // maximum number of requests admitted at the same time
+	MaxWaiting    int   // maximum number of waiting requests
 	MaxRetryAfter int64 // longest time after which clients of rejected requests are told to retry
 }
 
@@ -84,7 +84,7 @@
 
 // New returns an empty queue. seed is for the random part of the retry times, hash is the secret key of the hash.
 func New(config Config, hash maphash.Seed, seed uint64) *Queue {
-	q := &Queue{config: config, hash: hash, rng: rand.New(rand.NewPCG(seed, 5)), pool: make([]waiter, max(config.Waiting, 1)), firstFree: 0}
+	q := &Queue{config: config, hash: hash, rng: rand.New(rand.NewPCG(seed, 5)), pool: make([]waiter, max(config.MaxWaiting, 1)), firstFree: 0}
 	for i := range q.pool {
 		q.pool[i].next = Ticket(i + 1)
 	}
@@ -117,5 +117,5 @@
 	return p, &p.clients[maphash.String(q.hash, projectID+"\x00"+clientID)%clients]
 }
 
-// Waiting returns the number of waiting requests.
+// MaxWaiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return q.waiting }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -25,7 +25,7 @@
 
 func newSimulation(maxAdmitted, maxWaiting int) *simulation {
 	return &simulation{
-		q: New(Config{Room: maxAdmitted, Waiting: maxWaiting, MaxRetryAfter: 2_000_000}, maphash.MakeSeed(), 1), rng: rand.New(rand.NewPCG(1, 1)),
+		q: New(Config{MaxAdmitted: maxAdmitted, MaxWaiting: maxWaiting, MaxRetryAfter: 2_000_000}, maphash.MakeSeed(), 1), rng: rand.New(rand.NewPCG(1, 1)),
 		projectOf: map[Ticket]string{}, served: map[string]int{}, rejected: map[string]int{},
 	}
 }
@@ -123,7 +123,7 @@
 // Guards against a promised retry time for a request whose client disconnected while it waited: no client would use it. A request
 // whose time ran out does get one.
 func TestCancelPromisesNoRetryTime(t *testing.T) {
-	q := New(Config{Room: 1, Waiting: 4, MaxRetryAfter: 2_000_000}, maphash.MakeSeed(), 1)
+	q := New(Config{MaxAdmitted: 1, MaxWaiting: 4, MaxRetryAfter: 2_000_000}, maphash.MakeSeed(), 1)
 	q.Arrive(0, "a", "", 1, 1)
 	q.Arrive(0, "b", "", 1, 1)
 	cancelled := q.Arrive(0, "c", "", 1, 1).Ticket
@@ -141,7 +141,7 @@
 // Guards against ids that are chosen to share a queue with another project's: those that collide under one key must not collide
 // under another one.
 func TestCollidingIDsDependOnTheKey(t *testing.T) {
-	knownKey := New(Config{Room: 1, Waiting: 1}, maphash.MakeSeed(), 1)
+	knownKey := New(Config{MaxAdmitted: 1, MaxWaiting: 1}, maphash.MakeSeed(), 1)
 	victim, _ := knownKey.find("victim", "")
 	var colliding []string
 	for i := 0; len(colliding) < 200; i++ {
@@ -149,7 +149,7 @@
 			colliding = append(colliding, fmt.Sprint("made-", i))
 		}
 	}
-	otherKey := New(Config{Room: 1, Waiting: 1}, maphash.MakeSeed(), 1)
+	otherKey := New(Config{MaxAdmitted: 1, MaxWaiting: 1}, maphash.MakeSeed(), 1)
 	victim, _ = otherKey.find("victim", "")
 	collisions := 0
 	for _, name := range colliding {
@@ -164,7 +164,7 @@
 
 // Random calls: each request is admitted, expires or is evicted exactly once, and the memory is constant.
 func TestEachRequestIsCountedOnce(t *testing.T) {
-	q := New(Config{Room: 5, Waiting: 20, MaxRetryAfter: 1000}, maphash.MakeSeed(), 1)
+	q := New(Config{MaxAdmitted: 5, MaxWaiting: 20, MaxRetryAfter: 1000}, maphash.MakeSeed(), 1)
 	rng := rand.New(rand.NewPCG(2, 2))
 	waiting, admittedCount := map[Ticket]bool{}, 0
 	for now := range int64(200_000) {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -39,7 +39,7 @@
 			},
 		},
 		Plans: []string{"gold", "basic"},
-		List: protocol.List{Whole: true, Hosts: []protocol.Host{{
+		List: protocol.List{Full: true, Hosts: []protocol.Host{{
 			Dial:     "127.0.0.1:3022",
 			Endpoint: scheduler.Endpoint{Node: "node-a", Zone: 1, Shard: 2, State: scheduler.Draining, StartedAt: 5},
 		}}},
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	s := State{Plans: encoded.Plans, Bans: encoded.Bans, List: protocol.List{Whole: true}}
+	s := State{Plans: encoded.Plans, Bans: encoded.Bans, List: protocol.List{Full: true}}
 	s.Given = routing.HandoverState{
 		StartedAt: scheduler.Micros(encoded.ProcessStart), IDs: encoded.IDs, Learned: scheduler.Learned{At: snap.Saved},
 	}
--- a/internal/lab/hollow/settings.go
+++ b/internal/lab/hollow/settings.go
@@ -117,8 +117,8 @@
 // limits returns the limits of a front on a platform where all fronts call the same discovery.
 func (s *Settings) limits() limits.Limits {
 	return limits.For(limits.Site{
-		MemoryMB: 256, Sockets: 8192, ConnIdle: 15 * time.Second, Connect: 250 * time.Millisecond,
-		Deadline: 2500 * time.Millisecond, Askers: s.Fronts,
+		MemoryMB: 256, Sockets: 8192, NodeIdleTimeout: 15 * time.Second, Connect: 250 * time.Millisecond,
+		MaxDeadline: 2500 * time.Millisecond, Askers: s.Fronts,
 	})
 }
 
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -132,7 +132,7 @@
 		q := scheduler.Request{
 			ID: fmt.Sprintf("load-%d-%d", time.Now().UnixNano(), n), Class: class, Plan: project % len(set.Plans), Volume: fmt.Sprintf("%016x", project),
 			Key: fmt.Sprintf("%016x", rng.Uint32()), Units: float64(1 + rng.IntN(3)), Shard: rng.IntN(set.Shards), Fronts: 1,
-			TimeLeft: scheduler.Micros(set.LongestWait / time.Microsecond),
+			TimeLeft: scheduler.Micros(set.MaxDeadline / time.Microsecond),
 		}
 		v, _ := Send(ctx, client, addr, set, q)
 		return v
--- a/internal/lab/processes/traffic.go
+++ b/internal/lab/processes/traffic.go
@@ -34,7 +34,7 @@
 	return scheduler.Request{
 		ID: fmt.Sprintf("%s-%d-%d", f.idPrefix(), time.Now().UnixNano(), requestCount.Add(1)), Class: class,
 		Volume: fmt.Sprintf("%016x", key%volumeCount), Key: fmt.Sprintf("%016x", key), Units: 1, Shard: shard, Fronts: 1,
-		TimeLeft: scheduler.Micros(settings.LongestWait / time.Microsecond),
+		TimeLeft: scheduler.Micros(settings.MaxDeadline / time.Microsecond),
 	}
 }
 
--- a/internal/lab/sockets/site.go
+++ b/internal/lab/sockets/site.go
@@ -41,7 +41,7 @@
 func protocolSettings(w *world.World, kinds []string, writes []bool) protocol.Settings {
 	return protocol.Settings{
 		Scheduler: w.Set, Classes: kinds, Writes: writes, Plans: []string{"reserved", "limited"}, Shards: len(w.Nodes),
-		LongestWait: time.Minute, Retry: time.Duration(w.Set.MaxRetryAfter) * time.Microsecond,
+		MaxDeadline: time.Minute, Retry: time.Duration(w.Set.MaxRetryAfter) * time.Microsecond,
 	}
 }
 
@@ -113,7 +113,7 @@
 }
 
 func (s *Site) front(i int) (*front, error) {
-	l := limits.For(limits.Site{MemoryMB: 192, Sockets: 1024, Connect: 250 * time.Millisecond, ConnIdle: 15 * time.Second, Deadline: time.Minute})
+	l := limits.For(limits.Site{MemoryMB: 192, Sockets: 1024, Connect: 250 * time.Millisecond, NodeIdleTimeout: 15 * time.Second, MaxDeadline: time.Minute})
 	l.Stop.Accept, l.Stop.Serve, l.Stop.AtMost = 0, 0, time.Millisecond // no client is left to wait for when it stops
 	f := &front{site: s, nodes: transport.NewNodes(l), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}}
 	set := s.set
@@ -155,7 +155,7 @@
 
 // Tell passes the endpoint list to the front, as discovery would.
 func (f *front) Tell(list scheduler.EndpointsChanged) {
-	out := protocol.List{Whole: list.Full}
+	out := protocol.List{Full: list.Full}
 	for _, l := range list.Endpoints {
 		out.Hosts = append(out.Hosts, protocol.Host{Endpoint: l, Dial: f.site.nodes[l.Node].addr})
 	}
--- a/internal/limits/site.go
+++ b/internal/limits/site.go
@@ -4,14 +4,14 @@
 
 // Site describes a deployment, from which all limits are computed.
 type Site struct {
-	MemoryMB   int           // memory of the process, in MiB
-	Sockets    int           // file descriptors of the process
-	Open       int           // maximum number of open requests, 0 for one per client connection
-	ConnIdle   time.Duration // time after which a node closes an idle connection
-	Connect    time.Duration // timeout for connecting to a node
-	Deadline   time.Duration // the longest deadline of any request
-	DrainGrace time.Duration // time after its announcement within which a drain has to take effect, 0 if unknown
-	Askers     int           // fronts that watch one shared discovery, 0 if each front has its own agent
+	MemoryMB        int           // memory of the process, in MiB
+	Sockets         int           // file descriptors of the process
+	Open            int           // maximum number of open requests, 0 for one per client connection
+	NodeIdleTimeout time.Duration // time after which a node closes an idle connection
+	Connect         time.Duration // timeout for connecting to a node
+	MaxDeadline     time.Duration // the longest deadline of any request
+	DrainGrace      time.Duration // time after its announcement within which a drain has to take effect, 0 if unknown
+	Askers          int           // fronts that watch one shared discovery, 0 if each front has its own agent
 }
 
 // For computes the limits of a deployment.
@@ -22,7 +22,7 @@
 		Clients:     clientLimits(site, available),
 		Nodes:       nodeLimits(site, available),
 		Discovery:   discoveryLimits(site, available),
-		Stop:        Stop(site.Deadline),
+		Stop:        Stop(site.MaxDeadline),
 		Control:     controlLimits(),
 		Files:       fileLimits(available),
 		Memory:      available.memory,
--- a/internal/net/protocol/list.go
+++ b/internal/net/protocol/list.go
@@ -13,7 +13,7 @@
 // List is an answer of discovery: the full endpoint list, or the entries that changed.
 type List struct {
 	Seq   int64
-	Whole bool
+	Full  bool
 	Hosts []Host
 	Odd   []string // nodes with an invalid entry, which is ignored: such a node keeps its former entry
 }
@@ -55,7 +55,7 @@
 	if *in.Seq < 0 {
 		return List{}, fmt.Errorf("seq: %d is below 0", *in.Seq)
 	}
-	out := List{Seq: *in.Seq, Whole: in.Whole}
+	out := List{Seq: *in.Seq, Full: in.Whole}
 	for i, h := range in.Hosts {
 		state, ok := nodeStates[h.Health]
 		_, err := netip.ParseAddrPort(h.Dial)
--- a/internal/net/protocol/metrics.go
+++ b/internal/net/protocol/metrics.go
@@ -10,8 +10,8 @@
 
 // Ended counts a class's requests by result since the process started.
 type Ended struct {
-	Class                   string
-	Served, Refused, Failed int64
+	Class                    string
+	Served, Rejected, Failed int64
 }
 
 // Figures are the metrics of a process. Counters start at 0 when the process starts.
@@ -51,7 +51,7 @@
 	Dropped          int64 // messages, or entries of messages, that were not accepted
 	Shed             int64 // entries not sent because the bandwidth limit was reached
 	Lost             int64 // observations discarded for lack of room
-	Condemned        int   // nodes that this front avoids because of its zone's verdict
+	Avoided          int   // nodes that this front avoids because of its zone's verdict
 }
 
 // FormatFigures writes the metrics, one per line: name, value, and 'c' for a counter or 'g' for a gauge.
@@ -62,7 +62,7 @@
 	}
 	for _, c := range f.Classes {
 		line("c", "served."+c.Class, c.Served)
-		line("c", "refused."+c.Class, c.Refused)
+		line("c", "refused."+c.Class, c.Rejected)
 		line("c", "failed."+c.Class, c.Failed)
 	}
 	line("c", "attempts", f.Attempts)
@@ -80,7 +80,7 @@
 		line("c", "health.dropped", h.Dropped)
 		line("c", "health.shed", h.Shed)
 		line("c", "health.lost", h.Lost)
-		line("g", "health.condemned", int64(h.Condemned))
+		line("g", "health.condemned", int64(h.Avoided))
 	}
 	return out.String()
 }
--- a/internal/net/protocol/request.go
+++ b/internal/net/protocol/request.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return Request{}, fmt.Errorf("%s: %w", headerTimeLeft, err)
 	}
-	out.TimeLeft = min(timeLeft, scheduler.Micros(set.LongestWait/time.Microsecond))
+	out.TimeLeft = min(timeLeft, scheduler.Micros(set.MaxDeadline/time.Microsecond))
 	if err := parseIO(r.Header.Get(headerIO), &out, set); err != nil {
 		return Request{}, fmt.Errorf("%s: %w", headerIO, err)
 	}
--- a/internal/net/protocol/settings.go
+++ b/internal/net/protocol/settings.go
@@ -86,24 +86,24 @@
 
 // Settings are the settings of a deployment: those of the scheduler and those of the connections.
 type Settings struct {
-	Scheduler   scheduler.Settings
-	Classes     []string        // by the scheduler's index; "" for a class that is no longer configured
-	Names       []string        // the same, with the names of classes that are no longer configured
-	PlanNames   []string        // the same for plans
-	MaxWaits    []time.Duration // by class, the longest time that its clients wait
-	Writes      []bool          // by class, whether its requests write; empty if unknown
-	Plans       []string
-	Zones       []string
-	Shards      int           // number of shards; their indexes start at 0
-	LoadReports bool          // probes are answered with a load report
-	LoadQueue   string        // field of the load report with the number of queued requests, "" if there is none
-	MaxOpen     int           // maximum number of open requests, 0 for no limit
-	Askers      int           // number of fronts that share one discovery and have to ask it; 0 if changes are pushed to an agent
-	ConnIdle    time.Duration // time after which a node closes an idle connection
-	Connect     time.Duration // timeout for connecting to a node
-	LongestWait time.Duration // the longest time that a client of any class waits
-	DrainGrace  time.Duration // time within which a drain must take effect after its announcement, 0 if unknown
-	Retry       time.Duration // longest Retry-After that clients respect
+	Scheduler       scheduler.Settings
+	Classes         []string        // by the scheduler's index; "" for a class that is no longer configured
+	Names           []string        // the same, with the names of classes that are no longer configured
+	PlanNames       []string        // the same for plans
+	MaxWaits        []time.Duration // by class, the longest time that its clients wait
+	Writes          []bool          // by class, whether its requests write; empty if unknown
+	Plans           []string
+	Zones           []string
+	Shards          int           // number of shards; their indexes start at 0
+	LoadReports     bool          // probes are answered with a load report
+	LoadQueue       string        // field of the load report with the number of queued requests, "" if there is none
+	MaxOpen         int           // maximum number of open requests, 0 for no limit
+	Askers          int           // number of fronts that share one discovery and have to ask it; 0 if changes are pushed to an agent
+	NodeIdleTimeout time.Duration // time after which a node closes an idle connection
+	Connect         time.Duration // timeout for connecting to a node
+	MaxDeadline     time.Duration // the longest time that a client of any class waits
+	DrainGrace      time.Duration // time within which a drain must take effect after its announcement, 0 if unknown
+	Retry           time.Duration // longest Retry-After that clients respect
 }
 
 // ParseSettings parses a settings object. Unknown keys are ignored. The settings of the connections may be missing.
@@ -130,7 +130,7 @@
 	}
 	out := Settings{
 		Zones: in.Zones, Writes: in.FamilyInfo.ClassWrites, LoadReports: in.Report.How != "" && in.Report.How != "off",
-		Shards: in.FamilyInfo.Shards, MaxOpen: in.Ceilings.MaxOpen, ConnIdle: micros(in.Ceilings.ConnIdleUs),
+		Shards: in.FamilyInfo.Shards, MaxOpen: in.Ceilings.MaxOpen, NodeIdleTimeout: micros(in.Ceilings.ConnIdleUs),
 		Connect: micros(in.Ceilings.ConnectTimeoutUs), Retry: micros(in.Ceilings.MaxRetryAfterUs), DrainGrace: micros(s.DrainGraceUs),
 	}
 	if in.RegistryMode == registryOnRequest {
@@ -152,7 +152,7 @@
 			window = scheduler.Micros(*c.WindowUs)
 		}
 		out.Classes, out.MaxWaits = append(out.Classes, c.Name), append(out.MaxWaits, micros(c.GiveUpUs))
-		out.LongestWait = max(out.LongestWait, micros(c.GiveUpUs))
+		out.MaxDeadline = max(out.MaxDeadline, micros(c.GiveUpUs))
 		set.Classes = append(set.Classes, scheduler.Class{
 			LatencyObjective: scheduler.Micros(c.AimUs), Idempotency: idempotency, DedupScope: scope,
 			DedupWindow: window, InOrder: c.ByArrival, Priority: c.Credit,
--- a/internal/net/transport/admission_test.go
+++ b/internal/net/transport/admission_test.go
@@ -39,7 +39,7 @@
 	core.UpdateEndpoints(nodes.Apply(endpointList(node)))
 	f := NewFront(protocol.Settings{
 		Classes: []string{"read", "write"}, Plans: []string{"gold"}, Shards: 1,
-		Scheduler: scheduler.Settings{Plans: []scheduler.Plan{{Weight: 1}}}, LongestWait: time.Minute, Retry: time.Second,
+		Scheduler: scheduler.Settings{Plans: []scheduler.Plan{{Weight: 1}}}, MaxDeadline: time.Minute, Retry: time.Second,
 	}, l,
 		NewRoundTripper(core, nodes))
 	f.Admission = g
@@ -53,7 +53,7 @@
 // second is served once the first is.
 func TestAdmissionGateQueuesAndRejects(t *testing.T) {
 	asked, release := make(chan bool, 4), make(chan bool)
-	g := gate.New(admission.Config{Room: 1, Waiting: 1, MaxRetryAfter: 1_000_000}, standin.Patience)
+	g := gate.New(admission.Config{MaxAdmitted: 1, MaxWaiting: 1, MaxRetryAfter: 1_000_000}, standin.Patience)
 	addr := startFrontWithGate(t, g, func() {
 		asked <- true
 		<-release
--- a/internal/net/transport/exchange_test.go
+++ b/internal/net/transport/exchange_test.go
@@ -93,7 +93,7 @@
 
 // endpointList returns a list with nodes node-0, node-1 ... for the shards 0, 1 ...
 func endpointList(addrs ...string) protocol.List {
-	out := protocol.List{Whole: true}
+	out := protocol.List{Full: true}
 	for i, a := range addrs {
 		out.Hosts = append(out.Hosts, protocol.Host{
 			Dial:     a,
--- a/internal/net/transport/flood_test.go
+++ b/internal/net/transport/flood_test.go
@@ -32,7 +32,7 @@
 	slots := make(chan struct{}, 8)
 	var admissionGate *gate.Gate
 	if gateRoom > 0 {
-		admissionGate = gate.New(admission.Config{Room: gateRoom, Waiting: 2 * gateRoom, MaxRetryAfter: 1_000_000}, time.Second)
+		admissionGate = gate.New(admission.Config{MaxAdmitted: gateRoom, MaxWaiting: 2 * gateRoom, MaxRetryAfter: 1_000_000}, time.Second)
 	}
 	addr := startFrontWithGate(t, admissionGate, func() {
 		slots <- struct{}{}
--- a/internal/net/transport/nodes/dial_test.go
+++ b/internal/net/transport/nodes/dial_test.go
@@ -45,7 +45,7 @@
 	change(&l)
 	pool := New(l, Session[int]{Open: func(net.Conn) (int, error) { return 0, nil }, Alive: func(net.Conn, int) bool { return true }})
 	pool.dialer = d.dial
-	pool.Apply(protocol.List{Whole: true, Hosts: []protocol.Host{{Dial: addr, Endpoint: scheduler.Endpoint{Node: "a"}}}})
+	pool.Apply(protocol.List{Full: true, Hosts: []protocol.Host{{Dial: addr, Endpoint: scheduler.Endpoint{Node: "a"}}}})
 	return pool, accepted
 }
 
--- a/internal/net/transport/nodes/nodes.go
+++ b/internal/net/transport/nodes/nodes.go
@@ -72,7 +72,7 @@
 func (p *Pool[T]) Apply(list protocol.List) scheduler.EndpointsChanged {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	event := scheduler.EndpointsChanged{Full: list.Whole}
+	event := scheduler.EndpointsChanged{Full: list.Full}
 	named := map[string]bool{}
 	for _, h := range list.Hosts {
 		event.Endpoints = append(event.Endpoints, h.Endpoint)
@@ -89,7 +89,7 @@
 		}
 	}
 	for name, n := range p.byName {
-		if list.Whole && !named[name] {
+		if list.Full && !named[name] {
 			p.closeIdleOf(n)
 			delete(p.byName, name)
 		}
--- a/internal/net/transport/nodes/nodes_test.go
+++ b/internal/net/transport/nodes/nodes_test.go
@@ -23,7 +23,7 @@
 	l := standin.Limits()
 	l.Nodes.ReuseDelay = 20 * time.Millisecond
 	pool := New(l, Session[int]{Open: func(net.Conn) (int, error) { return 0, nil }, Alive: func(net.Conn, int) bool { return true }})
-	pool.Apply(protocol.List{Whole: true, Hosts: []protocol.Host{{Dial: addr, Endpoint: scheduler.Endpoint{Node: "a"}}}})
+	pool.Apply(protocol.List{Full: true, Hosts: []protocol.Host{{Dial: addr, Endpoint: scheduler.Endpoint{Node: "a"}}}})
 	first, err := pool.Acquire(context.Background(), "a", Running)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/net/transport/sftp/front_test.go
+++ b/internal/net/transport/sftp/front_test.go
@@ -42,7 +42,7 @@
 	set := standin.Settings()
 	set.HealthChecks = true
 	b.core = standin.Core(t, set, b.client.Probe(l))
-	list := protocol.List{Whole: true}
+	list := protocol.List{Full: true}
 	for i, addr := range nodes {
 		list.Hosts = append(list.Hosts, host(i, addr, scheduler.Running))
 	}
--- a/internal/program/appliance.go
+++ b/internal/program/appliance.go
@@ -163,7 +163,7 @@
 	front := transport.NewFront(config.Settings(), a.limits, transport.NewRoundTripper(a.core, a.nodes))
 	if door := config.Door; door.Room > 0 {
 		front.Admission = gate.New(admission.Config{
-			Room: door.Room, Waiting: door.Waiting, MaxRetryAfter: config.Limits.RetryAfter.Microseconds(),
+			MaxAdmitted: door.Room, MaxWaiting: door.Waiting, MaxRetryAfter: config.Limits.RetryAfter.Microseconds(),
 		}, door.Patience)
 	}
 	return a.serve("http.listen", config.HTTP.Listen, a.withTLS(config.HTTP.TLS, front.Serve), func(net.Listener) { front.Stop(nil) })
--- a/internal/program/control.go
+++ b/internal/program/control.go
@@ -71,7 +71,7 @@
 		ended := tally.Class(i)
 		out.Classes = append(out.Classes, protocol.Ended{
 			Class: name, Served: ended[routing.Served],
-			Refused: ended[routing.Rejected], Failed: ended[routing.Failed],
+			Rejected: ended[routing.Rejected], Failed: ended[routing.Failed],
 		})
 	}
 	p.mu.Lock()
--- a/internal/program/fleet_health.go
+++ b/internal/program/fleet_health.go
@@ -138,6 +138,6 @@
 	}
 	return &protocol.HealthFigures{
 		Probes: c.Probes, MessagesSent: c.Sent, BytesSent: c.SentBytes, MessagesReceived: c.Received,
-		Dropped: c.Drops(), Shed: c.Shed, Lost: c.Lost, Condemned: c.Avoided,
+		Dropped: c.Drops(), Shed: c.Shed, Lost: c.Lost, Avoided: c.Avoided,
 	}, nil
 }
--- a/internal/program/operator_settings.go
+++ b/internal/program/operator_settings.go
@@ -28,14 +28,14 @@
 	}
 	return limits.For(limits.Site{
 		MemoryMB: o.Limits.MemoryMB, Sockets: o.Limits.Sockets, Open: o.Limits.Open,
-		ConnIdle: o.Limits.NodeIdle, Connect: o.Limits.Connect, Deadline: maxWait,
+		NodeIdleTimeout: o.Limits.NodeIdle, Connect: o.Limits.Connect, MaxDeadline: maxWait,
 	})
 }
 
 // Settings returns the settings of the scheduler and of the HTTP front.
 func (o *Operator) Settings() protocol.Settings {
 	out := protocol.Settings{
-		Classes: classNames, MaxOpen: o.Limits.Open, ConnIdle: o.Limits.NodeIdle,
+		Classes: classNames, MaxOpen: o.Limits.Open, NodeIdleTimeout: o.Limits.NodeIdle,
 		Connect: o.Limits.Connect, Retry: o.Limits.RetryAfter, Scheduler: scheduler.Settings{
 			Fronts: 1, Tick: 2000, MeanUnits: 2, MaxUnits: maxUnits, MaxAttempts: o.Limits.Tries, HealthChecks: true, ServeLate: true,
 			RetryAfter: true, MaxRetryAfter: scheduler.Micros(o.Limits.RetryAfter / time.Microsecond),
@@ -51,7 +51,7 @@
 	}
 	for role, idempotency := range files.Repeats(writeIdempotency) {
 		c := o.Classes[classNames[min(role, int(files.RoleWrite))]]
-		out.LongestWait = max(out.LongestWait, c.Wait)
+		out.MaxDeadline = max(out.MaxDeadline, c.Wait)
 		out.Scheduler.Classes = append(out.Scheduler.Classes, scheduler.Class{
 			LatencyObjective: scheduler.Micros(c.Within / time.Microsecond),
 			Idempotency:      idempotency, DedupScope: scheduler.SameShard,
@@ -92,7 +92,7 @@
 
 // nodeList returns the operator's nodes as a full list, with the address that dial chooses for each node.
 func (o *Operator) nodeList(dial func(sftp, http string) string) protocol.List {
-	out := protocol.List{Whole: true}
+	out := protocol.List{Full: true}
 	for _, n := range o.Nodes {
 		out.Hosts = append(out.Hosts, protocol.Host{
 			Dial:     dial(n.SFTP, n.HTTP),
--- a/internal/program/platform.go
+++ b/internal/program/platform.go
@@ -150,7 +150,7 @@
 	settings := config.Settings
 	return limits.For(limits.Site{
 		MemoryMB: config.MemoryMB, Sockets: config.Sockets, Open: settings.MaxOpen,
-		ConnIdle: settings.ConnIdle, Connect: settings.Connect, Deadline: settings.LongestWait, DrainGrace: settings.DrainGrace,
+		NodeIdleTimeout: settings.NodeIdleTimeout, Connect: settings.Connect, MaxDeadline: settings.MaxDeadline, DrainGrace: settings.DrainGrace,
 		Askers: settings.Askers,
 	})
 }
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -114,7 +114,7 @@
 
 // applyNodes applies a change of the node list. The caller holds the lock.
 func (p *platform) applyNodes(list protocol.List) {
-	if len(list.Hosts) > 0 || list.Whole {
+	if len(list.Hosts) > 0 || list.Full {
 		change := p.nodes.Apply(list)
 		p.updateMonitor(change)
 		p.core.UpdateEndpoints(change)
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -27,7 +27,7 @@
 func (r *Roster) Update(list protocol.List) protocol.List {
 	out := list
 	out.Hosts = slices.Clone(list.Hosts)
-	if list.Whole {
+	if list.Full {
 		previous := r.hosts
 		r.hosts = map[string]protocol.Host{}
 		for _, name := range list.Odd {
@@ -93,7 +93,7 @@
 
 // FullList returns the full list from discovery, without the bans, ordered by name.
 func (r *Roster) FullList() protocol.List {
-	out := protocol.List{Whole: true}
+	out := protocol.List{Full: true}
 	for _, name := range slices.Sorted(maps.Keys(r.hosts)) {
 		out.Hosts = append(out.Hosts, r.hosts[name])
 	}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -23,8 +23,8 @@
 // Limits returns limits that are high enough for any test machine.
 func Limits() limits.Limits {
 	return limits.For(limits.Site{
-		MemoryMB: 192, Sockets: 1024, Connect: 2 * time.Second, ConnIdle: time.Minute,
-		Deadline: 5 * time.Second,
+		MemoryMB: 192, Sockets: 1024, Connect: 2 * time.Second, NodeIdleTimeout: time.Minute,
+		MaxDeadline: 5 * time.Second,
 	})
 }
 
