--- a/internal/lab/scenario/play.go
+++ b/internal/lab/scenario/play.go
@@ -20,7 +20,7 @@
 // Settings returns the scheduler's settings for the scenario.
 func (s Scenario) Settings() scheduler.Settings {
 	set := scheduler.Settings{
-		Fronts: s.Fronts, PeerMessages: true, Tick: 2000, MeanUnits: 2, MaxUnits: maxUnits, MaxAttempts: 4, HealthChecks: true, ServedElsewhereTold: false,
+		Fronts: s.Fronts, PeerMessages: true, Tick: 2000, MeanUnits: 2, MaxUnits: maxUnits, MaxAttempts: 4, HealthChecks: true, ServedElsewhereReported: false,
 		RetryAfter: true, MaxRetryAfter: second / 2,
 		InitialCapacity: s.Nodes.ColdFrom, SlowStart: micros(s.Nodes.Ramp), OverloadMultiple: 2.5, OverloadSpan: second, SlowStartUnits: 8,
 		Plans: []scheduler.Plan{{Reservation: 8, Weight: 1}, {Weight: 1}},
--- a/internal/net/protocol/settings.go
+++ b/internal/net/protocol/settings.go
@@ -119,7 +119,7 @@
 	f, s := in.FamilyInfo, in.Safety
 	set := scheduler.Settings{
 		Fronts: in.Balancers, FrontIndex: in.SlotNo, PeerMessages: in.Ceilings.Peers, Tick: scheduler.Micros(in.TickUs),
-		MeanUnits: f.MeanUnits, MaxUnits: f.MostUnits, ServedElsewhereTold: f.SaysOthers,
+		MeanUnits: f.MeanUnits, MaxUnits: f.MostUnits, ServedElsewhereReported: f.SaysOthers,
 		MaxAttempts: in.Ceilings.TryLimit, HealthChecks: in.Ceilings.Probing,
 		CancelAttempts: in.Ceilings.Cancel, RetryAfter: in.Ceilings.RetryAfter,
 		MaxRetryAfter:   scheduler.Micros(in.Ceilings.MaxRetryAfterUs),
@@ -179,7 +179,7 @@
 	c.Peers = set.PeerMessages
 	c.TryLimit, c.Probing, c.Cancel, c.RetryAfter, c.MaxRetryAfterUs = set.MaxAttempts, set.HealthChecks, set.CancelAttempts, set.RetryAfter, int64(set.MaxRetryAfter)
 	f := &out.FamilyInfo
-	f.ColdUnits, f.MeanUnits, f.MostUnits, f.SaysOthers = set.SlowStartUnits, set.MeanUnits, set.MaxUnits, set.ServedElsewhereTold
+	f.ColdUnits, f.MeanUnits, f.MostUnits, f.SaysOthers = set.SlowStartUnits, set.MeanUnits, set.MaxUnits, set.ServedElsewhereReported
 	s := &out.Safety
 	s.BudgetShare, s.BudgetSpanUs, s.ColdFrom, s.FallMultiple = set.RetryBudgetShare, int64(set.RetryBudgetSpan), set.InitialCapacity, set.OverloadMultiple
 	s.FallUs, s.RampTimeUs, s.SpareAttempts, s.KeyRestUs = int64(set.OverloadSpan), int64(set.SlowStart), set.RetryBudgetMin, int64(set.KeyPause)
--- a/internal/state/snapshot/golden_test.go
+++ b/internal/state/snapshot/golden_test.go
@@ -19,7 +19,7 @@
 			DedupScope: scheduler.SameShard, DedupWindow: 1_000_000, InOrder: true, Priority: 3,
 		}},
 		Plans:     []scheduler.Plan{{Reservation: 100, Weight: 2, Limit: 10, Burst: 20, Slack: 3}},
-		MeanUnits: 2, MaxUnits: 8, ServedElsewhereTold: true, MaxOpen: 100, MaxAttempts: 3, HealthChecks: true,
+		MeanUnits: 2, MaxUnits: 8, ServedElsewhereReported: true, MaxOpen: 100, MaxAttempts: 3, HealthChecks: true,
 		CancelAttempts: true, ServeLate: true,
 		RetryAfter: true, MaxRetryAfter: 2_000_000,
 		InitialCapacity: 0.25, SlowStart: 10_000_000, OverloadMultiple: 3, OverloadSpan: 1_000_000, SlowStartUnits: 8, KeyPause: 200_000,
--- a/scheduler/digest_simulation_test.go
+++ b/scheduler/digest_simulation_test.go
@@ -78,7 +78,7 @@
 			{Weight: 2, Reservation: 40},
 			{Weight: 1, Limit: 60, Burst: 90, Slack: 9},
 		},
-		MeanUnits: 2.5, MaxUnits: 8, ServedElsewhereTold: true, MaxOpen: 150, MaxAttempts: 3, HealthChecks: true, CancelAttempts: true,
+		MeanUnits: 2.5, MaxUnits: 8, ServedElsewhereReported: true, MaxOpen: 150, MaxAttempts: 3, HealthChecks: true, CancelAttempts: true,
 		RetryAfter: true, MaxRetryAfter: 2000 * ms,
 		InitialCapacity: 0.25, SlowStart: 10_000 * ms, OverloadMultiple: 4, OverloadSpan: 1000 * ms, SlowStartUnits: 12, KeyPause: 200 * ms,
 		RetryBudgetSpan: 5000 * ms, RetryBudgetMin: 10, RetryBudgetShare: 0.3,
--- a/scheduler/limits_test.go
+++ b/scheduler/limits_test.go
@@ -144,7 +144,7 @@
 func TestServiceElsewhereAdvancesReservationTag(t *testing.T) {
 	for _, reported := range []bool{true, false} {
 		settings := testSettings()
-		settings.ServedElsewhereTold = reported
+		settings.ServedElsewhereReported = reported
 		h := newHarness(t, settings)
 		reserved := func(r *Request) { r.Plan, r.Volume, r.Fronts = 2, "v", 2 }
 		h.step(req("x", reserved))
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -59,9 +59,9 @@
 	Classes      []Class
 	Plans        []Plan
 
-	MeanUnits           float64 // mean size of a request
-	MaxUnits            float64 `cbor:"MostUnits"` // maximum size of a request
-	ServedElsewhereTold bool    `cbor:"Elsewhere"` // answers report the units that a node served through other fronts
+	MeanUnits               float64 // mean size of a request
+	MaxUnits                float64 `cbor:"MostUnits"` // maximum size of a request
+	ServedElsewhereReported bool    `cbor:"Elsewhere"` // answers report the units that a node served through other fronts
 
 	MaxOpen        int  // maximum number of open requests: beyond it the least valuable are rejected; 0 for no bound
 	MaxAttempts    int  `cbor:"MaxTries"` // maximum number of attempts of a request, 0 for no bound
--- a/scheduler/volumes.go
+++ b/scheduler/volumes.go
@@ -22,7 +22,7 @@
 // part per front, or the full rate if answers report the units served through other fronts, which then advance the tags
 // too as in distributed mClock.
 func (s *Scheduler) reservationRate(v *volume) float64 {
-	if s.settings.ServedElsewhereTold {
+	if s.settings.ServedElsewhereReported {
 		return v.plan.Reservation / float64(second)
 	}
 	return v.plan.Reservation / v.fronts / float64(second)
@@ -48,7 +48,7 @@
 // countServedElsewhere advances the reservation tag by the units that other fronts were served, at most up to now.
 func (s *Scheduler) countServedElsewhere(v *volume, units float64) {
 	rate := s.reservationRate(v)
-	if rate > 0 && s.settings.ServedElsewhereTold {
+	if rate > 0 && s.settings.ServedElsewhereReported {
 		v.reservationTag = min(v.reservationTag+units/rate, max(v.reservationTag, float64(s.now)))
 	}
 }
