--- a/internal/admission/gate/gate.go
+++ b/internal/admission/gate/gate.go
@@ -40,11 +40,11 @@
 
 func (g *Gate) now() int64 { return time.Since(g.started).Microseconds() }
 
-// Enter waits until a request is admitted, at most for maxWait and for the limit of the gate. It returns a function to
+// Acquire waits until a request is admitted, at most for maxWait and for the limit of the gate. It returns a function to
 // call when the request has ended. If the request is rejected, which includes a wait that was too long, the error is a
 // *routing.RejectedError with the time to retry; if ctx ends, it is the cause. cost and weight are those of
 // admission.Queue.Arrive.
-func (g *Gate) Enter(ctx context.Context, project, client string, cost, weight float64, maxWait time.Duration) (release func(), err error) {
+func (g *Gate) Acquire(ctx context.Context, project, client string, cost, weight float64, maxWait time.Duration) (release func(), err error) {
 	g.mu.Lock()
 	a := g.queue.Arrive(g.now(), project, client, cost, weight)
 	if a.Evicted >= 0 {
--- a/internal/admission/gate/gate_test.go
+++ b/internal/admission/gate/gate_test.go
@@ -22,7 +22,7 @@
 	var callers sync.WaitGroup
 	for i := range 5000 {
 		callers.Go(func() {
-			release, err := g.Enter(t.Context(), fmt.Sprint(i%100), fmt.Sprint(i), 1, 1, standin.Patience)
+			release, err := g.Acquire(t.Context(), fmt.Sprint(i%100), fmt.Sprint(i), 1, 1, standin.Patience)
 			if err != nil {
 				rejected.Add(1)
 				return
@@ -40,7 +40,7 @@
 		t.Errorf("%d admitted at the same time, want at most 8; %d served and %d rejected, want 5000 in total; %d waiting, want 0",
 			maxAdmitted.Load(), served.Load(), rejected.Load(), g.Waiting())
 	}
-	if release, err := g.Enter(t.Context(), "after", "", 1, 1, 0); err != nil {
+	if release, err := g.Acquire(t.Context(), "after", "", 1, 1, 0); err != nil {
 		t.Errorf("request after all others: %v", err)
 	} else {
 		release()
@@ -49,19 +49,19 @@
 
 func TestWaitEndsByTimeoutDisconnectOrAdmission(t *testing.T) {
 	g := New(admission.Config{MaxAdmitted: 1, MaxWaiting: 4, MaxRetryAfter: 5_000_000}, standin.Patience)
-	release, err := g.Enter(t.Context(), "a", "", 1, 1, 0)
+	release, err := g.Acquire(t.Context(), "a", "", 1, 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var rejected *routing.RejectedError
-	if _, err := g.Enter(t.Context(), "b", "", 1, 1, time.Millisecond); !errors.As(err, &rejected) || rejected.RetryAfter <= 0 {
+	if _, err := g.Acquire(t.Context(), "b", "", 1, 1, time.Millisecond); !errors.As(err, &rejected) || rejected.RetryAfter <= 0 {
 		t.Errorf("request whose time ran out: error %v, want a rejection with a time to retry", err)
 	}
 	disconnected := errors.New("client disconnected")
 	ctx, end := context.WithCancelCause(t.Context())
 	done := make(chan error, 2)
 	go func() {
-		_, err := g.Enter(ctx, "c", "", 1, 1, standin.Patience)
+		_, err := g.Acquire(ctx, "c", "", 1, 1, standin.Patience)
 		done <- err
 	}()
 	standin.Until(t, "a waiting request", func() bool { return g.Waiting() == 1 })
@@ -70,7 +70,7 @@
 		t.Errorf("request whose client disconnected: error %v, want client disconnected; %d waiting, want 0", err, g.Waiting())
 	}
 	go func() {
-		releaseNext, err := g.Enter(t.Context(), "d", "", 1, 1, standin.Patience)
+		releaseNext, err := g.Acquire(t.Context(), "d", "", 1, 1, standin.Patience)
 		if err == nil {
 			releaseNext()
 		}
--- a/internal/lab/hollow/settings.go
+++ b/internal/lab/hollow/settings.go
@@ -118,7 +118,7 @@
 func (s *Settings) limits() limits.Limits {
 	return limits.For(limits.Site{
 		MemoryMB: 256, Sockets: 8192, NodeIdleTimeout: 15 * time.Second, Connect: 250 * time.Millisecond,
-		MaxDeadline: 2500 * time.Millisecond, Askers: s.Fronts,
+		MaxDeadline: 2500 * time.Millisecond, DiscoveryFronts: s.Fronts,
 	})
 }
 
--- a/internal/lifecycle/decision.go
+++ b/internal/lifecycle/decision.go
@@ -160,10 +160,10 @@
 func (s state) overdue(op Operation, now, deadline time.Time) time.Duration {
 	var late time.Duration
 	if !deadline.IsZero() {
-		late = now.Sub(deadline) - s.limits.HoldUp
+		late = now.Sub(deadline) - s.limits.MaxStall
 	}
 	if s.stopping() {
-		bound := s.limits.Answer + s.limits.HoldUp
+		bound := s.limits.Answer + s.limits.MaxStall
 		if op == Answer {
 			bound = s.limits.Kill
 		}
--- a/internal/lifecycle/guard.go
+++ b/internal/lifecycle/guard.go
@@ -131,7 +131,7 @@
 	if !s.stopping() {
 		return wait
 	}
-	return max(minWait, min(wait, s.shutdownStart.Add(s.limits.Kill-s.limits.HoldUp).Sub(g.clock())))
+	return max(minWait, min(wait, s.shutdownStart.Add(s.limits.Kill-s.limits.MaxStall).Sub(g.clock())))
 }
 
 // Allow returns nil if an operation may be carried out now, and a *DeniedError otherwise. deadline is the operation's own,
@@ -150,16 +150,16 @@
 	return g.state.Load().decide(op, g.clock(), time.Time{}) == Allowed
 }
 
-// Done checks an operation that was just carried out. If it was late, by more than the longest stall of the process that the
+// CheckDeadline checks an operation that was just carried out. If it was late, by more than the longest stall of the process that the
 // limits allow for, it is counted as a violation.
-func (g *Guard) Done(op Operation, deadline time.Time) {
+func (g *Guard) CheckDeadline(op Operation, deadline time.Time) {
 	if late := g.state.Load().overdue(op, g.clock(), deadline); late > 0 {
-		g.Violated(op, "late by "+late.String())
+		g.ReportViolation(op, "late by "+late.String())
 	}
 }
 
-// Violated counts and logs an operation that should not have been carried out.
-func (g *Guard) Violated(op Operation, description string) {
+// ReportViolation counts and logs an operation that should not have been carried out.
+func (g *Guard) ReportViolation(op Operation, description string) {
 	g.violations[op].Add(1)
 	g.log.Error("rule violated", "operation", op.String(), "what", description, "phase", g.Phase().String(),
 		"since_shutdown", g.Since().String())
--- a/internal/lifecycle/guard_test.go
+++ b/internal/lifecycle/guard_test.go
@@ -61,7 +61,7 @@
 		began, stopLimits := clock.now, g.Limits()
 		for clock.now.Sub(began) < stopLimits.Kill {
 			clock.now = clock.now.Add(10 * time.Millisecond)
-			if left := began.Add(stopLimits.Kill).Sub(g.Deadline(deadline)); left < 2*stopLimits.HoldUp {
+			if left := began.Add(stopLimits.Kill).Sub(g.Deadline(deadline)); left < 2*stopLimits.MaxStall {
 				t.Fatalf("longest deadline %v, %v after SIGTERM: answer due %v before SIGKILL, want two stalls", deadline, clock.now.Sub(began), left)
 			}
 			err := g.Allow(Take, clock.now.Add(deadline))
@@ -111,20 +111,20 @@
 
 func TestDeadlinesAndViolations(t *testing.T) {
 	g, clock := newGuard(time.Second)
-	maxStall := g.Limits().HoldUp
+	maxStall := g.Limits().MaxStall
 	var denied *DeniedError
 	if err := g.Allow(Retry, clock.now); !errors.As(err, &denied) || denied.Reason != PastDeadline {
 		t.Errorf("retry at its deadline: error %v, want past its deadline", err)
 	}
-	g.Done(Send, clock.now.Add(-maxStall))
+	g.CheckDeadline(Send, clock.now.Add(-maxStall))
 	if n := g.Violations(); n != 0 {
 		t.Errorf("late by the allowed stall: %d violations, want 0", n)
 	}
-	g.Done(Send, clock.now.Add(-maxStall-time.Millisecond))
+	g.CheckDeadline(Send, clock.now.Add(-maxStall-time.Millisecond))
 	g.BeginShutdown(clock.now)
 	clock.now = clock.now.Add(g.Limits().Kill + time.Millisecond)
-	g.Done(Answer, time.Time{})
-	g.Done(Stream, time.Time{})
+	g.CheckDeadline(Answer, time.Time{})
+	g.CheckDeadline(Stream, time.Time{})
 	for _, c := range g.Counts() {
 		if want := map[Operation]int64{Send: 1, Answer: 1, Stream: 1}[c.Operation]; c.Violations != want {
 			t.Errorf("%v: %d violations, want %d", c.Operation, c.Violations, want)
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -84,9 +84,9 @@
 	Serve           time.Duration // connections may bring requests until then; idle ones are closed afterwards
 	Answer          time.Duration // all requests are answered by then
 	Kill            time.Duration // the process may be killed from then on
-	AtMost          time.Duration // the process exits by then in any case
+	Exit            time.Duration // the process exits by then in any case
 	MinTime         time.Duration // a request with less time until Answer is rejected at once
-	HoldUp          time.Duration // longest stall of the process between reading its clock and a write
+	MaxStall        time.Duration // longest stall of the process between reading its clock and a write
 	ConnsPerRequest int           // open connections per request that may be open during the shutdown
 	CheckInterval   time.Duration // between two checks for open connections and requests
 	HandoverTimeout time.Duration // for the complete handover to the next process of this front
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -34,7 +34,7 @@
 // take effect within the drain grace.
 func TestChangesAreLearnedInTime(t *testing.T) {
 	for _, fronts := range []int{1, 10, 80, 350, 1024, 4096} {
-		l := For(Site{MemoryMB: 192, Sockets: 1024, Askers: fronts})
+		l := For(Site{MemoryMB: 192, Sockets: 1024, DiscoveryFronts: fronts})
 		if delay := l.Discovery.WatchHold + l.Discovery.AnswerTimeout + l.Discovery.RetryMax*3/2; delay > 6*time.Second ||
 			l.Discovery.StartSpread > 4*time.Second {
 			t.Errorf("%d fronts: a change takes up to %v, want 6 s; first watches begin within %v, want 4 s", fronts, delay,
@@ -43,7 +43,7 @@
 	}
 	for _, grace := range []time.Duration{300 * time.Millisecond, 500 * time.Millisecond, time.Second, 5 * time.Second} {
 		l := For(Site{MemoryMB: 192, Sockets: 1024, DrainGrace: grace})
-		delay := l.Discovery.WatchHold + l.Discovery.AnswerTimeout + l.Discovery.RetryMax*3/2 + l.Stop.HoldUp // a stall before the write
+		delay := l.Discovery.WatchHold + l.Discovery.AnswerTimeout + l.Discovery.RetryMax*3/2 + l.Stop.MaxStall // a stall before the write
 		if delay > grace || l.Discovery.StartSpread > 0 {
 			t.Errorf("drain grace %v: a drain takes effect after up to %v, or first watches are spread", grace, delay)
 		}
--- a/internal/limits/operation.go
+++ b/internal/limits/operation.go
@@ -37,9 +37,9 @@
 		AnswerTimeout: part,
 		RetryMin:      watchRetry,
 		RetryMax:      part,
-		StartSpread:   min(time.Duration(site.Askers)*sharedSpreadPerFront, sharedMaxSpread),
+		StartSpread:   min(time.Duration(site.DiscoveryFronts)*sharedSpreadPerFront, sharedMaxSpread),
 	}
-	if site.Askers > 0 {
+	if site.DiscoveryFronts > 0 {
 		out.WatchHold = sharedWatchHold
 		out.AnswerTimeout = sharedAnswerTimeout
 		out.RetryMax = sharedRetryMax
@@ -73,9 +73,9 @@
 		Serve:           kill - stopServeMargin,
 		Answer:          kill - stopAnswerMargin,
 		Kill:            kill,
-		AtMost:          maxDeadline + stopExitExtra,
+		Exit:            maxDeadline + stopExitExtra,
 		MinTime:         stopMinTime,
-		HoldUp:          maxStall,
+		MaxStall:        maxStall,
 		ConnsPerRequest: stopConnsPerRequest,
 		CheckInterval:   stopCheckInterval,
 		HandoverTimeout: handoverTimeout,
@@ -88,7 +88,7 @@
 	l.Serve = min(l.Serve, other.Serve)
 	l.Answer = min(l.Answer, other.Answer)
 	l.Kill = min(l.Kill, other.Kill)
-	l.AtMost = min(l.AtMost, other.AtMost)
+	l.Exit = min(l.Exit, other.Exit)
 	return l
 }
 
--- a/internal/limits/site.go
+++ b/internal/limits/site.go
@@ -11,7 +11,7 @@
 	Connect         time.Duration // timeout for connecting to a node
 	MaxDeadline     time.Duration // the longest deadline of any request
 	DrainGrace      time.Duration // time after its announcement within which a drain has to take effect, 0 if unknown
-	Askers          int           // fronts that watch one shared discovery, 0 if each front has its own agent
+	DiscoveryFronts int           // fronts that watch one shared discovery, 0 if each front has its own agent
 }
 
 // For computes the limits of a deployment.
--- a/internal/net/protocol/settings.go
+++ b/internal/net/protocol/settings.go
@@ -98,7 +98,7 @@
 	LoadReports     bool          // probes are answered with a load report
 	LoadQueue       string        // field of the load report with the number of queued requests, "" if there is none
 	MaxOpen         int           // maximum number of open requests, 0 for no limit
-	Askers          int           // number of fronts that share one discovery and have to ask it; 0 if changes are pushed to an agent
+	DiscoveryFronts int           // number of fronts that share one discovery and have to ask it; 0 if changes are pushed to an agent
 	NodeIdleTimeout time.Duration // time after which a node closes an idle connection
 	Connect         time.Duration // timeout for connecting to a node
 	MaxDeadline     time.Duration // the longest time that a client of any class waits
@@ -134,7 +134,7 @@
 		Connect: micros(in.Ceilings.ConnectTimeoutUs), Retry: micros(in.Ceilings.MaxRetryAfterUs), DrainGrace: micros(s.DrainGraceUs),
 	}
 	if in.RegistryMode == registryOnRequest {
-		out.Askers = in.Balancers
+		out.DiscoveryFronts = in.Balancers
 	}
 	for _, field := range in.Report.Fields {
 		if queueFields[field] {
--- a/internal/net/routing/attempt.go
+++ b/internal/net/routing/attempt.go
@@ -48,7 +48,7 @@
 // Written records that the attempt has just been written completely.
 func (a Attempt) Written() {
 	if a.guard != nil {
-		a.guard.Done(a.operation, a.beginBy)
+		a.guard.CheckDeadline(a.operation, a.beginBy)
 	}
 }
 
--- a/internal/net/transport/answerwriter.go
+++ b/internal/net/transport/answerwriter.go
@@ -25,7 +25,7 @@
 		if w.guard.Permits(lifecycle.EndIdle) {
 			w.Header().Set("Connection", "close")
 		}
-		w.guard.Done(lifecycle.Answer, w.deadline)
+		w.guard.CheckDeadline(lifecycle.Answer, w.deadline)
 	}
 	w.ResponseWriter.WriteHeader(status)
 }
--- a/internal/net/transport/conn.go
+++ b/internal/net/transport/conn.go
@@ -195,7 +195,7 @@
 // bytes resets the connection and discards the answer in transit.
 func (c *clientConn) Close() error {
 	if c.answerOwed.Load() && !c.clientGone.Load() && !c.hungUp() {
-		c.clients.guard.Violated(lifecycle.EndIdle, "connection closed with a request unanswered")
+		c.clients.guard.ReportViolation(lifecycle.EndIdle, "connection closed with a request unanswered")
 	}
 	if c.closeCalled.Swap(true) { // closed a second time: the front stops, or needs the slot
 		return c.Conn.Close()
--- a/internal/net/transport/front.go
+++ b/internal/net/transport/front.go
@@ -178,7 +178,7 @@
 	// Half of the time left: a request admitted later could hardly be answered, and its client can still retry.
 	maxWait := time.Until(f.guard.Deadline(toDuration(inbound.TimeLeft))) / 2
 	weight := plans[inbound.Plan].Weight // readRequest has rejected plans that the settings don't contain
-	release, err = f.Admission.Enter(r.Context(), inbound.Volume, client, inbound.Units, weight, maxWait)
+	release, err = f.Admission.Acquire(r.Context(), inbound.Volume, client, inbound.Units, weight, maxWait)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/net/transport/sftp/client_conn.go
+++ b/internal/net/transport/sftp/client_conn.go
@@ -166,7 +166,7 @@
 	if err == nil {
 		_, err = c.conn.Write(answer)
 	}
-	guard.Done(lifecycle.Answer, time.Time{})
+	guard.CheckDeadline(lifecycle.Answer, time.Time{})
 	if err != nil {
 		c.cancel(fmt.Errorf("%w: %w", errClientGone, err))
 	}
--- a/internal/net/transport/shutdown.go
+++ b/internal/net/transport/shutdown.go
@@ -36,7 +36,7 @@
 			f.clients.endIncomplete()
 		}
 		done := (accepted || yielded) && remaining == 0 && f.openRequests.Load() == 0
-		if done || f.guard.Since() > f.guard.Limits().AtMost {
+		if done || f.guard.Since() > f.guard.Limits().Exit {
 			break
 		}
 	}
--- a/internal/program/platform.go
+++ b/internal/program/platform.go
@@ -151,7 +151,7 @@
 	return limits.For(limits.Site{
 		MemoryMB: config.MemoryMB, Sockets: config.Sockets, Open: settings.MaxOpen,
 		NodeIdleTimeout: settings.NodeIdleTimeout, Connect: settings.Connect, MaxDeadline: settings.MaxDeadline, DrainGrace: settings.DrainGrace,
-		Askers: settings.Askers,
+		DiscoveryFronts: settings.DiscoveryFronts,
 	})
 }
 
