--- a/internal/lab/hollow/front.go
+++ b/internal/lab/hollow/front.go
@@ -153,7 +153,7 @@
 func (f *front) handlePeerMessage(m *message) {
 	f.counts.currentSecond[peerMessagesReceived]++
 	f.counts.currentSecond[peerMessageBytes] += int64(len(m.data))
-	e, err := protocol.ParseNote(int(m.from), m.data)
+	e, err := protocol.ParsePeerMessage(int(m.from), m.data)
 	if err != nil {
 		f.counts.currentSecond[unreadableMessages]++
 		return
@@ -220,7 +220,7 @@
 }
 
 func (f *front) sendPeerMessage(now scheduler.Micros, to int, a scheduler.Action) {
-	data := protocol.FormatNote(a)
+	data := protocol.FormatPeerMessage(a)
 	if data == nil || to < 0 || to >= f.world.settings.Fronts {
 		return
 	}
--- a/internal/lab/hollow/message.go
+++ b/internal/lab/hollow/message.go
@@ -15,7 +15,7 @@
 	kindReply                          // node to front: result of an attempt
 	kindProbe                          // front to node
 	kindProbeReply                     // node to front
-	kindPeerMessage                    // front to front: protocol.FormatNote
+	kindPeerMessage                    // front to front: protocol.FormatPeerMessage
 	kindHealth                         // front to front: health.Encode
 	kindListCall                       // front to discovery
 	kindListAnswer                     // discovery to front
--- a/internal/lab/sockets/site.go
+++ b/internal/lab/sockets/site.go
@@ -41,7 +41,7 @@
 func protocolSettings(w *world.World, kinds []string, writes []bool) protocol.Settings {
 	return protocol.Settings{
 		Scheduler: w.Set, Classes: kinds, Writes: writes, Plans: []string{"reserved", "limited"}, Shards: len(w.Nodes),
-		MaxDeadline: time.Minute, Retry: time.Duration(w.Set.MaxRetryAfter) * time.Microsecond,
+		MaxDeadline: time.Minute, MaxRetryAfter: time.Duration(w.Set.MaxRetryAfter) * time.Microsecond,
 	}
 }
 
--- a/internal/lab/world/fleet_test.go
+++ b/internal/lab/world/fleet_test.go
@@ -78,7 +78,7 @@
 			c.counts["probes"]++
 		case scheduler.RequestCapacity, scheduler.GrantCapacity:
 			c.counts["messages"]++
-			c.counts["bytes"] += len(protocol.FormatNote(a))
+			c.counts["bytes"] += len(protocol.FormatPeerMessage(a))
 		}
 	}
 	return out
--- a/internal/net/control/control.go
+++ b/internal/net/control/control.go
@@ -19,7 +19,7 @@
 // Front is the front that operators query and control.
 type Front interface {
 	Ready() bool                        // reports whether this process can serve requests
-	Figures() (protocol.Figures, error) // must return within a bounded time
+	Figures() (protocol.Metrics, error) // must return within a bounded time
 	Ban(node, by string) bool           // bans a node before it returns; false if the node is unknown
 	Lift(node, by string) bool          // ends the ban of a node; false if the node is unknown
 }
@@ -72,7 +72,7 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	io.WriteString(w, protocol.FormatFigures(f))
+	io.WriteString(w, protocol.FormatMetrics(f))
 }
 
 func (s *Server) ban(w http.ResponseWriter, r *http.Request) {
--- a/internal/net/protocol/change.go
+++ b/internal/net/protocol/change.go
@@ -14,11 +14,11 @@
 // keeps its index while the process runs.
 const maxNames = 4096
 
-// ParseChange parses a configuration that replaces the former one while the program runs. In addition to the checks of
+// ParseReload parses a configuration that replaces the former one while the program runs. In addition to the checks of
 // ParseConfig, the new text must have every key of the former text, because a file that was truncated while it was edited lacks
 // some. Classes and plans keep their indexes. Those that the new configuration no longer names keep their index as well, but
 // requests can no longer use them.
-func ParseChange(text []byte, former Config, formerText []byte) (Config, error) {
+func ParseReload(text []byte, former Config, formerText []byte) (Config, error) {
 	var formerJSON, newJSON any
 	if err := json.Unmarshal(text, &newJSON); err != nil {
 		return Config{}, err
@@ -121,14 +121,14 @@
 	// Writes is given by position, in the class order of the start. The list of the start therefore stays in use.
 	out.Writes = s.Writes
 	out.Scheduler.Classes, out.Scheduler.Plans = slices.Clone(s.Scheduler.Classes), slices.Clone(s.Scheduler.Plans)
-	for _, name := range s.Names {
+	for _, name := range s.ClassNames {
 		i := slices.Index(next.Classes, name)
 		out.appendClass(next, i)
 	}
-	out.Names = slices.Clone(s.Names)
+	out.ClassNames = slices.Clone(s.ClassNames)
 	for i, name := range next.Classes {
-		if !slices.Contains(s.Names, name) {
-			out.Names = append(out.Names, name)
+		if !slices.Contains(s.ClassNames, name) {
+			out.ClassNames = append(out.ClassNames, name)
 			out.Scheduler.Classes = append(out.Scheduler.Classes, scheduler.Class{})
 			out.appendClass(next, i)
 		}
@@ -148,7 +148,7 @@
 		}
 		out.Plans = append(out.Plans, name)
 	}
-	if len(out.Names) > maxNames || len(out.PlanNames) > maxNames {
+	if len(out.ClassNames) > maxNames || len(out.PlanNames) > maxNames {
 		return Settings{}, fmt.Errorf("classes and contracts: more than %d names since the start", maxNames)
 	}
 	return out, nil
--- a/internal/net/protocol/check_test.go
+++ b/internal/net/protocol/check_test.go
@@ -39,7 +39,7 @@
 		if _, err := ParseConfig([]byte(text)); err == nil || !strings.Contains(err.Error(), c[2]) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", c[1], err)
 		}
-		if _, err := ParseChange([]byte(text), good, []byte(goodConfig)); err == nil {
+		if _, err := ParseReload([]byte(text), good, []byte(goodConfig)); err == nil {
 			t.Errorf("%s: accepted as a reload", c[1])
 		}
 	}
--- a/internal/net/protocol/fleet_test.go
+++ b/internal/net/protocol/fleet_test.go
@@ -75,11 +75,11 @@
 		{"grant 1 soon s-1", "until"},
 		{"grant 1 0 s-1", "until"},
 	} {
-		if e, err := ParseNote(1, []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.field) {
+		if e, err := ParsePeerMessage(1, []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.field) {
 			t.Errorf("%q: %v, %v", c.text, e, err)
 		}
 	}
-	if FormatNote(scheduler.RequestCapacity{Node: strings.Repeat("x", 300)}) != nil || FormatNote(scheduler.SetTimer{}) != nil {
+	if FormatPeerMessage(scheduler.RequestCapacity{Node: strings.Repeat("x", 300)}) != nil || FormatPeerMessage(scheduler.SetTimer{}) != nil {
 		t.Error("a message was written for an action that is too long or not for another front")
 	}
 }
--- a/internal/net/protocol/golden_test.go
+++ b/internal/net/protocol/golden_test.go
@@ -35,10 +35,10 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			if got := string(FormatNote(c.action)); got != c.bytes {
+			if got := string(FormatPeerMessage(c.action)); got != c.bytes {
 				t.Errorf("sent %q, want %q", got, c.bytes)
 			}
-			if got, err := ParseNote(2, []byte(c.bytes)); err != nil || !reflect.DeepEqual(got, c.event) {
+			if got, err := ParsePeerMessage(2, []byte(c.bytes)); err != nil || !reflect.DeepEqual(got, c.event) {
 				t.Errorf("received %+v, %v, want %+v", got, err, c.event)
 			}
 		})
--- a/internal/net/protocol/list.go
+++ b/internal/net/protocol/list.go
@@ -12,10 +12,10 @@
 
 // List is an answer of discovery: the full endpoint list, or the entries that changed.
 type List struct {
-	Seq   int64
-	Full  bool
-	Hosts []Host
-	Odd   []string // nodes with an invalid entry, which is ignored: such a node keeps its former entry
+	Seq     int64
+	Full    bool
+	Hosts   []Host
+	Invalid []string // nodes with an invalid entry, which is ignored: such a node keeps its former entry
 }
 
 // Host is a node's entry: its endpoint as the scheduler knows it, and the address to connect to.
@@ -68,7 +68,7 @@
 			return List{}, fmt.Errorf("hosts[%d].dial: %w", i, err)
 		}
 		if h.Block < 0 || h.BornMs < 0 || now > 0 && h.BornMs > int64(now/1000) {
-			out.Odd = append(out.Odd, h.Host)
+			out.Invalid = append(out.Invalid, h.Host)
 			continue
 		}
 		out.Hosts = append(out.Hosts, Host{Dial: h.Dial, Endpoint: scheduler.Endpoint{
--- a/internal/net/protocol/metrics.go
+++ b/internal/net/protocol/metrics.go
@@ -8,27 +8,27 @@
 // metricPrefix is the prefix of all metric names.
 const metricPrefix = "svc."
 
-// Ended counts a class's requests by result since the process started.
-type Ended struct {
+// ClassCounts counts a class's requests by result since the process started.
+type ClassCounts struct {
 	Class                    string
 	Served, Rejected, Failed int64
 }
 
-// Figures are the metrics of a process. Counters start at 0 when the process starts.
-type Figures struct {
-	Classes       []Ended
+// Metrics are the metrics of a process. Counters start at 0 when the process starts.
+type Metrics struct {
+	Classes       []ClassCounts
 	Attempts      int64 // requests written completely to nodes, retries included
 	InFlight      int64 // requests accepted and not finished
 	Known         int   // nodes on the endpoint list
 	Excluded      int   // of these, nodes that get no requests now, because an operator or the scheduler excluded them
 	ReloadsOK     int64
 	ReloadsFailed int64
-	Rules         RuleFigures
-	Health        *HealthFigures // nil if fronts don't share the health of nodes; its lines are omitted then
+	Rules         RuleMetrics
+	Health        *HealthMetrics // nil if fronts don't share the health of nodes; its lines are omitted then
 }
 
-// RuleFigures are the metrics of the rules of package lifecycle, which decide whether an operation is allowed at a time.
-type RuleFigures struct {
+// RuleMetrics are the metrics of the rules of package lifecycle, which decide whether an operation is allowed at a time.
+type RuleMetrics struct {
 	Operations      []RuleCount
 	EndedByShutdown int64 // requests that were still open in a shutdown when all had to be answered
 	EndedOverdue    int64 // requests whose attempt had not ended by its deadline
@@ -42,8 +42,8 @@
 	Denied, Violations int64
 }
 
-// HealthFigures are the metrics of the health of nodes that the fronts of a zone share.
-type HealthFigures struct {
+// HealthMetrics are the metrics of the health of nodes that the fronts of a zone share.
+type HealthMetrics struct {
 	Probes           int64 // sent to nodes
 	MessagesSent     int64 // to other fronts
 	BytesSent        int64 // in these messages
@@ -54,8 +54,8 @@
 	Avoided          int   // nodes that this front avoids because of its zone's verdict
 }
 
-// FormatFigures writes the metrics, one per line: name, value, and 'c' for a counter or 'g' for a gauge.
-func FormatFigures(f Figures) string {
+// FormatMetrics writes the metrics, one per line: name, value, and 'c' for a counter or 'g' for a gauge.
+func FormatMetrics(f Metrics) string {
 	var out strings.Builder
 	line := func(kind, name string, value int64) {
 		fmt.Fprintf(&out, "%s%s:%d|%s\n", metricPrefix, name, value, kind)
@@ -86,7 +86,7 @@
 }
 
 // format writes the totals over all operations, then each operation with a count above 0.
-func (r RuleFigures) format(line func(kind, name string, value int64)) {
+func (r RuleMetrics) format(line func(kind, name string, value int64)) {
 	var denied, violations int64
 	for _, c := range r.Operations {
 		denied += c.Denied
--- a/internal/net/protocol/metrics_test.go
+++ b/internal/net/protocol/metrics_test.go
@@ -8,11 +8,11 @@
 // Guards against lines of health metrics if fronts don't share the health of nodes: a reader of the other metrics may reject names
 // that it does not know.
 func TestHealthMetricsOnlyIfShared(t *testing.T) {
-	off := FormatFigures(Figures{Attempts: 5})
+	off := FormatMetrics(Metrics{Attempts: 5})
 	if strings.Contains(off, "health") {
 		t.Errorf("without shared health: %s", off)
 	}
-	on := FormatFigures(Figures{Attempts: 5, Health: &HealthFigures{
+	on := FormatMetrics(Metrics{Attempts: 5, Health: &HealthMetrics{
 		Probes: 1, MessagesSent: 2, BytesSent: 3, MessagesReceived: 4, Dropped: 5,
 		Shed: 6, Lost: 7, Avoided: 8,
 	}})
@@ -25,7 +25,7 @@
 
 // Checks that denials and violations are reported in total and by operation, and that operations without any have no line.
 func TestRuleMetrics(t *testing.T) {
-	text := FormatFigures(Figures{Rules: RuleFigures{
+	text := FormatMetrics(Metrics{Rules: RuleMetrics{
 		Operations:      []RuleCount{{Operation: "take", Denied: 2}, {Operation: "send", Denied: 1, Violations: 3}, {Operation: "retry"}},
 		EndedByShutdown: 4, EndedOverdue: 5, AcceptErrors: 6, LogLinesDropped: 7,
 	}})
--- a/internal/net/protocol/peer_message.go
+++ b/internal/net/protocol/peer_message.go
@@ -8,8 +8,8 @@
 	"otterturn/scheduler"
 )
 
-// LongestNote is the maximum size of a message between fronts, in bytes.
-const LongestNote = 256
+// MaxPeerMessageBytes is the maximum size of a message between fronts, in bytes.
+const MaxPeerMessageBytes = 256
 
 // A message between fronts consists of words separated by single spaces. The first word is its kind. The fields of kindAsk are the
 // units of the next request, the units of the smallest one, the units answered since the last report, the units answered with a
@@ -20,9 +20,9 @@
 	kindGrant = "grant" // grants capacity of a node
 )
 
-// FormatNote encodes an action as a message to another front. It returns nil if the action is not for another front, or if the
+// FormatPeerMessage encodes an action as a message to another front. It returns nil if the action is not for another front, or if the
 // message is too long.
-func FormatNote(a scheduler.Action) []byte {
+func FormatPeerMessage(a scheduler.Action) []byte {
 	var text []byte
 	switch a := a.(type) {
 	case scheduler.RequestCapacity:
@@ -31,14 +31,14 @@
 	case scheduler.GrantCapacity:
 		text = fmt.Appendf(nil, "%s %s %d %s", kindGrant, formatUnits(a.Units), a.ValidUntil, a.Node)
 	}
-	if len(text) > LongestNote {
+	if len(text) > MaxPeerMessageBytes {
 		return nil
 	}
 	return text
 }
 
-// ParseNote parses a message from the front with index from. A message with any invalid field is rejected.
-func ParseNote(from int, text []byte) (scheduler.Event, error) {
+// ParsePeerMessage parses a message from the front with index from. A message with any invalid field is rejected.
+func ParsePeerMessage(from int, text []byte) (scheduler.Event, error) {
 	words := strings.Split(string(text), " ")
 	switch {
 	case words[0] == kindAsk && len(words) == 8:
--- a/internal/net/protocol/request.go
+++ b/internal/net/protocol/request.go
@@ -30,8 +30,8 @@
 	headerServedElsewhere = "X-Served-Elsewhere"
 )
 
-// ErrNoPath reports that the front does not serve a request's path.
-var ErrNoPath = errors.New("unknown path")
+// ErrUnknownPath reports that the front does not serve a request's path.
+var ErrUnknownPath = errors.New("unknown path")
 
 // maxIDBytes is the maximum length of an id in bytes. It limits the scheduler's memory per request, since clients choose the ids.
 const maxIDBytes = 128
@@ -76,7 +76,7 @@
 	parts := strings.Split(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class := slices.Index(set.Classes, parts[0])
 	if len(parts) != 3 || parts[0] == "" || class < 0 || !isHexID(parts[1]) || !isHexID(parts[2]) || r.URL.RawPath != "" {
-		return Request{}, ErrNoPath
+		return Request{}, ErrUnknownPath
 	}
 	for _, name := range forwarded {
 		if len(r.Header.Values(name)) > 1 {
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// SetLeft sets the header that tells a node how long the front will wait for its answer.
-func SetLeft(h http.Header, left time.Duration) { h.Set(headerTimeLeft, formatTimeLeft(left)) }
+// SetTimeLeft sets the header that tells a node how long the front will wait for its answer.
+func SetTimeLeft(h http.Header, left time.Duration) { h.Set(headerTimeLeft, formatTimeLeft(left)) }
 
 // ParseOutcome returns the result of an attempt, given the node's answer.
 func ParseOutcome(status int, h http.Header) scheduler.AttemptEnded {
--- a/internal/net/protocol/settings.go
+++ b/internal/net/protocol/settings.go
@@ -88,7 +88,7 @@
 type Settings struct {
 	Scheduler       scheduler.Settings
 	Classes         []string        // by the scheduler's index; "" for a class that is no longer configured
-	Names           []string        // the same, with the names of classes that are no longer configured
+	ClassNames      []string        // the same, with the names of classes that are no longer configured
 	PlanNames       []string        // the same for plans
 	MaxWaits        []time.Duration // by class, the longest time that its clients wait
 	Writes          []bool          // by class, whether its requests write; empty if unknown
@@ -103,7 +103,7 @@
 	Connect         time.Duration // timeout for connecting to a node
 	MaxDeadline     time.Duration // the longest time that a client of any class waits
 	DrainGrace      time.Duration // time within which a drain must take effect after its announcement, 0 if unknown
-	Retry           time.Duration // longest Retry-After that clients respect
+	MaxRetryAfter   time.Duration // longest Retry-After that clients respect
 }
 
 // ParseSettings parses a settings object. Unknown keys are ignored. The settings of the connections may be missing.
@@ -131,7 +131,7 @@
 	out := Settings{
 		Zones: in.Zones, Writes: in.FamilyInfo.ClassWrites, LoadReports: in.Report.How != "" && in.Report.How != "off",
 		Shards: in.FamilyInfo.Shards, MaxOpen: in.Ceilings.MaxOpen, NodeIdleTimeout: micros(in.Ceilings.ConnIdleUs),
-		Connect: micros(in.Ceilings.ConnectTimeoutUs), Retry: micros(in.Ceilings.MaxRetryAfterUs), DrainGrace: micros(s.DrainGraceUs),
+		Connect: micros(in.Ceilings.ConnectTimeoutUs), MaxRetryAfter: micros(in.Ceilings.MaxRetryAfterUs), DrainGrace: micros(s.DrainGraceUs),
 	}
 	if in.RegistryMode == registryOnRequest {
 		out.DiscoveryFronts = in.Balancers
@@ -165,7 +165,7 @@
 			Limit: p.CeilingRate, Burst: p.LimitBurst, Slack: p.Slack,
 		})
 	}
-	out.Scheduler, out.Names, out.PlanNames = set, out.Classes, out.Plans
+	out.Scheduler, out.ClassNames, out.PlanNames = set, out.Classes, out.Plans
 	return out, nil
 }
 
--- a/internal/net/protocol/sftp/command.go
+++ b/internal/net/protocol/sftp/command.go
@@ -69,7 +69,7 @@
 type Sizes struct {
 	UnitBytes int     // bytes per unit
 	BulkBytes int     // size in bytes from which a read is a bulk read
-	MostUnits float64 // maximum size of a request
+	MaxUnits  float64 // maximum size of a request
 }
 
 // Role returns the role of a command. A write at an offset, a create that keeps existing content and a change of attributes other
@@ -106,7 +106,7 @@
 	if c.Op == List {
 		bytes = s.UnitBytes // the size is unknown in advance: one unit above the minimum
 	}
-	return min(1+float64(bytes/s.UnitBytes), s.MostUnits)
+	return min(1+float64(bytes/s.UnitBytes), s.MaxUnits)
 }
 
 // Project is a customer's directory tree, which is stored on one shard.
@@ -150,8 +150,8 @@
 // Clean makes a path absolute and removes its redundant elements.
 func Clean(name string) string { return path.Clean("/" + name) }
 
-// Repeats returns the idempotency of the classes of the four roles, given the operator's setting for writes.
-func Repeats(write scheduler.Idempotency) [Roles]scheduler.Idempotency {
+// Idempotencies returns the idempotency of the classes of the four roles, given the operator's setting for writes.
+func Idempotencies(write scheduler.Idempotency) [Roles]scheduler.Idempotency {
 	return [Roles]scheduler.Idempotency{
 		RoleRead: scheduler.Idempotent, RoleBulkRead: scheduler.Idempotent, RoleWrite: write,
 		RoleWriteOnce: scheduler.NotIdempotent,
--- a/internal/net/protocol/sftp/command_test.go
+++ b/internal/net/protocol/sftp/command_test.go
@@ -11,7 +11,7 @@
 // Guards against the retry of a command that is not idempotent: of the commands that change something, only those with RoleWrite
 // may be retried after they may have run.
 func TestRolesAndUnits(t *testing.T) {
-	sizes := Sizes{UnitBytes: 100, BulkBytes: 1000, MostUnits: 4}
+	sizes := Sizes{UnitBytes: 100, BulkBytes: 1000, MaxUnits: 4}
 	for _, c := range []struct {
 		cmd   Command
 		role  Role
--- a/internal/net/transport/admission_test.go
+++ b/internal/net/transport/admission_test.go
@@ -39,7 +39,7 @@
 	core.UpdateEndpoints(nodes.Apply(endpointList(node)))
 	f := NewFront(protocol.Settings{
 		Classes: []string{"read", "write"}, Plans: []string{"gold"}, Shards: 1,
-		Scheduler: scheduler.Settings{Plans: []scheduler.Plan{{Weight: 1}}}, MaxDeadline: time.Minute, Retry: time.Second,
+		Scheduler: scheduler.Settings{Plans: []scheduler.Plan{{Weight: 1}}}, MaxDeadline: time.Minute, MaxRetryAfter: time.Second,
 	}, l,
 		NewRoundTripper(core, nodes))
 	f.Admission = g
--- a/internal/net/transport/body.go
+++ b/internal/net/transport/body.go
@@ -26,7 +26,7 @@
 	}
 	inbound.Request, err = protocol.ParseRequest(r, settings)
 	switch {
-	case errors.Is(err, protocol.ErrNoPath):
+	case errors.Is(err, protocol.ErrUnknownPath):
 		return inbound, http.StatusNotFound, err
 	case err != nil:
 		return inbound, http.StatusBadRequest, err
--- a/internal/net/transport/discovery.go
+++ b/internal/net/transport/discovery.go
@@ -61,8 +61,8 @@
 			seq = FullList
 			sleep(ctx, l.Discovery.RetryMin)
 			continue
-		case len(list.Odd) > 0:
-			warn("invalid endpoints ignored", fmt.Sprintf("%d entries, the first for %s", len(list.Odd), list.Odd[0]))
+		case len(list.Invalid) > 0:
+			warn("invalid endpoints ignored", fmt.Sprintf("%d entries, the first for %s", len(list.Invalid), list.Invalid[0]))
 		default:
 			lastWarning = ""
 		}
--- a/internal/net/transport/discovery_test.go
+++ b/internal/net/transport/discovery_test.go
@@ -132,7 +132,7 @@
 	})
 	lists := make(chan protocol.List, 1024)
 	go Watch(t.Context(), addr, FullList, nil, standin.Limits(), 1, frontClock, func(l protocol.List) { lists <- l }, standin.Log(func(string) {}))
-	if got := standin.Await(t, "the list", lists); len(got.Hosts) != 1 || len(got.Odd) != 0 {
+	if got := standin.Await(t, "the list", lists); len(got.Hosts) != 1 || len(got.Invalid) != 0 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/net/transport/exchange.go
+++ b/internal/net/transport/exchange.go
@@ -104,7 +104,7 @@
 // that receives an earlier value would work for longer than the client waits.
 func encodeForNow(ctx context.Context, r *http.Request) ([]byte, error) {
 	if deadline, ok := ctx.Deadline(); ok {
-		protocol.SetLeft(r.Header, time.Until(deadline))
+		protocol.SetTimeLeft(r.Header, time.Until(deadline))
 	}
 	if r.GetBody != nil { // an earlier connection may have consumed the body
 		body, err := r.GetBody()
--- a/internal/net/transport/front.go
+++ b/internal/net/transport/front.go
@@ -85,13 +85,13 @@
 
 // ReconfigureIf replaces the settings if old is still in use.
 func (f *Front) ReconfigureIf(old, newSettings protocol.Settings) {
-	if current := f.settings.Load(); len(current.Names) == len(old.Names) && &current.Names[0] == &old.Names[0] {
+	if current := f.settings.Load(); len(current.ClassNames) == len(old.ClassNames) && &current.ClassNames[0] == &old.ClassNames[0] {
 		f.settings.Store(&newSettings)
 	}
 }
 
 // ClassNames returns the names of the classes, indexed by class number, including removed classes.
-func (f *Front) ClassNames() []string { return f.settings.Load().Names }
+func (f *Front) ClassNames() []string { return f.settings.Load().ClassNames }
 
 // PlanNames returns the names of the plans, indexed by plan number, including removed plans.
 func (f *Front) PlanNames() []string { return f.settings.Load().PlanNames }
@@ -142,7 +142,7 @@
 		return
 	case uploadFailed, full:
 		f.next.core.CountRejected(inbound.Class)
-		answerError(answer, r, &routing.RejectedError{RetryAfter: current.Retry})
+		answerError(answer, r, &routing.RejectedError{RetryAfter: current.MaxRetryAfter})
 		return
 	}
 	conn := connOf(r.Context())
--- a/internal/net/transport/front_test.go
+++ b/internal/net/transport/front_test.go
@@ -31,7 +31,7 @@
 	core.UpdateEndpoints(nodes.Apply(endpointList(addrs...)))
 	f = NewFront(protocol.Settings{
 		Classes: []string{"read", "write"}, Plans: []string{"gold"}, Shards: 2,
-		MaxDeadline: 5 * time.Second, Retry: time.Second,
+		MaxDeadline: 5 * time.Second, MaxRetryAfter: time.Second,
 	}, l, NewRoundTripper(core, nodes))
 	listener := standin.Listen(t)
 	done := make(chan error, 1)
--- a/internal/net/transport/peers.go
+++ b/internal/net/transport/peers.go
@@ -76,7 +76,7 @@
 
 // Send sends a scheduler action to the front with the given number. An action without a message format is ignored.
 func (p *Peers) Send(to int, a scheduler.Action) {
-	if text := protocol.FormatNote(a); text != nil {
+	if text := protocol.FormatPeerMessage(a); text != nil {
 		p.SendBytes(to, text)
 	}
 }
@@ -91,7 +91,7 @@
 // Run calls handle with each received message until ctx ends.
 func (p *Peers) Run(ctx context.Context, handle func(scheduler.Event)) {
 	defer context.AfterFunc(ctx, func() { p.conn.Close() })()
-	buffer := make([]byte, protocol.LongestNote+1)
+	buffer := make([]byte, protocol.MaxPeerMessageBytes+1)
 	for ctx.Err() == nil {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -119,13 +119,13 @@
 	case !known:
 		p.reportDrop(from, ErrNoPeer)
 		return
-	case len(text) > protocol.LongestNote:
+	case len(text) > protocol.MaxPeerMessageBytes:
 		p.reportDrop(from, ErrTooLong)
 		return
 	case p.Intercept != nil && p.Intercept(number, text):
 		return
 	}
-	e, err := protocol.ParseNote(number, text)
+	e, err := protocol.ParsePeerMessage(number, text)
 	if err != nil {
 		p.reportDrop(from, err)
 		return
--- a/internal/net/transport/peers_test.go
+++ b/internal/net/transport/peers_test.go
@@ -143,7 +143,7 @@
 	if err := standin.Await(t, "a dropped datagram", drops); !strings.Contains(err.Error(), "no kind") {
 		t.Error(err)
 	}
-	peers[0].SendBytes(1, make([]byte, protocol.LongestNote+40))
+	peers[0].SendBytes(1, make([]byte, protocol.MaxPeerMessageBytes+40))
 	if err := standin.Await(t, "a dropped datagram", drops); err != ErrTooLong {
 		t.Error(err)
 	}
--- a/internal/net/transport/sftp/client_conn.go
+++ b/internal/net/transport/sftp/client_conn.go
@@ -202,7 +202,7 @@
 	case f.slots <- struct{}{}:
 		defer func() { <-f.slots }()
 	default:
-		rejected := &routing.RejectedError{RetryAfter: f.site.Retry}
+		rejected := &routing.RejectedError{RetryAfter: f.site.RetryAfter}
 		counts.add(rejected)
 		return files.Reply{}, rejected
 	}
--- a/internal/net/transport/sftp/commands.go
+++ b/internal/net/transport/sftp/commands.go
@@ -107,7 +107,7 @@
 
 func (c *clientConn) checkHandleLimit() error {
 	if len(c.handles) >= c.front.limits.Files.Handles {
-		return &routing.RejectedError{RetryAfter: c.front.site.Retry}
+		return &routing.RejectedError{RetryAfter: c.front.site.RetryAfter}
 	}
 	return nil
 }
--- a/internal/net/transport/sftp/front.go
+++ b/internal/net/transport/sftp/front.go
@@ -23,11 +23,11 @@
 
 // Site is the operator's configuration of the front.
 type Site struct {
-	Projects []files.Project
-	Sizes    files.Sizes
-	Classes  [files.Roles]int           // the scheduler's class for each role
-	Wait     [files.Roles]time.Duration // time limit of a command of the role
-	Retry    time.Duration              // Retry-After when the front itself has no room
+	Projects   []files.Project
+	Sizes      files.Sizes
+	Classes    [files.Roles]int           // the scheduler's class for each role
+	TimeLimits [files.Roles]time.Duration // time limit of a command of the role
+	RetryAfter time.Duration              // Retry-After when the front itself has no room
 }
 
 // Front serves SFTP clients.
@@ -152,6 +152,6 @@
 	return scheduler.Request{
 		ID: "sftp-" + strconv.FormatInt(f.ids.Add(1), 10), Class: f.site.Classes[role],
 		Plan: project.Plan, Volume: project.Name, Key: cmd.Path, Units: cmd.Units(f.site.Sizes), Shard: project.Shard,
-		Fronts: 1, TimeLeft: scheduler.Micros(f.site.Wait[role] / time.Microsecond),
+		Fronts: 1, TimeLeft: scheduler.Micros(f.site.TimeLimits[role] / time.Microsecond),
 	}, f.byProject[project.Name], nil
 }
--- a/internal/net/transport/sftp/front_test.go
+++ b/internal/net/transport/sftp/front_test.go
@@ -48,11 +48,11 @@
 	}
 	b.updateEndpoints(list)
 	b.front = NewFront(Site{
-		Projects: []files.Project{{Name: "a", Prefix: "/a", Shard: 0}, {Name: "b", Prefix: "/b", Shard: 1}},
-		Sizes:    files.Sizes{UnitBytes: 16384, BulkBytes: 32768, MostUnits: 8},
-		Classes:  [files.Roles]int{files.RoleWrite: 1, files.RoleWriteOnce: 2},
-		Wait:     [files.Roles]time.Duration{wait, wait, wait, wait},
-		Retry:    time.Second,
+		Projects:   []files.Project{{Name: "a", Prefix: "/a", Shard: 0}, {Name: "b", Prefix: "/b", Shard: 1}},
+		Sizes:      files.Sizes{UnitBytes: 16384, BulkBytes: 32768, MaxUnits: 8},
+		Classes:    [files.Roles]int{files.RoleWrite: 1, files.RoleWriteOnce: 2},
+		TimeLimits: [files.Roles]time.Duration{wait, wait, wait, wait},
+		RetryAfter: time.Second,
 	}, l, b.core, b.client.Attempt)
 	listener := standin.Listen(t)
 	b.listen, b.addr = listener, listener.Addr().String()
--- a/internal/net/transport/upload.go
+++ b/internal/net/transport/upload.go
@@ -170,7 +170,7 @@
 	outbound := &http.Request{
 		Method: r.Method, URL: r.URL, Host: r.Host, Header: protocol.Forwarded(r.Header), ContentLength: r.ContentLength,
 	}
-	protocol.SetLeft(outbound.Header, time.Until(t.core.Guard.Deadline(toDuration(inbound.TimeLeft))))
+	protocol.SetTimeLeft(outbound.Header, time.Until(t.core.Guard.Deadline(toDuration(inbound.TimeLeft))))
 	bodyStart := inbound.Body
 	inbound.Body = nil
 	if inbound.upload, err = t.nodes.startUpload(r.Context(), t.core.Guard, node, outbound, bodyStart, readNext); err != nil {
--- a/internal/program/control.go
+++ b/internal/program/control.go
@@ -42,22 +42,22 @@
 }
 
 // Figures returns the metrics of this process.
-func (p *platform) Figures() (protocol.Figures, error) {
+func (p *platform) Figures() (protocol.Metrics, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.limits.Control.ReportTimeout)
 	defer cancel()
 	avoided, err := p.core.AvoidedNodes(ctx)
 	if err != nil {
-		return protocol.Figures{}, err
+		return protocol.Metrics{}, err
 	}
 	sharedMetrics, err := p.healthMetrics(ctx)
 	if err != nil {
-		return protocol.Figures{}, err
+		return protocol.Metrics{}, err
 	}
 	tally := p.core.Tally()
-	out := protocol.Figures{
+	out := protocol.Metrics{
 		InFlight: tally.Open, Attempts: p.nodes.Attempts(), Excluded: avoided,
 		ReloadsOK: p.reloads.Load(), ReloadsFailed: p.reloadsRejected.Load(), Health: sharedMetrics,
-		Rules: protocol.RuleFigures{
+		Rules: protocol.RuleMetrics{
 			EndedByShutdown: tally.EndedByShutdown, EndedOverdue: tally.EndedOverdue,
 			AcceptErrors: p.front.AcceptErrors(), LogLinesDropped: p.lines.Dropped(),
 		},
@@ -69,7 +69,7 @@
 	}
 	for i, name := range p.front.ClassNames() {
 		ended := tally.Class(i)
-		out.Classes = append(out.Classes, protocol.Ended{
+		out.Classes = append(out.Classes, protocol.ClassCounts{
 			Class: name, Served: ended[routing.Served],
 			Rejected: ended[routing.Rejected], Failed: ended[routing.Failed],
 		})
--- a/internal/program/fleet_health.go
+++ b/internal/program/fleet_health.go
@@ -128,7 +128,7 @@
 }
 
 // healthMetrics returns the counters of the health monitor, nil where health is not shared.
-func (p *platform) healthMetrics(ctx context.Context) (*protocol.HealthFigures, error) {
+func (p *platform) healthMetrics(ctx context.Context) (*protocol.HealthMetrics, error) {
 	if p.monitor == nil {
 		return nil, nil
 	}
@@ -136,7 +136,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &protocol.HealthFigures{
+	return &protocol.HealthMetrics{
 		Probes: c.Probes, MessagesSent: c.Sent, BytesSent: c.SentBytes, MessagesReceived: c.Received,
 		Dropped: c.Drops(), Shed: c.Shed, Lost: c.Lost, Avoided: c.Avoided,
 	}, nil
--- a/internal/program/operator_settings.go
+++ b/internal/program/operator_settings.go
@@ -36,7 +36,7 @@
 func (o *Operator) Settings() protocol.Settings {
 	out := protocol.Settings{
 		Classes: classNames, MaxOpen: o.Limits.Open, NodeIdleTimeout: o.Limits.NodeIdle,
-		Connect: o.Limits.Connect, Retry: o.Limits.RetryAfter, Scheduler: scheduler.Settings{
+		Connect: o.Limits.Connect, MaxRetryAfter: o.Limits.RetryAfter, Scheduler: scheduler.Settings{
 			Fronts: 1, Tick: 2000, MeanUnits: 2, MaxUnits: maxUnits, MaxAttempts: o.Limits.Tries, HealthChecks: true, ServeLate: true,
 			RetryAfter: true, MaxRetryAfter: scheduler.Micros(o.Limits.RetryAfter / time.Microsecond),
 		},
@@ -49,7 +49,7 @@
 	if o.Classes["write"].Repeat == "never" {
 		writeIdempotency = scheduler.NotIdempotent
 	}
-	for role, idempotency := range files.Repeats(writeIdempotency) {
+	for role, idempotency := range files.Idempotencies(writeIdempotency) {
 		c := o.Classes[classNames[min(role, int(files.RoleWrite))]]
 		out.MaxDeadline = max(out.MaxDeadline, c.Wait)
 		out.Scheduler.Classes = append(out.Scheduler.Classes, scheduler.Class{
@@ -74,12 +74,12 @@
 // sftpSite returns the settings of the SFTP front.
 func (o *Operator) sftpSite() sftp.Site {
 	out := sftp.Site{
-		Retry: o.Limits.RetryAfter,
-		Sizes: files.Sizes{UnitBytes: o.SFTP.UnitBytes, BulkBytes: o.SFTP.BulkBytes, MostUnits: maxUnits},
+		RetryAfter: o.Limits.RetryAfter,
+		Sizes:      files.Sizes{UnitBytes: o.SFTP.UnitBytes, BulkBytes: o.SFTP.BulkBytes, MaxUnits: maxUnits},
 	}
 	for role := range out.Classes {
 		out.Classes[role] = role
-		out.Wait[role] = o.Classes[classNames[min(role, int(files.RoleWrite))]].Wait
+		out.TimeLimits[role] = o.Classes[classNames[min(role, int(files.RoleWrite))]].Wait
 	}
 	for _, p := range o.Projects {
 		out.Projects = append(out.Projects, files.Project{
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return protocol.Config{}, fmt.Errorf("RELAY_CONFIG: %w", err)
 	}
-	config, err := protocol.ParseChange(text, p.config, p.configText)
+	config, err := protocol.ParseReload(text, p.config, p.configText)
 	if err != nil {
 		return protocol.Config{}, fmt.Errorf("%s: %w", path, err)
 	}
@@ -90,7 +90,7 @@
 	}
 	p.applyLimits(limitsOf(config))
 	transitional := config.Settings
-	transitional.Classes, transitional.Plans = transitional.Names, transitional.PlanNames
+	transitional.Classes, transitional.Plans = transitional.ClassNames, transitional.PlanNames
 	p.front.Reconfigure(transitional)
 	time.AfterFunc(classRetention, func() { p.front.ReconfigureIf(transitional, config.Settings) })
 	p.configText = text
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -30,7 +30,7 @@
 	if list.Full {
 		previous := r.hosts
 		r.hosts = map[string]protocol.Host{}
-		for _, name := range list.Odd {
+		for _, name := range list.Invalid {
 			if h, listed := previous[name]; listed {
 				out.Hosts = append(out.Hosts, h)
 			}
--- a/internal/wire/remote.go
+++ b/internal/wire/remote.go
@@ -146,7 +146,7 @@
 }
 
 func (i *Instance) writePeerMessage(w io.Writer, from int, a scheduler.Action) {
-	fmt.Fprintf(w, "NOTE_FROM\ti=%s\toriginPeer=%d\toctets=%s\n", i.name, from, base64.StdEncoding.EncodeToString(protocol.FormatNote(a)))
+	fmt.Fprintf(w, "NOTE_FROM\ti=%s\toriginPeer=%d\toctets=%s\n", i.name, from, base64.StdEncoding.EncodeToString(protocol.FormatPeerMessage(a)))
 }
 
 // action parses a line as an action, nil if the line is invalid.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -127,7 +127,7 @@
 		l.fail(err.Error())
 		return nil
 	}
-	e, err := protocol.ParseNote(int(l.integer(other)), text)
+	e, err := protocol.ParsePeerMessage(int(l.integer(other)), text)
 	if err != nil {
 		l.fail(err.Error())
 	}
@@ -340,5 +340,5 @@
 }
 
 func writePeerMessage(w io.Writer, instance string, to int, a scheduler.Action) {
-	fmt.Fprintf(w, "SHARE\ti=%s\trecipient=%d\toctets=%s\n", instance, to, base64.StdEncoding.EncodeToString(protocol.FormatNote(a)))
+	fmt.Fprintf(w, "SHARE\ti=%s\trecipient=%d\toctets=%s\n", instance, to, base64.StdEncoding.EncodeToString(protocol.FormatPeerMessage(a)))
 }
