--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -19,7 +19,7 @@
 // goldenState has every field set, so that a test notices a field that is not handed over.
 func goldenState() State {
 	return State{
-		Given: routing.HandoverState{
+		Core: routing.HandoverState{
 			StartedAt: 1_799_999_000_000_000,
 			IDs:       []string{"id-1", "id-2"},
 			Learned: scheduler.Learned{
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -25,7 +25,7 @@
 
 // State is the state that the predecessor hands over.
 type State struct {
-	Given routing.HandoverState
+	Core  routing.HandoverState
 	Plans []string          // names of the plans, by the index that volumes and flows refer to
 	List  protocol.List     // the complete endpoint list
 	Bans  map[string]string // who banned a node, by node
@@ -52,8 +52,8 @@
 
 // Encode returns the encoded state.
 func Encode(s State) ([]byte, error) {
-	snap := snapshot.Snapshot{Saved: s.Given.At, Accounts: s.Given.Volumes, Leads: s.Given.Flows}
-	for _, node := range s.Given.Nodes {
+	snap := snapshot.Snapshot{Saved: s.Core.At, VolumeUsages: s.Core.Volumes, FlowLeads: s.Core.Flows}
+	for _, node := range s.Core.Nodes {
 		snap.Nodes = append(snap.Nodes, snapshot.Node{LearnedNode: node})
 	}
 	file, err := snapshot.Encode(snap)
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	encoded := encodedState{
-		Version: Version, Snapshot: file, ProcessStart: int64(s.Given.StartedAt), IDs: s.Given.IDs,
+		Version: Version, Snapshot: file, ProcessStart: int64(s.Core.StartedAt), IDs: s.Core.IDs,
 		Plans: s.Plans, Bans: s.Bans,
 	}
 	for _, h := range s.List.Hosts {
@@ -93,22 +93,22 @@
 		}
 	}
 	s := State{Plans: encoded.Plans, Bans: encoded.Bans, List: protocol.List{Full: true}}
-	s.Given = routing.HandoverState{
+	s.Core = routing.HandoverState{
 		StartedAt: scheduler.Micros(encoded.ProcessStart), IDs: encoded.IDs, Learned: scheduler.Learned{At: snap.Saved},
 	}
 	for _, n := range snap.Nodes {
-		s.Given.Nodes = append(s.Given.Nodes, n.LearnedNode)
+		s.Core.Nodes = append(s.Core.Nodes, n.LearnedNode)
 	}
-	for _, a := range snap.Accounts {
+	for _, a := range snap.VolumeUsages {
 		if index, ok := planIndexes[a.Plan]; ok {
 			a.Plan = index
-			s.Given.Volumes = append(s.Given.Volumes, a)
+			s.Core.Volumes = append(s.Core.Volumes, a)
 		}
 	}
-	for _, l := range snap.Leads {
+	for _, l := range snap.FlowLeads {
 		if index, ok := planIndexes[l.Plan]; ok {
 			l.Plan = index
-			s.Given.Flows = append(s.Given.Flows, l)
+			s.Core.Flows = append(s.Core.Flows, l)
 		}
 	}
 	for _, h := range encoded.List {
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -163,7 +163,7 @@
 // takeSnapshot returns a snapshot of the front's learned state.
 func takeSnapshot(w *world.World, front *scheduler.Scheduler) snapshot.Snapshot {
 	l, _ := front.ExportLearned(w.Now, 0, math.MaxInt32)
-	s := snapshot.Snapshot{Front: "lab", Settings: snapshot.Fingerprint(w.Set), Saved: w.Now, Accounts: l.Volumes, Leads: l.Flows}
+	s := snapshot.Snapshot{Front: "lab", Settings: snapshot.Fingerprint(w.Set), Saved: w.Now, VolumeUsages: l.Volumes, FlowLeads: l.Flows}
 	for _, k := range l.Nodes {
 		s.Nodes = append(s.Nodes, snapshot.Node{LearnedNode: k})
 	}
--- a/internal/net/control/control.go
+++ b/internal/net/control/control.go
@@ -21,7 +21,7 @@
 	Ready() bool                        // reports whether this process can serve requests
 	Figures() (protocol.Metrics, error) // must return within a bounded time
 	Ban(node, by string) bool           // bans a node before it returns; false if the node is unknown
-	Lift(node, by string) bool          // ends the ban of a node; false if the node is unknown
+	EndBan(node, by string) bool        // ends the ban of a node; false if the node is unknown
 }
 
 // Server answers the operators' calls.
@@ -80,7 +80,7 @@
 }
 
 func (s *Server) unban(w http.ResponseWriter, r *http.Request) {
-	s.answer(w, s.front.Lift(r.PathValue("id"), r.RemoteAddr))
+	s.answer(w, s.front.EndBan(r.PathValue("id"), r.RemoteAddr))
 }
 
 func (s *Server) answer(w http.ResponseWriter, known bool) {
--- a/internal/net/routing/attempt.go
+++ b/internal/net/routing/attempt.go
@@ -13,10 +13,10 @@
 // Attempt is an attempt that the scheduler has decided to start.
 type Attempt struct {
 	Node string
-	// MayBegin ends when an attempt of which nothing has been written must not begin any more: the client has left, the
+	// BeginContext ends when an attempt of which nothing has been written must not begin any more: the client has left, the
 	// attempt was cancelled, or the nodes would no longer deduplicate a retry. Use it for waiting. Call Permitted before
 	// writing, because after a stall of the process a context ends late.
-	MayBegin context.Context
+	BeginContext context.Context
 
 	// ClientGone reports whether the client has left, possibly before MayBegin ends. The front sets it; nil if the front
 	// can't detect that.
@@ -30,10 +30,10 @@
 // errClientGone is returned by Permitted after the client has left.
 var errClientGone = errors.New("client has left")
 
-// Permitted returns nil if the attempt may be written now. Call it immediately before writing the first byte, and before
+// CheckPermitted returns nil if the attempt may be written now. Call it immediately before writing the first byte, and before
 // writing the end of a long request.
-func (a Attempt) Permitted() error {
-	if err := a.MayBegin.Err(); err != nil {
+func (a Attempt) CheckPermitted() error {
+	if err := a.BeginContext.Err(); err != nil {
 		return err
 	}
 	if a.ClientGone != nil && a.ClientGone() {
@@ -45,8 +45,8 @@
 	return a.guard.Allow(a.operation, a.beginBy)
 }
 
-// Written records that the attempt has just been written completely.
-func (a Attempt) Written() {
+// MarkWritten records that the attempt has just been written completely.
+func (a Attempt) MarkWritten() {
 	if a.guard != nil {
 		a.guard.CheckDeadline(a.operation, a.beginBy)
 	}
@@ -77,7 +77,7 @@
 		defer cancelDeadline()
 		defer context.AfterFunc(attemptCtx, cancelDeadline)()
 		value, outcome := runAttempt(deadlineCtx, Attempt{
-			Node: start.Node, MayBegin: mayBegin, guard: c.Guard, operation: operationOf(number), beginBy: beginBy,
+			Node: start.Node, BeginContext: mayBegin, guard: c.Guard, operation: operationOf(number), beginBy: beginBy,
 		}, attempt)
 		outcome.ID = s.request.ID
 		outcome.Attempt = number
--- a/internal/net/routing/core_test.go
+++ b/internal/net/routing/core_test.go
@@ -155,7 +155,7 @@
 	_, err := routing.Do(t.Context(), core, keyed, func(ctx context.Context, a routing.Attempt) (int, scheduler.AttemptEnded) {
 		attempts++
 		deadline, _ := ctx.Deadline()
-		beginBy, _ := a.MayBegin.Deadline()
+		beginBy, _ := a.BeginContext.Deadline()
 		switch {
 		case attempts == 1 && !beginBy.Equal(deadline):
 			t.Errorf("the first attempt may begin until %v, want its deadline %v", beginBy, deadline)
@@ -165,7 +165,7 @@
 		if attempts < 2 {
 			return 0, scheduler.AttemptEnded{Result: scheduler.Errored}
 		}
-		<-a.MayBegin.Done() // the connection comes up too late
+		<-a.BeginContext.Done() // the connection comes up too late
 		return 0, scheduler.AttemptEnded{Result: scheduler.NotStarted}
 	})
 	if !errors.Is(err, routing.ErrFailed) || attempts != 2 {
--- a/internal/net/routing/request.go
+++ b/internal/net/routing/request.go
@@ -85,14 +85,14 @@
 	if err != nil {
 		return *new(T), err
 	}
-	return Carry(ctx, s, attempt)
+	return Complete(ctx, s, attempt)
 }
 
-// Carry carries out the scheduler's actions for a submitted request and reports the outcome of each attempt, until the final
+// Complete carries out the scheduler's actions for a submitted request and reports the outcome of each attempt, until the final
 // answer. The error is a *RejectedError, ErrFailed, ErrDuplicate, ErrStopped or the cause of ctx. The end of ctx means that
 // the client has left. An outstanding attempt continues to its outcome then, since closing a connection does not stop a node's
 // work; an attempt of which nothing has been written yet does not begin.
-func Carry[T any](ctx context.Context, s *Submission, attempt AttemptFunc[T]) (T, error) {
+func Complete[T any](ctx context.Context, s *Submission, attempt AttemptFunc[T]) (T, error) {
 	var zero T
 	c := s.core
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/net/transport/exchange.go
+++ b/internal/net/transport/exchange.go
@@ -94,7 +94,7 @@
 func (s *Nodes) attempt(ctx context.Context, a routing.Attempt, r *http.Request) (*http.Response, scheduler.AttemptEnded) {
 	for try := 1; ; try++ {
 		resp, result, written := s.attemptOnce(ctx, a, r)
-		if written || try == s.limits.Nodes.WriteTries || a.Permitted() != nil {
+		if written || try == s.limits.Nodes.WriteTries || a.CheckPermitted() != nil {
 			return resp, result
 		}
 	}
@@ -126,11 +126,11 @@
 
 // attemptOnce makes an attempt on one connection. written is false only if another connection may succeed.
 func (s *Nodes) attemptOnce(ctx context.Context, a routing.Attempt, r *http.Request) (resp *http.Response, result scheduler.AttemptEnded, written bool) {
-	c, err := s.Acquire(a.MayBegin, a.Node, nodes.Running)
+	c, err := s.Acquire(a.BeginContext, a.Node, nodes.Running)
 	switch {
 	case err != nil && ctx.Err() != nil:
 		return nil, scheduler.AttemptEnded{Result: scheduler.TimedOut}, true
-	case err != nil && a.MayBegin.Err() != nil:
+	case err != nil && a.BeginContext.Err() != nil:
 		return nil, scheduler.AttemptEnded{Result: scheduler.NotStarted}, true
 	case errors.Is(err, nodes.ErrNotAccepting):
 		return nil, scheduler.AttemptEnded{Result: scheduler.QueueFull}, true
@@ -140,7 +140,7 @@
 		return nil, scheduler.AttemptEnded{Result: scheduler.Unreachable}, true
 	}
 	message, err := encodeForNow(ctx, r)
-	if err != nil || a.Permitted() != nil {
+	if err != nil || a.CheckPermitted() != nil {
 		s.Release(c, true)
 		return nil, scheduler.AttemptEnded{Result: scheduler.NotStarted}, true
 	}
@@ -150,7 +150,7 @@
 // completeAttempt writes the last bytes of a request and returns the result of the attempt.
 func (s *Nodes) completeAttempt(ctx context.Context, a routing.Attempt, c *nodes.Conn[*stream], r *http.Request, message []byte) (resp *http.Response, result scheduler.AttemptEnded, written bool) {
 	startedAt := time.Now()
-	resp, firstByte, written, err := s.exchange(ctx, c, r, message, a.Written)
+	resp, firstByte, written, err := s.exchange(ctx, c, r, message, a.MarkWritten)
 	if written {
 		s.attemptsWritten.Add(1)
 	}
--- a/internal/net/transport/races_test.go
+++ b/internal/net/transport/races_test.go
@@ -72,7 +72,7 @@
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	r, _ := http.NewRequest(http.MethodGet, "http://backend.local/read/00000000000000aa/00000000000000bb", nil)
-	if _, out := s.attempt(t.Context(), routing.Attempt{Node: "node-0", MayBegin: ended}, r); out.Result != scheduler.NotStarted || count.Load() != 0 {
+	if _, out := s.attempt(t.Context(), routing.Attempt{Node: "node-0", BeginContext: ended}, r); out.Result != scheduler.NotStarted || count.Load() != 0 {
 		t.Errorf("result %v and %d requests, want NotStarted and none", out.Result, count.Load())
 	}
 }
@@ -92,7 +92,7 @@
 	s := newNodes(func(l *limits.Limits) { l.Nodes.ReuseDelay = 300 * time.Millisecond }, addr)
 	for i := range 2 {
 		r, _ := http.NewRequest(http.MethodGet, "http://backend.local/read/00000000000000aa/00000000000000bb", nil)
-		resp, out := s.attempt(t.Context(), routing.Attempt{Node: "node-0", MayBegin: t.Context()}, r)
+		resp, out := s.attempt(t.Context(), routing.Attempt{Node: "node-0", BeginContext: t.Context()}, r)
 		if out.Result != scheduler.OK {
 			t.Fatalf("attempt %d: result %v", i, out.Result)
 		}
--- a/internal/net/transport/sftp/client.go
+++ b/internal/net/transport/sftp/client.go
@@ -87,8 +87,8 @@
 
 // Attempt sends a command to a node once and returns the result of the attempt.
 func (c *Client) Attempt(ctx context.Context, a routing.Attempt, cmd files.Command) (files.Reply, scheduler.AttemptEnded) {
-	conn, err := c.Acquire(a.MayBegin, a.Node, nodes.Running)
-	denied := a.Permitted()
+	conn, err := c.Acquire(a.BeginContext, a.Node, nodes.Running)
+	denied := a.CheckPermitted()
 	if err == nil && denied != nil { // the permission ended while the connection was established
 		c.Release(conn, true)
 		err = denied
@@ -104,7 +104,7 @@
 		return files.Reply{}, scheduler.AttemptEnded{Result: scheduler.Unreachable}
 	}
 	wire := conn.Session.countingConn
-	wire.onFirstByte = a.Written
+	wire.onFirstByte = a.MarkWritten
 	wire.written.Store(0)
 	wire.read.Store(0)
 	stopClose := context.AfterFunc(ctx, func() { conn.Close() }) // SFTP has no way to cancel a command
--- a/internal/net/transport/sftp/transfer.go
+++ b/internal/net/transport/sftp/transfer.go
@@ -137,7 +137,7 @@
 	}
 	c.inProgress.Go(func() {
 		defer release()
-		reply, err := routing.Carry(c.ctx, submission, c.attemptFunc(cmd))
+		reply, err := routing.Complete(c.ctx, submission, c.attemptFunc(cmd))
 		counts.add(err)
 		if err == nil {
 			err = reply.Err
--- a/internal/net/transport/upload.go
+++ b/internal/net/transport/upload.go
@@ -145,7 +145,7 @@
 
 // finishUpload writes the end of a long request and reads the answer. The result of any further call is NotStarted.
 func (s *Nodes) finishUpload(ctx context.Context, a routing.Attempt, u *upload) (*http.Response, scheduler.AttemptEnded) {
-	if u.node != a.Node || u.release == nil || a.Permitted() != nil {
+	if u.node != a.Node || u.release == nil || a.CheckPermitted() != nil {
 		return nil, scheduler.AttemptEnded{Result: scheduler.NotStarted}
 	}
 	u.release = nil
--- a/internal/program/control.go
+++ b/internal/program/control.go
@@ -22,7 +22,7 @@
 }
 
 // Lift ends the ban of a node. It returns false for an unknown node.
-func (p *platform) Lift(node, by string) bool {
+func (p *platform) EndBan(node, by string) bool {
 	known := p.changeBan("node unbanned", node, by, p.roster.Unban)
 	if known {
 		p.sendToOther(handover.KindUnban, node, by)
--- a/internal/program/handover.go
+++ b/internal/program/handover.go
@@ -90,13 +90,13 @@
 	p.roster.RestoreBans(state.Bans)
 	change := p.nodes.Apply(p.roster.Update(state.List))
 	p.updateMonitor(change)
-	p.core.TakeOver(change, state.Given)
+	p.core.TakeOver(change, state.Core)
 	if socket != nil && len(p.config.Peers) > 0 {
 		if conn, err := net.FilePacketConn(socket); err == nil {
 			p.peers = transport.PeersOn(conn.(*net.UDPConn), p.config.Peers, p.limits, p.log)
 		}
 	}
-	p.log.Info("handover received", "nodes", len(state.List.Hosts), "projects", len(state.Given.Volumes), "by_hand", len(state.Bans))
+	p.log.Info("handover received", "nodes", len(state.List.Hosts), "projects", len(state.Core.Volumes), "by_hand", len(state.Bans))
 	p.tookOver = true
 	p.otherProcess.Store(c)
 	if err := c.SetTimeout(0); err != nil {
@@ -224,7 +224,7 @@
 		return coreState, err
 	}
 	p.mu.Lock()
-	state := handover.State{Given: coreState, Plans: p.front.PlanNames(), List: p.roster.FullList(), Bans: p.roster.Bans()}
+	state := handover.State{Core: coreState, Plans: p.front.PlanNames(), List: p.roster.FullList(), Bans: p.roster.Bans()}
 	p.mu.Unlock()
 	encoded, err := handover.Encode(state)
 	if err != nil {
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -36,7 +36,7 @@
 	}
 	a.saver = saver.New(saver.Settings{
 		Front: settings.Front, Interval: settings.Interval, MinInterval: minSaveInterval,
-		Rules: a.operator.Settings().Scheduler, Log: a.log, Nodes: a.snapshotNodes,
+		SchedulerSettings: a.operator.Settings().Scheduler, Log: a.log, Nodes: a.snapshotNodes,
 		Shutdown: saveTimeout,
 	}, a.core, folder)
 	for _, n := range a.saver.Restore() {
@@ -93,7 +93,7 @@
 	var out strings.Builder
 	status := a.saver.Status()
 	fmt.Fprintf(&out, "saves %d, failed %d; the last of %d bytes took %v\n",
-		status.Saves, status.Failures, status.Bytes, status.Took.Round(time.Microsecond))
+		status.Saves, status.Failures, status.Bytes, status.LastDuration.Round(time.Microsecond))
 	snap, err := store.Read(a.operator.Learned.Folder, false)
 	if err == nil {
 		writeSnapshot(&out, snap)
--- a/internal/program/state_command.go
+++ b/internal/program/state_command.go
@@ -77,7 +77,7 @@
 			unusable = errors.Join(unusable, fmt.Errorf("%s: %w", name, err))
 			continue
 		}
-		fmt.Fprintf(out, "%s: whole, %d nodes, %d projects, saved %v ago\n", name, len(snap.Nodes), len(snap.Accounts),
+		fmt.Fprintf(out, "%s: whole, %d nodes, %d projects, saved %v ago\n", name, len(snap.Nodes), len(snap.VolumeUsages),
 			snapshotAge(snap, time.Now()))
 	}
 	aside, err := store.Aside(operator.Learned.Folder)
@@ -103,8 +103,8 @@
 		return match
 	}
 	snap.Nodes = slices.DeleteFunc(snap.Nodes, func(n snapshot.Node) bool { return matches("node", n.Node) })
-	snap.Accounts = slices.DeleteFunc(snap.Accounts, func(a scheduler.VolumeUsage) bool { return matches("project", a.Volume) })
-	snap.Leads = slices.DeleteFunc(snap.Leads, func(l scheduler.FlowLead) bool { return matches("project", l.Volume) })
+	snap.VolumeUsages = slices.DeleteFunc(snap.VolumeUsages, func(a scheduler.VolumeUsage) bool { return matches("project", a.Volume) })
+	snap.FlowLeads = slices.DeleteFunc(snap.FlowLeads, func(l scheduler.FlowLead) bool { return matches("project", l.Volume) })
 	if !found {
 		return fmt.Errorf("nothing is kept of a %s %q", arguments[0], arguments[1])
 	}
@@ -138,10 +138,10 @@
 		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%.1f ms\t%.1f ms\t%.1f\t%.0f%%\t%s\n", n.Node, n.Shard, states[n.State], n.Addr,
 			n.SmoothedLatency/1000, n.Target/1000, n.Budget, 100*n.ErrorRate, lastAnswer)
 	}
-	if len(s.Accounts) > 0 {
+	if len(s.VolumeUsages) > 0 {
 		fmt.Fprintln(w, "project\tlimit's store\tof it leased")
 	}
-	for _, a := range s.Accounts {
+	for _, a := range s.VolumeUsages {
 		if a.Bucket.At == 0 {
 			fmt.Fprintf(w, "%s\tno limit\t\n", a.Volume)
 			continue
--- a/internal/state/decay/decay.go
+++ b/internal/state/decay/decay.go
@@ -85,7 +85,7 @@
 			out.Nodes = append(out.Nodes, scheduler.LearnedNode{Endpoint: n.Endpoint, NodeStats: decayNode(old, n, now, age)})
 		}
 	}
-	for _, a := range s.Accounts {
+	for _, a := range s.VolumeUsages {
 		if older || a.Bucket.BoundUntil < now.At {
 			a.Bucket.Level, a.Bucket.Lease, a.Bucket.BoundUntil = 0, 0, 0
 			a.Bucket.At = now.At
@@ -93,7 +93,7 @@
 		a.ReservationTag = min(a.ReservationTag, float64(now.At+scheduler.Micros(maxReservationLead/time.Microsecond)))
 		out.Volumes = append(out.Volumes, a)
 	}
-	for _, l := range s.Leads {
+	for _, l := range s.FlowLeads {
 		if since := duration(now.At - l.LastSend); since >= 0 && since < leadLifetime {
 			l.Units = decay(l.Units, 0, age, leadHalfLife)
 			out.Flows = append(out.Flows, l)
--- a/internal/state/decay/decay_test.go
+++ b/internal/state/decay/decay_test.go
@@ -123,7 +123,7 @@
 func TestVolumeUsageIsRestored(t *testing.T) {
 	s := learnedSnapshot(time.Second)
 	bucket := tokenbucket.Bucket[scheduler.Micros]{Level: 20, At: s.Saved, Lease: 5, BoundUntil: testTime + 1}
-	s.Accounts = []scheduler.VolumeUsage{{Volume: "v", Fronts: 1, ReservationTag: float64(testTime) + 1e9, Bucket: bucket}}
+	s.VolumeUsages = []scheduler.VolumeUsage{{Volume: "v", Fronts: 1, ReservationTag: float64(testTime) + 1e9, Bucket: bucket}}
 	got := Decay(s, current(), false).Volumes
 	if len(got) != 1 || got[0].Bucket != bucket || got[0].ReservationTag != float64(testTime)+1e6 {
 		t.Errorf("usage of volumes: %+v, want the bucket as recorded and a reservation tag at most 1 s ahead", got)
@@ -133,7 +133,7 @@
 	if got := Decay(s, current(), true).Volumes[0].Bucket; got != empty {
 		t.Errorf("older snapshot: bucket %+v, want an empty one", got)
 	}
-	s.Accounts[0].Bucket.BoundUntil = testTime - 1
+	s.VolumeUsages[0].Bucket.BoundUntil = testTime - 1
 	if got := Decay(s, current(), false).Volumes[0].Bucket; got != empty {
 		t.Errorf("after BoundUntil: bucket %+v, want an empty one", got)
 	}
@@ -141,7 +141,7 @@
 
 func TestFlowLeadsDecayAndExpire(t *testing.T) {
 	s := learnedSnapshot(8 * time.Second)
-	s.Leads = []scheduler.FlowLead{
+	s.FlowLeads = []scheduler.FlowLead{
 		{Volume: "v", Units: 10, LastSend: s.Saved},
 		{Volume: "w", Units: 10, LastSend: s.Saved - micros(leadLifetime)},
 	}
--- a/internal/state/saver/cost_test.go
+++ b/internal/state/saver/cost_test.go
@@ -65,7 +65,7 @@
 					for _, node := range learned.Nodes {
 						snap.Nodes = append(snap.Nodes, snapshot.Node{LearnedNode: node})
 					}
-					snap.Accounts = append(snap.Accounts, learned.Volumes...)
+					snap.VolumeUsages = append(snap.VolumeUsages, learned.Volumes...)
 					if from = next; from == 0 {
 						break
 					}
--- a/internal/state/saver/limit_test.go
+++ b/internal/state/saver/limit_test.go
@@ -96,7 +96,7 @@
 	snap := snapshot.Snapshot{Front: "f", Settings: snapshot.Fingerprint(f.settings), Saved: f.now}
 	for from := 0; ; {
 		l, next := f.sched.ExportLearned(f.now, from, 1)
-		snap.Accounts = append(snap.Accounts, l.Volumes...)
+		snap.VolumeUsages = append(snap.VolumeUsages, l.Volumes...)
 		if from = next; from == 0 {
 			break
 		}
--- a/internal/state/saver/saver.go
+++ b/internal/state/saver/saver.go
@@ -22,20 +22,20 @@
 
 // Settings configure a Saver.
 type Settings struct {
-	Front       string
-	Interval    time.Duration // time between two saves
-	MinInterval time.Duration // minimum time between two saves, even if leases run low
-	Rules       scheduler.Settings
-	Log         *slog.Logger
-	Nodes       func() []snapshot.Node // returns the current endpoint list, with addresses
-	Shutdown    time.Duration          // timeout of the last save
+	Front             string
+	Interval          time.Duration // time between two saves
+	MinInterval       time.Duration // minimum time between two saves, even if leases run low
+	SchedulerSettings scheduler.Settings
+	Log               *slog.Logger
+	Nodes             func() []snapshot.Node // returns the current endpoint list, with addresses
+	Shutdown          time.Duration          // timeout of the last save
 }
 
 // Status reports on the saves, for operators.
 type Status struct {
 	Saves, Failures int64
 	Last            time.Time     // time of the last successful save
-	Took            time.Duration // duration of the last successful save; Bytes is its size
+	LastDuration    time.Duration // duration of the last successful save; Bytes is its size
 	Bytes           int
 	Error           string // of the last save, empty if it was successful
 }
@@ -56,7 +56,7 @@
 // New returns a Saver. Call Restore, then Run.
 func New(settings Settings, core *routing.Core, s *store.Store) *Saver {
 	return &Saver{
-		settings: settings, core: core, store: s, fingerprint: snapshot.Fingerprint(settings.Rules),
+		settings: settings, core: core, store: s, fingerprint: snapshot.Fingerprint(settings.SchedulerSettings),
 		saveRequests: make(chan chan error),
 	}
 }
@@ -144,8 +144,8 @@
 		return err
 	}
 	snap.Closed = true
-	for i := range snap.Accounts {
-		snap.Accounts[i].Bucket.Lease = 0
+	for i := range snap.VolumeUsages {
+		snap.VolumeUsages[i].Bucket.Lease = 0
 	}
 	_, err = s.store.Save(snap)
 	return err
@@ -171,7 +171,7 @@
 		return err
 	}
 	s.status.Saves++
-	s.status.Last, s.status.Took, s.status.Bytes, s.status.Error = time.Now(), time.Since(startedAt), result.Bytes, ""
+	s.status.Last, s.status.LastDuration, s.status.Bytes, s.status.Error = time.Now(), time.Since(startedAt), result.Bytes, ""
 	if previousError != "" {
 		s.settings.Log.Info("saving learned state recovered")
 	}
@@ -196,8 +196,8 @@
 		for _, n := range l.Nodes {
 			snap.Nodes = append(snap.Nodes, snapshot.Node{LearnedNode: n, Addr: addrs[n.Node]})
 		}
-		snap.Accounts = append(snap.Accounts, l.Volumes...)
-		snap.Leads = append(snap.Leads, l.Flows...)
+		snap.VolumeUsages = append(snap.VolumeUsages, l.Volumes...)
+		snap.FlowLeads = append(snap.FlowLeads, l.Flows...)
 		snap.Saved = l.At
 		if from = next; from == 0 {
 			return snap, nil
--- a/internal/state/snapshot/snapshot.go
+++ b/internal/state/snapshot/snapshot.go
@@ -12,15 +12,15 @@
 
 // Snapshot is a front's learned state at one time. Times are in Unix microseconds, sizes in units.
 type Snapshot struct {
-	Front       string // name of the front that learned it
-	Settings    uint64 // fingerprint of the settings that were in effect
-	Saved       scheduler.Micros
-	Count       uint64 // number of earlier snapshots, across restarts
-	Closed      bool   // the last snapshot of a graceful shutdown
-	ListVersion int64  // version of the endpoint list; 0 for a list without versions, such as an operator's file
-	Nodes       []Node
-	Accounts    []scheduler.VolumeUsage
-	Leads       []scheduler.FlowLead
+	Front        string // name of the front that learned it
+	Settings     uint64 // fingerprint of the settings that were in effect
+	Saved        scheduler.Micros
+	Count        uint64 // number of earlier snapshots, across restarts
+	Closed       bool   // the last snapshot of a graceful shutdown
+	ListVersion  int64  // version of the endpoint list; 0 for a list without versions, such as an operator's file
+	Nodes        []Node
+	VolumeUsages []scheduler.VolumeUsage
+	FlowLeads    []scheduler.FlowLead
 }
 
 // Node is a node of the endpoint list with its learned state and the address that it had.
@@ -44,15 +44,15 @@
 // change the format unnoticed. A key number must never be reused for another field.
 
 type encodedSnapshot struct {
-	Front       string          `cbor:"1,keyasint"`
-	Settings    uint64          `cbor:"2,keyasint"`
-	Saved       int64           `cbor:"3,keyasint"`
-	Count       uint64          `cbor:"4,keyasint"`
-	Closed      bool            `cbor:"5,keyasint"`
-	ListVersion int64           `cbor:"6,keyasint"`
-	Nodes       []encodedNode   `cbor:"7,keyasint"`
-	Accounts    []encodedVolume `cbor:"8,keyasint"`
-	Leads       []encodedFlow   `cbor:"9,keyasint"`
+	Front        string          `cbor:"1,keyasint"`
+	Settings     uint64          `cbor:"2,keyasint"`
+	Saved        int64           `cbor:"3,keyasint"`
+	Count        uint64          `cbor:"4,keyasint"`
+	Closed       bool            `cbor:"5,keyasint"`
+	ListVersion  int64           `cbor:"6,keyasint"`
+	Nodes        []encodedNode   `cbor:"7,keyasint"`
+	VolumeUsages []encodedVolume `cbor:"8,keyasint"`
+	FlowLeads    []encodedFlow   `cbor:"9,keyasint"`
 }
 
 type encodedNode struct {
@@ -117,14 +117,14 @@
 		}
 		out.Nodes = append(out.Nodes, node)
 	}
-	for _, a := range s.Accounts {
-		out.Accounts = append(out.Accounts, encodedVolume{
+	for _, a := range s.VolumeUsages {
+		out.VolumeUsages = append(out.VolumeUsages, encodedVolume{
 			a.Volume, a.Plan, a.Fronts, a.ReservationTag, a.Bucket.Level,
 			int64(a.Bucket.At), a.Bucket.Lease, int64(a.Bucket.BoundUntil),
 		})
 	}
-	for _, l := range s.Leads {
-		out.Leads = append(out.Leads, encodedFlow{l.Volume, l.Plan, l.Shard, l.Units, int64(l.LastSend)})
+	for _, l := range s.FlowLeads {
+		out.FlowLeads = append(out.FlowLeads, encodedFlow{l.Volume, l.Plan, l.Shard, l.Units, int64(l.LastSend)})
 	}
 	return out
 }
@@ -152,8 +152,8 @@
 		}
 		out.Nodes = append(out.Nodes, Node{node, n.Addr})
 	}
-	for _, a := range f.Accounts {
-		out.Accounts = append(out.Accounts, scheduler.VolumeUsage{
+	for _, a := range f.VolumeUsages {
+		out.VolumeUsages = append(out.VolumeUsages, scheduler.VolumeUsage{
 			Volume: a.Volume, Plan: a.Plan, Fronts: a.FrontCount, ReservationTag: a.Reservation,
 			Bucket: tokenbucket.Bucket[scheduler.Micros]{
 				Level: a.Level, At: scheduler.Micros(a.At), Lease: a.Lease,
@@ -161,8 +161,8 @@
 			},
 		})
 	}
-	for _, l := range f.Leads {
-		out.Leads = append(out.Leads, scheduler.FlowLead{
+	for _, l := range f.FlowLeads {
+		out.FlowLeads = append(out.FlowLeads, scheduler.FlowLead{
 			Volume: l.Volume, Plan: l.Plan, Shard: l.Shard, Units: l.Units,
 			LastSend: scheduler.Micros(l.SentAt),
 		})
--- a/internal/state/snapshot/snapshot_test.go
+++ b/internal/state/snapshot/snapshot_test.go
@@ -27,11 +27,11 @@
 				SmoothedLatency: 30e3, PreviousLatency: 31e3, UnitTime: 4e3, ErrorRate: 0.25, LatencyUpdated: 6, LastAnswer: 7, SuspectedRestart: 8,
 			},
 		}}},
-		Accounts: []scheduler.VolumeUsage{{
+		VolumeUsages: []scheduler.VolumeUsage{{
 			Volume: "riverside", Plan: 1, Fronts: 2, ReservationTag: 9.5,
 			Bucket: tokenbucket.Bucket[scheduler.Micros]{Level: 30, At: 10, Lease: 4, BoundUntil: 11},
 		}},
-		Leads: []scheduler.FlowLead{{Volume: "riverside", Plan: 1, Shard: 2, Units: 3.5, LastSend: 12}},
+		FlowLeads: []scheduler.FlowLead{{Volume: "riverside", Plan: 1, Shard: 2, Units: 3.5, LastSend: 12}},
 	}
 }
 
