--- a/internal/net/transport/handshakes.go
+++ b/internal/net/transport/handshakes.go
@@ -14,10 +14,10 @@
 	"otterturn/internal/net/steady"
 )
 
-// Handshakes is a listener that returns connections after their TLS handshake. It has limits of its own: each handshake has
+// HandshakeListener is a listener that returns connections after their TLS handshake. It has limits of its own: each handshake has
 // a timeout, and when too many are in progress the oldest is closed. So a slow or silent client delays no other handshake
 // and takes no connection slot from the clients being served.
-type Handshakes struct {
+type HandshakeListener struct {
 	net.Listener
 	config    *tls.Config
 	limits    limits.Limits
@@ -30,9 +30,9 @@
 	inProgress *queue.List // handshakes in progress, the oldest first
 }
 
-// NewHandshakes returns a TLS listener on top of a plain TCP listener. It accepts until Close.
-func NewHandshakes(l net.Listener, config *tls.Config, lim limits.Limits) *Handshakes {
-	h := &Handshakes{
+// NewHandshakeListener returns a TLS listener on top of a plain TCP listener. It accepts until Close.
+func NewHandshakeListener(l net.Listener, config *tls.Config, lim limits.Limits) *HandshakeListener {
+	h := &HandshakeListener{
 		Listener: accept.New(l, lim.AcceptRetry, nil), config: config, limits: lim, ready: make(chan net.Conn),
 		acceptErr:  make(chan error, 1),
 		inProgress: queue.New(),
@@ -42,7 +42,7 @@
 	return h
 }
 
-func (h *Handshakes) acceptLoop() {
+func (h *HandshakeListener) acceptLoop() {
 	for {
 		raw, err := h.Listener.Accept()
 		if err == nil {
@@ -57,7 +57,7 @@
 }
 
 // register adds a handshake and ends the oldest one if there are too many.
-func (h *Handshakes) register(raw net.Conn) *queue.Element {
+func (h *HandshakeListener) register(raw net.Conn) *queue.Element {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.inProgress.Len() >= h.limits.Clients.Handshakes {
@@ -67,7 +67,7 @@
 	return h.inProgress.PushBack(raw)
 }
 
-func (h *Handshakes) completeHandshake(raw net.Conn, element *queue.Element) {
+func (h *HandshakeListener) completeHandshake(raw net.Conn, element *queue.Element) {
 	timeoutCtx, cancel := context.WithTimeout(h.ctx, h.limits.Clients.HandshakeTimeout)
 	conn := tls.Server(steady.Conn{Conn: raw}, h.config)
 	err := conn.HandshakeContext(timeoutCtx)
@@ -87,7 +87,7 @@
 }
 
 // Accept returns the next connection whose handshake is complete.
-func (h *Handshakes) Accept() (net.Conn, error) {
+func (h *HandshakeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-h.ready:
 		return c, nil
@@ -99,7 +99,7 @@
 }
 
 // Close closes the listener and ends the handshakes in progress.
-func (h *Handshakes) Close() error {
+func (h *HandshakeListener) Close() error {
 	h.cancel()
 	return h.Listener.Close()
 }
--- a/internal/net/transport/handshakes_test.go
+++ b/internal/net/transport/handshakes_test.go
@@ -19,7 +19,7 @@
 	}
 	l := standin.Limits()
 	l.Clients.Handshakes, l.Clients.HandshakeTimeout = 4, standin.Patience
-	h := NewHandshakes(standin.Listen(t), &tls.Config{Certificates: []tls.Certificate{cert}}, l)
+	h := NewHandshakeListener(standin.Listen(t), &tls.Config{Certificates: []tls.Certificate{cert}}, l)
 	served := make(chan error, 1)
 	go func() {
 		for {
--- a/internal/net/transport/peers.go
+++ b/internal/net/transport/peers.go
@@ -45,11 +45,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	return PeersOn(conn, addrs, l, log), nil
+	return NewPeers(conn, addrs, l, log), nil
 }
 
-// PeersOn receives messages on a socket that is already open.
-func PeersOn(conn *net.UDPConn, addrs []netip.AddrPort, l limits.Limits, log *slog.Logger) *Peers {
+// NewPeers receives messages on a socket that is already open.
+func NewPeers(conn *net.UDPConn, addrs []netip.AddrPort, l limits.Limits, log *slog.Logger) *Peers {
 	p := &Peers{resumed: make(chan struct{}, 1), conn: conn, addrs: addrs, numbers: make(map[netip.AddrPort]int, len(addrs)), retryDelay: l.AcceptRetry, log: log}
 	for i, a := range addrs {
 		p.numbers[a] = i
@@ -60,7 +60,7 @@
 // Socket returns the socket, to be handed to another process of this front.
 func (p *Peers) Socket() *net.UDPConn { return p.conn }
 
-// Pause leaves messages to another process that has the socket, until Resume. Nothing is sent meanwhile.
+// SetAcceptPaused leaves messages to another process that has the socket, until Resume. Nothing is sent meanwhile.
 func (p *Peers) Pause() {
 	p.paused.Store(true)
 	p.conn.SetReadDeadline(time.Unix(1, 0))
--- a/internal/net/transport/shutdown.go
+++ b/internal/net/transport/shutdown.go
@@ -47,12 +47,12 @@
 // they are idle. Requests that have arrived, or have begun to, are answered here.
 func (f *Front) Yield(takeOver func(net.Conn) error) {
 	f.yielded.Store(true)
-	f.Pause(true)
+	f.SetAcceptPaused(true)
 	f.clients.handOffIdle(takeOver)
 }
 
-// Pause stops accepting connections, which then wait in the kernel, or resumes it if paused is false.
-func (f *Front) Pause(paused bool) {
+// SetAcceptPaused stops accepting connections, which then wait in the kernel, or resumes it if paused is false.
+func (f *Front) SetAcceptPaused(paused bool) {
 	if l := f.listener.Load(); l != nil {
 		l.setPaused(paused)
 	}
@@ -62,7 +62,7 @@
 func (f *Front) Resume() {
 	f.yielded.Store(false)
 	f.clients.handOffIdle(nil)
-	f.Pause(false)
+	f.SetAcceptPaused(false)
 }
 
 // drainListener accepts the connections that wait in the kernel, and none after them. It reports whether that has been
--- a/internal/program/certificates.go
+++ b/internal/program/certificates.go
@@ -110,7 +110,7 @@
 	if !on {
 		return run
 	}
-	return func(l net.Listener) error { return run(transport.NewHandshakes(l, a.certs.TLS(), a.limits)) }
+	return func(l net.Listener) error { return run(transport.NewHandshakeListener(l, a.certs.TLS(), a.limits)) }
 }
 
 // describeCertificates describes each certificate in a line.
--- a/internal/program/handover.go
+++ b/internal/program/handover.go
@@ -93,7 +93,7 @@
 	p.core.TakeOver(change, state.Core)
 	if socket != nil && len(p.config.Peers) > 0 {
 		if conn, err := net.FilePacketConn(socket); err == nil {
-			p.peers = transport.PeersOn(conn.(*net.UDPConn), p.config.Peers, p.limits, p.log)
+			p.peers = transport.NewPeers(conn.(*net.UDPConn), p.config.Peers, p.limits, p.log)
 		}
 	}
 	p.log.Info("handover received", "nodes", len(state.List.Hosts), "projects", len(state.Core.Volumes), "by_hand", len(state.Bans))
@@ -216,7 +216,7 @@
 		p.peers.Pause()
 		socket = p.peers.Socket()
 	}
-	p.front.Pause(true)
+	p.front.SetAcceptPaused(true)
 	ctx, cancel := context.WithTimeout(context.Background(), p.limits.Stop.HandoverTimeout)
 	defer cancel()
 	coreState, err := p.core.Yield(ctx)
