--- a/internal/fleet/health/audit_test.go
+++ b/internal/fleet/health/audit_test.go
@@ -24,7 +24,7 @@
 // auditSend checks the size of messages and the bytes that a front sends per second.
 func (t *trial) auditSend(f *simFront, a SendMessage) {
 	size := len(a.Message.Encode())
-	if size > MessageLimit || size != a.Message.size() {
+	if size > MaxMessageBytes || size != a.Message.size() {
 		t.addViolation("front %d sends %d bytes, size() returns %d", f.number, size, a.Message.size())
 	}
 	list := append(t.sent[f.number], sentBytes{t.now, size})
--- a/internal/fleet/health/codec.go
+++ b/internal/fleet/health/codec.go
@@ -13,7 +13,7 @@
 // node's key (5 bytes), the node's start in milliseconds (3 bytes, modulo 2^24), and 2 bytes with the state in the upper
 // 3 bits and the age in milliseconds in the lower 13 bits.
 const (
-	MessageLimit = 256 // maximum bytes of a message
+	MaxMessageBytes = 256 // maximum bytes of a message
 
 	messageMagic     = 0xF1
 	messageVersion   = 1
@@ -29,7 +29,7 @@
 )
 
 // entriesPerMessage is the number of entries that fit into a message with a header of maximum size.
-const entriesPerMessage = (MessageLimit - maxHeaderBytes) / entryBytes
+const entriesPerMessage = (MaxMessageBytes - maxHeaderBytes) / entryBytes
 
 // Errors that Decode wraps.
 var (
@@ -44,15 +44,15 @@
 // IsMessage reports whether a datagram between fronts is a health message, of any version.
 func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == messageMagic }
 
-// Encode returns the encoded message. Entries beyond MessageLimit bytes are omitted, starting from the last.
+// Encode returns the encoded message. Entries beyond MaxMessageBytes bytes are omitted, starting from the last.
 func (m Message) Encode() []byte {
-	out := make([]byte, 0, MessageLimit)
+	out := make([]byte, 0, MaxMessageBytes)
 	out = append(out, messageMagic, messageVersion)
 	out = appendBits(out, uint64(m.Incarnation), incarnationBits)
 	out = binary.AppendUvarint(out, uint64(m.Sequence))
 	out = binary.AppendVarint(out, floorMillis(m.Sent-scheduler.Micros(m.Incarnation)))
 	for _, e := range m.Entries {
-		if len(out)+entryBytes > MessageLimit {
+		if len(out)+entryBytes > MaxMessageBytes {
 			break
 		}
 		out = e.append(out)
@@ -65,7 +65,7 @@
 	var scratch [binary.MaxVarintLen64]byte
 	header := fixedHeaderBytes + binary.PutUvarint(scratch[:], uint64(m.Sequence))
 	header += binary.PutVarint(scratch[:], floorMillis(m.Sent-scheduler.Micros(m.Incarnation)))
-	return header + entryBytes*min(len(m.Entries), (MessageLimit-header)/entryBytes)
+	return header + entryBytes*min(len(m.Entries), (MaxMessageBytes-header)/entryBytes)
 }
 
 func (e Entry) append(out []byte) []byte {
@@ -84,7 +84,7 @@
 	switch {
 	case !IsMessage(data):
 		return Message{}, ErrNotMessage
-	case len(data) > MessageLimit:
+	case len(data) > MaxMessageBytes:
 		return Message{}, fmt.Errorf("%w: %d bytes", ErrTooLong, len(data))
 	case len(data) < 2:
 		return Message{}, ErrTruncated
--- a/internal/fleet/health/codec_test.go
+++ b/internal/fleet/health/codec_test.go
@@ -27,7 +27,7 @@
 	for i := range 5000 {
 		m := randomMessage(random, i%(entriesPerMessage+1))
 		data := m.Encode()
-		if len(data) > MessageLimit || len(data) != m.size() || !IsMessage(data) {
+		if len(data) > MaxMessageBytes || len(data) != m.size() || !IsMessage(data) {
 			t.Fatalf("encoded %d bytes, size() returns %d", len(data), m.size())
 		}
 		decoded, err := Decode(data)
@@ -63,7 +63,7 @@
 	m := randomMessage(newRandom(2), 200)
 	m.Entries[0].Age, m.Entries[1].Age = 10*maxAge, -5
 	data := m.Encode()
-	if len(data) > MessageLimit || len(data) != m.size() {
+	if len(data) > MaxMessageBytes || len(data) != m.size() {
 		t.Errorf("encoded %d bytes, more than MessageLimit or different from size()", len(data))
 	}
 	decoded, err := Decode(data)
@@ -93,7 +93,7 @@
 		"cut in incarnation": {good[:5], ErrTruncated},
 		"cut in entry":       {good[:len(good)-1], ErrTruncated},
 		"another version":    {change(1, 2), ErrVersion},
-		"oversized":          {append(bytes.Clone(good), make([]byte, MessageLimit)...), ErrTooLong},
+		"oversized":          {append(bytes.Clone(good), make([]byte, MaxMessageBytes)...), ErrTooLong},
 		"invalid state":      {change(len(good)-2, 0), ErrState},
 		"sequence too large": {append(bytes.Clone(good[:fixedHeaderBytes]), 0xff, 0xff, 0xff, 0xff, 0xff, 0x01, 0), ErrHeader},
 		"clock too large":    {append(bytes.Clone(good[:fixedHeaderBytes]), 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f), ErrHeader},
@@ -124,7 +124,7 @@
 	m := newTestMonitor(t, 0, zonesOf(1, 4), 10*second)
 	message, err := Decode(data)
 	if err != nil {
-		m.Unreadable()
+		m.CountUnreadable()
 		return
 	}
 	if decoded, err := Decode(message.Encode()); err != nil || !reflect.DeepEqual(decoded, message) {
--- a/internal/fleet/health/config.go
+++ b/internal/fleet/health/config.go
@@ -20,8 +20,8 @@
 	DefaultMessageRate      = 8192
 )
 
-// MaxEvidenceLife is the maximum of Config.EvidenceLifetime: the age of an entry is encoded in 13 bits of milliseconds.
-const MaxEvidenceLife scheduler.Micros = 8_000_000
+// MaxEvidenceLifetime is the maximum of Config.EvidenceLifetime: the age of an entry is encoded in 13 bits of milliseconds.
+const MaxEvidenceLifetime scheduler.Micros = 8_000_000
 
 // Defaults returns the default configuration of front number self in a fleet with the given zone of each front.
 func Defaults(self int, incarnation int64, zones []int) Config {
@@ -56,7 +56,7 @@
 	check(c.SuspectAfter <= 0, "suspect_after: must be above 0")
 	check(c.ProbeTimeout <= 0, "probe_late: must be above 0")
 	check(c.EvidenceLifetime <= 0, "evidence_life: must be above 0")
-	check(c.EvidenceLifetime > MaxEvidenceLife, "evidence_life: %d ms, must be at most %d ms", c.EvidenceLifetime/1000, MaxEvidenceLife/1000)
+	check(c.EvidenceLifetime > MaxEvidenceLifetime, "evidence_life: %d ms, must be at most %d ms", c.EvidenceLifetime/1000, MaxEvidenceLifetime/1000)
 	check(c.TakeoverAfter <= 0, "takeover_after: must be above 0")
 	check(!(c.ProbesPerNode > 0), "probes_per_node: must be above 0")
 	if c.Probers > 0 && c.ProbesPerNode > 0 && c.EvidenceLifetime > 0 {
@@ -64,7 +64,7 @@
 		check(c.ProbesPerNode < minRate, "probes_per_node: %g, but the %d probers of a node need at least %.3g to keep evidence fresh",
 			c.ProbesPerNode, c.probersOfAllZones(), minRate)
 	}
-	check(!(c.MessageRate >= MessageLimit), "message_bytes: must be at least %d", MessageLimit)
+	check(!(c.MessageRate >= MaxMessageBytes), "message_bytes: must be at least %d", MaxMessageBytes)
 	return errors.Join(problems...)
 }
 
--- a/internal/fleet/health/monitor.go
+++ b/internal/fleet/health/monitor.go
@@ -94,8 +94,8 @@
 	return out
 }
 
-// Unreadable counts a datagram that Decode rejected.
-func (m *Monitor) Unreadable() { m.drop(DropUnreadable) }
+// CountUnreadable counts a datagram that Decode rejected.
+func (m *Monitor) CountUnreadable() { m.drop(DropUnreadable) }
 
 func (m *Monitor) drop(why Drop) { m.counts.Dropped[why]++ }
 
--- a/internal/fleet/health/monitor_test.go
+++ b/internal/fleet/health/monitor_test.go
@@ -147,7 +147,7 @@
 	receive(1, entry(good))
 	receive(1, Message{Incarnation: 4, Sent: now, Entries: []Entry{good}})
 	receive(1, Message{Incarnation: 5, Sent: now - 20*second, Entries: []Entry{good}})
-	m.Unreadable()
+	m.CountUnreadable()
 	want := map[Drop]int64{DropFuture: 2, DropOutdated: 1, DropUnknown: 1, DropUnreadable: 2, DropExpired: 2, DropForeign: 5, DropRepeated: 2}
 	if got := m.Counters().Dropped; sprint(got) != sprint(want) {
 		t.Errorf("dropped %v, want %v", got, want)
--- a/internal/fleet/monitor/counters.go
+++ b/internal/fleet/monitor/counters.go
@@ -39,8 +39,8 @@
 	return out, err
 }
 
-// Drop counts a datagram that was dropped before it reached the monitor. details are attributes of the log line.
-func (m *Monitor) Drop(why health.Drop, details ...any) { m.drops.add(why, details...) }
+// CountDrop counts a datagram that was dropped before it reached the monitor. details are attributes of the log line.
+func (m *Monitor) CountDrop(why health.Drop, details ...any) { m.drops.add(why, details...) }
 
 // drops counts what the shell dropped. It logs each reason once, also those of the core.
 type drops struct {
--- a/internal/fleet/monitor/monitor_test.go
+++ b/internal/fleet/monitor/monitor_test.go
@@ -182,7 +182,7 @@
 		if !m.Intercept(1, good[:5]) {
 			t.Error("a truncated health message was not recognized")
 		}
-		m.Drop(DropUnknownSender, "from", "nowhere")
+		m.CountDrop(DropUnknownSender, "from", "nowhere")
 	}
 	m.Intercept(1, good) // about an unknown node
 	m.Intercept(1, good) // repeated
--- a/internal/lab/hollow/health.go
+++ b/internal/lab/hollow/health.go
@@ -107,7 +107,7 @@
 	in, err := health.Decode(m.data)
 	if err != nil {
 		f.counts.currentSecond[unreadableMessages]++
-		f.health.monitor.Unreadable()
+		f.health.monitor.CountUnreadable()
 		return
 	}
 	f.health.addEvent(health.MessageReceived{From: int(m.from), Message: in})
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -18,7 +18,7 @@
 const fleetVariable = "RELAY_FLEET"
 
 // maxEvidenceLife is the maximum lifetime of evidence.
-const maxEvidenceLife = time.Duration(health.MaxEvidenceLife) * time.Microsecond
+const maxEvidenceLife = time.Duration(health.MaxEvidenceLifetime) * time.Microsecond
 
 // Fleet is the operators' fleet file: the settings of features that the fronts of a fleet share.
 type Fleet struct {
@@ -113,8 +113,8 @@
 		return fmt.Errorf("health.quorum: %d, must be at least 2 and at most health.probers, %d", h.Quorum, h.Probers)
 	case !(h.ProbesPerNode > 0):
 		return errors.New("health.probes_per_node: must be above 0")
-	case !(h.MessageBytes >= health.MessageLimit):
-		return fmt.Errorf("health.message_bytes: must be at least %d, for one message per second", health.MessageLimit)
+	case !(h.MessageBytes >= health.MaxMessageBytes):
+		return fmt.Errorf("health.message_bytes: must be at least %d, for one message per second", health.MaxMessageBytes)
 	case h.EvidenceLife > maxEvidenceLife:
 		return fmt.Errorf("health.evidence_life: %v, must be at most %v", h.EvidenceLife, maxEvidenceLife)
 	}
--- a/internal/program/fleet_health.go
+++ b/internal/program/fleet_health.go
@@ -91,7 +91,7 @@
 	case errors.Is(reason, transport.ErrTooLong):
 		kind = monitor.DropTooLong
 	}
-	p.monitor.Drop(kind, "from", from.String(), "error", reason)
+	p.monitor.CountDrop(kind, "from", from.String(), "error", reason)
 }
 
 // updateMonitor passes a change of the endpoint list to the monitor, if there is one.
