--- a/cmd/otterturn/main.go
+++ b/cmd/otterturn/main.go
@@ -54,7 +54,7 @@
 
 type serveCommand struct{}
 
-func (serveCommand) Run(c *commands) error { return program.Serve(c.Config) }
+func (serveCommand) Run(c *commands) error { return program.ServeAppliance(c.Config) }
 
 type checkCommand struct{}
 
@@ -81,13 +81,13 @@
 type showStateCommand struct{}
 
 func (showStateCommand) Run(c *commands) error {
-	return program.Kept(c.Config, []string{"show"}, os.Stdout)
+	return program.RunStateCommand(c.Config, []string{"show"}, os.Stdout)
 }
 
 type checkStateCommand struct{}
 
 func (checkStateCommand) Run(c *commands) error {
-	return program.Kept(c.Config, []string{"check"}, os.Stdout)
+	return program.RunStateCommand(c.Config, []string{"check"}, os.Stdout)
 }
 
 type forgetCommand struct {
@@ -95,7 +95,7 @@
 }
 
 func (command forgetCommand) Run(c *commands) error {
-	return program.Kept(c.Config, append([]string{"forget"}, command.What...), os.Stdout)
+	return program.RunStateCommand(c.Config, append([]string{"forget"}, command.What...), os.Stdout)
 }
 
 // sendCommand sends one command to the appliance and prints its answer.
@@ -186,7 +186,7 @@
 
 func run(args []string) error {
 	if len(args) == 0 {
-		return program.Platform()
+		return program.ServePlatform()
 	}
 	if args[0] == "lab" { // otterlab parses its own flags
 		return execOtterlab(args[1:])
--- a/internal/lab/processes/processes_test.go
+++ b/internal/lab/processes/processes_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(asFront) != "" {
-		if err := program.Platform(); err != nil {
+		if err := program.ServePlatform(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
--- a/internal/lab/sockets/site.go
+++ b/internal/lab/sockets/site.go
@@ -120,7 +120,7 @@
 	set.Scheduler.MaxOpen = l.Requests.Scheduled
 	set.Scheduler.FrontIndex, set.Scheduler.PeerMessages = i, false // these fronts exchange no messages
 	var err error
-	if f.core, err = routing.New(set.Scheduler, int64(i), l, transport.NewHealthChecker(f.nodes, set, logs.Quiet()).Check); err != nil {
+	if f.core, err = routing.New(set.Scheduler, int64(i), l, transport.NewHealthChecker(f.nodes, set, logs.Discard()).Check); err != nil {
 		return nil, err
 	}
 	listener, err := net.Listen("tcp", loopbackHost()+":0")
--- a/internal/logs/logger.go
+++ b/internal/logs/logger.go
@@ -36,8 +36,8 @@
 	return slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level})
 }
 
-// Quiet returns a logger that discards everything, for tests and for components whose log is not needed.
-func Quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+// Discard returns a logger that discards everything, for tests and for components whose log is not needed.
+func Discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // quotaHandler is a handler that applies a Quota, with the time that slog set in each record.
 type quotaHandler struct {
--- a/internal/net/transport/connections_test.go
+++ b/internal/net/transport/connections_test.go
@@ -60,7 +60,7 @@
 	})
 	other, count := startNode(t, func(_ int64, c net.Conn, _ *http.Request) { io.WriteString(c, served) })
 	s := newNodes(func(l *limits.Limits) { l.Nodes.Conns = 1 }, addr, other)
-	probe := NewHealthChecker(s, protocol.Settings{}, logs.Quiet()).Check
+	probe := NewHealthChecker(s, protocol.Settings{}, logs.Discard()).Check
 	if got := sendAttempt(t, s, standin.Patience); got.Result != scheduler.OK {
 		t.Errorf("first attempt: result %v", got.Result)
 	}
--- a/internal/net/transport/healthcheck_test.go
+++ b/internal/net/transport/healthcheck_test.go
@@ -35,14 +35,14 @@
 			}
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 		})
-		if got := NewHealthChecker(newNodes(nil, addr), set, logs.Quiet()).Check("node-0"); got != want {
+		if got := NewHealthChecker(newNodes(nil, addr), set, logs.Discard()).Check("node-0"); got != want {
 			t.Errorf("%q: %+v", text, got)
 		}
 	}
 	unhealthy, _ := startNode(t, func(_ int64, c net.Conn, _ *http.Request) {
 		io.WriteString(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 	})
-	if got := NewHealthChecker(newNodes(nil, unhealthy), protocol.Settings{}, logs.Quiet()).Check("node-0"); got.OK {
+	if got := NewHealthChecker(newNodes(nil, unhealthy), protocol.Settings{}, logs.Discard()).Check("node-0"); got.OK {
 		t.Errorf("unhealthy node: %+v, want OK false", got)
 	}
 }
--- a/internal/program/appliance.go
+++ b/internal/program/appliance.go
@@ -47,8 +47,8 @@
 	drained  map[string]bool // nodes that an operator drains, by name
 }
 
-// Serve runs the appliance until SIGTERM or SIGINT. On SIGHUP it reads the operator's file again.
-func Serve(path string) error {
+// ServeAppliance runs the appliance until SIGTERM or SIGINT. On SIGHUP it reads the operator's file again.
+func ServeAppliance(path string) error {
 	shutdown, reloadSignals := notifyShutdown(), notifyReload()
 	ignoreClosedLog()
 	operator, err := LoadOperator(path)
--- a/internal/program/handover_test.go
+++ b/internal/program/handover_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	ended := make(chan struct{})
-	announce := (&platform{log: logs.Quiet()}).newIDAnnouncer(c, ended)
+	announce := (&platform{log: logs.Discard()}).newIDAnnouncer(c, ended)
 	announce("before")
 	close(ended)
 	c.Close()
--- a/internal/program/platform.go
+++ b/internal/program/platform.go
@@ -51,9 +51,9 @@
 	roster *roster.Roster
 }
 
-// Platform runs the platform's front, configured by the RELAY_ environment variables, until SIGTERM or SIGINT. On SIGHUP
+// ServePlatform runs the platform's front, configured by the RELAY_ environment variables, until SIGTERM or SIGINT. On SIGHUP
 // it reads the configuration again, applies its settings and follows the discovery service that it names.
-func Platform() error {
+func ServePlatform() error {
 	shutdown, reloadSignals := notifyShutdown(), notifyReload()
 	ignoreClosedLog()
 	path := os.Getenv("RELAY_CONFIG")
--- a/internal/program/state_command.go
+++ b/internal/program/state_command.go
@@ -16,9 +16,9 @@
 	"otterturn/scheduler"
 )
 
-// Kept carries out an operator's command on the saved state: show, check or forget. If an appliance uses the folder, show
+// RunStateCommand carries out an operator's command on the saved state: show, check or forget. If an appliance uses the folder, show
 // and forget are sent to its console.
-func Kept(path string, words []string, out io.Writer) error {
+func RunStateCommand(path string, words []string, out io.Writer) error {
 	operator, err := LoadOperator(path)
 	if err != nil {
 		return err
