--- a/cmd/otterlab/demo.go
+++ b/cmd/otterlab/demo.go
@@ -113,7 +113,7 @@
 	}
 	best := compared.Rows[0]
 	_, err = fmt.Fprintf(out, "demo: %d files asked for, %d served, %d refused, %d failed; rehearsal: %.3f in time, %d nodes pushed over, %d rules broken\n",
-		p.Asked, p.Ended[load.Served], p.Ended[load.Refused], p.Ended[load.Failed], best.Share, best.Fallen, best.Broken)
+		p.Requests, p.Ended[load.Served], p.Ended[load.Rejected], p.Ended[load.Failed], best.Share, best.Fallen, best.Broken)
 	return err
 }
 
--- a/cmd/otterlab/emulate.go
+++ b/cmd/otterlab/emulate.go
@@ -79,7 +79,7 @@
 	if c.Rate <= 0 || c.For <= 0 || c.Sessions < 1 {
 		return load.Progress{}, errors.New("--rate, --for and --sessions must be above 0")
 	}
-	settings := load.Settings{Rate: c.Rate, For: c.For, Seed: c.Seed, Open: maxOpen}
+	settings := load.Settings{Rate: c.Rate, Duration: c.For, Seed: c.Seed, MaxOpen: maxOpen}
 	if c.Front == "http" {
 		if o.HTTP.Listen == "" {
 			return load.Progress{}, fmt.Errorf("%s: http.listen: missing", c.Config)
--- a/cmd/otterlab/main.go
+++ b/cmd/otterlab/main.go
@@ -85,7 +85,7 @@
 
 // Run runs a certificate authority until it is interrupted.
 func (c authorityCommand) Run(out io.Writer) error {
-	settings := authority.Settings{Lifetime: c.Lifetime, HTTP: c.HTTP, TLS: c.TLS, Informs: c.Informs, Faults: &authority.Faults{}}
+	settings := authority.Settings{Lifetime: c.Lifetime, HTTP: c.HTTP, TLS: c.TLS, OffersRenewalInfo: c.Informs, Faults: &authority.Faults{}}
 	var script struct{ Fault []authority.Fault }
 	if c.Faults != "" {
 		meta, err := toml.DecodeFile(c.Faults, &script)
--- a/internal/certs/manager/manager_test.go
+++ b/internal/certs/manager/manager_test.go
@@ -165,7 +165,7 @@
 		m, _ := s.start()
 		s.waitForCertificate(m)
 	}
-	s := newFixture(t, authority.Settings{Patience: 200 * time.Millisecond})
+	s := newFixture(t, authority.Settings{ValidationTimeout: 200 * time.Millisecond})
 	s.settings.HTTP, s.settings.ALPN = false, false
 	m, _ := s.start()
 	standin.WaitFor(t, "a failed try", func() bool {
@@ -305,10 +305,10 @@
 }
 
 func TestRenewalWindowIsFollowed(t *testing.T) {
-	s := newFixture(t, authority.Settings{Lifetime: 20 * time.Second, Informs: true})
+	s := newFixture(t, authority.Settings{Lifetime: 20 * time.Second, OffersRenewalInfo: true})
 	m, _ := s.start()
 	first := s.waitForCertificate(m)
-	s.authorities[0].Ask(time.Now().Add(-2*time.Second), time.Now().Add(-time.Second))
+	s.authorities[0].SuggestRenewalWindow(time.Now().Add(-2*time.Second), time.Now().Add(-time.Second))
 	standin.WaitFor(t, "the renewal that the authority asked for", func() bool { return !s.waitForCertificate(m).Leaf.Equal(first.Leaf) })
 	if left := time.Until(first.Leaf.NotAfter); left < 10*time.Second {
 		t.Errorf("renewed with %v left, want renewal at the authority's request before a third of the lifetime is left", left)
--- a/internal/lab/authority/authority.go
+++ b/internal/lab/authority/authority.go
@@ -25,14 +25,14 @@
 
 // Settings configure an authority.
 type Settings struct {
-	Lifetime time.Duration     // lifetime of certificates, which last up to 1 s longer because X.509 times have whole seconds
-	Backdate time.Duration     // certificates are valid from this long before their issue
-	HTTP     string            // address that HTTP-01 validation connects to in place of port 80 of a name
-	TLS      string            // address that TLS-ALPN-01 validation connects to in place of port 443 of a name
-	Bindings map[string][]byte // keys of external accounts by id; if there are any, each new account needs one
-	Informs  bool              // renewal information is offered
-	Patience time.Duration     // timeout of the validation of a challenge, 5 s if 0
-	Faults   *Faults           // nil for none
+	Lifetime          time.Duration     // lifetime of certificates, which last up to 1 s longer because X.509 times have whole seconds
+	Backdate          time.Duration     // certificates are valid from this long before their issue
+	HTTP              string            // address that HTTP-01 validation connects to in place of port 80 of a name
+	TLS               string            // address that TLS-ALPN-01 validation connects to in place of port 443 of a name
+	Bindings          map[string][]byte // keys of external accounts by id; if there are any, each new account needs one
+	OffersRenewalInfo bool              // renewal information is offered
+	ValidationTimeout time.Duration     // timeout of the validation of a challenge, 5 s if 0
+	Faults            *Faults           // nil for none
 }
 
 // Authority is a running certificate authority.
@@ -86,8 +86,8 @@
 
 // Start starts an authority on a loopback port. Close ends it.
 func Start(s Settings) (*Authority, error) {
-	if s.Patience == 0 {
-		s.Patience = 5 * time.Second
+	if s.ValidationTimeout == 0 {
+		s.ValidationTimeout = 5 * time.Second
 	}
 	if s.Faults == nil {
 		s.Faults = &Faults{}
@@ -151,8 +151,8 @@
 	return c
 }
 
-// Ask sets the window that renewal information suggests for all certificates issued so far.
-func (a *Authority) Ask(from, to time.Time) {
+// SuggestRenewalWindow sets the window that renewal information suggests for all certificates issued so far.
+func (a *Authority) SuggestRenewalWindow(from, to time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for serial := range a.issued {
--- a/internal/lab/authority/protocol.go
+++ b/internal/lab/authority/protocol.go
@@ -38,7 +38,7 @@
 			"revokeCert": a.url("/revoke"), "keyChange": a.url("/key"),
 			"meta": map[string]any{"externalAccountRequired": len(a.Bindings) > 0},
 		}
-		if a.Informs {
+		if a.OffersRenewalInfo {
 			directory["renewalInfo"] = a.url("/info")
 		}
 		return reply(w, http.StatusOK, directory)
@@ -382,7 +382,7 @@
 
 // validate validates a challenge and sets its status and the status of its authorization.
 func (a *Authority) validate(z *authz, c *challenge, keyAuthorization string) {
-	ctx, cancel := context.WithTimeout(context.Background(), a.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), a.ValidationTimeout)
 	defer cancel()
 	var err *problem
 	if c.kind == "http-01" {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -28,38 +28,38 @@
 // Values of Verdict.
 const (
 	Served Verdict = iota
-	Refused
+	Rejected
 	Failed
 	verdictCount
 )
 
 // Settings describe the load.
 type Settings struct {
-	Rate float64 // requests per second
-	For  time.Duration
-	Seed uint64
-	Open int // bound of open requests; above it the front is overloaded and further requests count as failed without being sent
+	Rate     float64 // requests per second
+	Duration time.Duration
+	Seed     uint64
+	MaxOpen  int // bound of open requests; above it the front is overloaded and further requests count as failed without being sent
 }
 
 // Progress holds the figures of a run so far.
 type Progress struct {
-	At     time.Duration
-	Asked  int64
-	Ended  [verdictCount]int64
-	Median time.Duration // median latency of served requests
-	P99    time.Duration // 99th percentile of their latency
+	At       time.Duration
+	Requests int64
+	Ended    [verdictCount]int64
+	Median   time.Duration // median latency of served requests
+	P99      time.Duration // 99th percentile of their latency
 }
 
 func (p Progress) String() string {
 	return fmt.Sprintf("%.0f s: %d requests, %d served, %d rejected, %d failed; latency %.0f ms (median), %.0f ms (99th percentile)",
-		p.At.Seconds(), p.Asked, p.Ended[Served], p.Ended[Refused], p.Ended[Failed], p.Median.Seconds()*1000, p.P99.Seconds()*1000)
+		p.At.Seconds(), p.Requests, p.Ended[Served], p.Ended[Rejected], p.Ended[Failed], p.Median.Seconds()*1000, p.P99.Seconds()*1000)
 }
 
-// Ask sends the request with number n and returns its outcome.
-type Ask func(ctx context.Context, n int, rng *rand.Rand) Verdict
+// SendFunc sends the request with number n and returns its outcome.
+type SendFunc func(ctx context.Context, n int, rng *rand.Rand) Verdict
 
 // Run generates load. It reports its progress to tell every second and at the end, and returns the last progress.
-func Run(ctx context.Context, settings Settings, ask Ask, report func(Progress)) Progress {
+func Run(ctx context.Context, settings Settings, ask SendFunc, report func(Progress)) Progress {
 	rng := rand.New(rand.NewPCG(settings.Seed, 3))
 	var mu sync.Mutex
 	latency := hdrhistogram.New(1, 60_000_000, 3)
@@ -89,7 +89,7 @@
 	}
 	for n, scheduled := 0, time.Duration(0); ; n++ {
 		scheduled += time.Duration(rng.ExpFloat64() / settings.Rate * float64(time.Second))
-		if scheduled >= settings.For {
+		if scheduled >= settings.Duration {
 			break
 		}
 		timer.Reset(scheduled - time.Since(began))
@@ -105,9 +105,9 @@
 			}
 		}
 		mu.Lock()
-		progress.Asked++
+		progress.Requests++
 		mu.Unlock()
-		if open.Load() >= int64(settings.Open) {
+		if open.Load() >= int64(settings.MaxOpen) {
 			finish(Failed, scheduled)
 			continue
 		}
@@ -125,7 +125,7 @@
 }
 
 // HTTP returns a function that sends requests of the platform's protocol for the volumes of the given number of projects.
-func HTTP(addr string, set protocol.Settings, projects int) Ask {
+func HTTP(addr string, set protocol.Settings, projects int) SendFunc {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 	return func(ctx context.Context, n int, rng *rand.Rand) Verdict {
 		class, project := rng.IntN(len(set.Classes)), rng.IntN(projects)
@@ -155,14 +155,14 @@
 	case err == nil && resp.StatusCode == http.StatusOK:
 		return Served, 0
 	case err == nil && resp.StatusCode == http.StatusServiceUnavailable:
-		return Refused, protocol.ParseRetryAfter(resp.Header)
+		return Rejected, protocol.ParseRetryAfter(resp.Header)
 	}
 	return Failed, 0
 }
 
 // Files returns a function that writes or reads a file in one of the folders per request, over the given number of SFTP
 // sessions. end closes the sessions.
-func Files(addr string, folders []string, sessions int) (ask Ask, end func(), err error) {
+func Files(addr string, folders []string, sessions int) (ask SendFunc, end func(), err error) {
 	idle := make(chan *sftp.Client, sessions)
 	end = func() {
 		for range len(idle) {
@@ -204,7 +204,7 @@
 		case err == nil:
 			return Served
 		case isRejected(err):
-			return Refused
+			return Rejected
 		}
 		return Failed
 	}, end, nil
--- a/internal/lab/processes/requests.go
+++ b/internal/lab/processes/requests.go
@@ -94,7 +94,7 @@
 		processor: float64(used.Processor.Microseconds()) / seconds,
 	}
 	l.logf("%.0f requests/s wanted, %d nodes: %.0f/s served, %d refused, %d failed; %.2f%% of a core, %.0f us per request; %.1f MB",
-		rate, shards, out.served, progress.Ended[load.Refused], progress.Ended[load.Failed], out.processor/1e4,
+		rate, shards, out.served, progress.Ended[load.Rejected], progress.Ended[load.Failed], out.processor/1e4,
 		out.processor/out.served, megabytes(after.Resident))
 	return out, err
 }
--- a/internal/lab/processes/scenario.go
+++ b/internal/lab/processes/scenario.go
@@ -145,7 +145,7 @@
 	}
 	for _, p := range ended.all {
 		out.Served += float64(p.Ended[load.Served]) / float64(len(s.fronts))
-		out.Refused += float64(p.Ended[load.Refused]) / float64(len(s.fronts))
+		out.Refused += float64(p.Ended[load.Rejected]) / float64(len(s.fronts))
 		out.Failed += float64(p.Ended[load.Failed]) / float64(len(s.fronts))
 	}
 	return out, ended.err
--- a/internal/lab/processes/traffic.go
+++ b/internal/lab/processes/traffic.go
@@ -56,7 +56,7 @@
 		verdict, _ := load.Send(ctx, client, f.config.listen, settings, request)
 		return verdict
 	}
-	loadSettings := load.Settings{Rate: rate, For: span, Seed: uint64(f.config.number) + 1, Open: maxOpenRequests}
+	loadSettings := load.Settings{Rate: rate, Duration: span, Seed: uint64(f.config.number) + 1, MaxOpen: maxOpenRequests}
 	return load.Run(ctx, loadSettings, send, func(load.Progress) {}), nil
 }
 
--- a/internal/lab/sockets/site.go
+++ b/internal/lab/sockets/site.go
@@ -166,7 +166,7 @@
 func (f *front) End() {}
 
 // verdicts maps verdicts of package load to those of package world.
-var verdicts = map[load.Verdict]world.Verdict{load.Served: world.Served, load.Refused: world.Refused, load.Failed: world.Failed}
+var verdicts = map[load.Verdict]world.Verdict{load.Served: world.Served, load.Rejected: world.Refused, load.Failed: world.Failed}
 
 // Play runs one day of a scenario on sockets in real time.
 func Play(s scenario.Scenario, seed uint64) (scenario.Result, error) {
