--- a/cmd/otterlab/capacity.go
+++ b/cmd/otterlab/capacity.go
@@ -43,7 +43,7 @@
 	debug.SetMemoryLimit(c.Memory << 30)
 	debug.SetGCPercent(gcPercent)
 	plan := hollow.Plan{
-		Sizes: c.Sizes, Small: c.Small, Events: c.Events, Seed: c.Seed, Workers: c.Workers,
+		Sizes: c.Sizes, MaxSmallSize: c.Small, Events: c.Events, Seed: c.Seed, Workers: c.Workers,
 		SuspectAfter: scheduler.Micros(c.Suspect / time.Microsecond),
 		Health:       map[string][]bool{"on": {true}, "off": {false}, "both": {false, true}}[c.Health],
 	}
--- a/internal/lab/hollow/front.go
+++ b/internal/lab/hollow/front.go
@@ -103,10 +103,10 @@
 
 // interarrivalTime returns a random time until the next request. Arrivals don't depend on the outcome of earlier requests.
 func (f *front) interarrivalTime() scheduler.Micros {
-	if f.world.settings.Rate == 0 {
+	if f.world.settings.RequestRate == 0 {
 		return 1 << 60
 	}
-	return scheduler.Micros(f.rng.ExpFloat64()*float64(second)/f.world.settings.Rate) + 1
+	return scheduler.Micros(f.rng.ExpFloat64()*float64(second)/f.world.settings.RequestRate) + 1
 }
 
 func (f *front) handle(end scheduler.Micros, in []message) {
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -14,8 +14,8 @@
 
 // smallSettings returns the settings of a fleet in which each front sends each node as many requests per second as at full size.
 func smallSettings(fronts, nodes, zones int, health bool, seed uint64) Settings {
-	set := Default(fronts)
-	set.Nodes, set.Zones, set.Rate, set.Health, set.Seed, set.WarmUp = nodes, zones, pairRate*float64(nodes), health, seed, second
+	set := DefaultSettings(fronts)
+	set.Nodes, set.Zones, set.RequestRate, set.Health, set.Seed, set.WarmUp = nodes, zones, pairRate*float64(nodes), health, seed, second
 	set.SuspectAfter = suspectAfter
 	return set
 }
--- a/internal/lab/hollow/report.go
+++ b/internal/lab/hollow/report.go
@@ -11,12 +11,12 @@
 
 // Plan says which events are measured, at which sizes.
 type Plan struct {
-	Sizes   []int    // numbers of fronts, in ascending order
-	Small   int      // maximum size for events without AllSizes
-	Events  []string // names, empty for all events
-	Health  []bool   // variants: health of nodes switched off, on
-	Seed    uint64
-	Workers int
+	Sizes        []int    // numbers of fronts, in ascending order
+	MaxSmallSize int      // maximum size for events without AllSizes
+	Events       []string // names, empty for all events
+	Health       []bool   // variants: health of nodes switched off, on
+	Seed         uint64
+	Workers      int
 
 	SuspectAfter scheduler.Micros // see health.Config, 0 for its default
 }
@@ -41,14 +41,14 @@
 			continue
 		}
 		for _, size := range p.Sizes {
-			if !e.AllSizes && size > p.Small {
+			if !e.AllSizes && size > p.MaxSmallSize {
 				continue
 			}
 			for i, health := range p.Health {
 				if e.IgnoresHealth && i > 0 {
 					continue
 				}
-				settings := Default(size)
+				settings := DefaultSettings(size)
 				settings.Health, settings.Seed, settings.Workers, settings.SuspectAfter = health, p.Seed, p.Workers, p.SuspectAfter
 				phaseResults, err := Run(settings, e)
 				if err != nil {
--- a/internal/lab/hollow/settings.go
+++ b/internal/lab/hollow/settings.go
@@ -34,7 +34,7 @@
 type Settings struct {
 	Fronts, Nodes  int
 	Zones, Regions int
-	Rate           float64          // requests per second at each front
+	RequestRate    float64          // requests per second at each front
 	Health         bool             // internal/fleet/health is switched on
 	SuspectAfter   scheduler.Micros // see health.Config, 0 for its default
 	Seed           uint64
@@ -43,11 +43,11 @@
 	WarmUp         scheduler.Micros // how long the fleet serves before an event
 }
 
-// Default returns the settings of a fleet with the given number of fronts, with as many nodes per front and requests per
+// DefaultSettings returns the settings of a fleet with the given number of fronts, with as many nodes per front and requests per
 // second as at full size.
-func Default(fronts int) Settings {
+func DefaultSettings(fronts int) Settings {
 	return Settings{
-		Fronts: fronts, Nodes: fronts * FullNodes / FullFronts, Zones: 10, Regions: 2, Rate: FullRate,
+		Fronts: fronts, Nodes: fronts * FullNodes / FullFronts, Zones: 10, Regions: 2, RequestRate: FullRate,
 		Seed: 1, DiscoveryLines: 9_000, WarmUp: 3 * second,
 	}
 }
@@ -71,7 +71,7 @@
 		{s.Nodes < 1, "Nodes must be above 0"},
 		{s.Regions < 1, "Regions must be above 0"},
 		{s.Zones < s.Regions, "Zones must not be below Regions"},
-		{s.Rate < 0, "Rate must not be below 0"},
+		{s.RequestRate < 0, "Rate must not be below 0"},
 		{s.DiscoveryLines <= 0, "DiscoveryLines must be above 0"},
 		{s.Workers < 0, "Workers must not be below 0"},
 	} {
--- a/internal/lab/hollow/tablerows.go
+++ b/internal/lab/hollow/tablerows.go
@@ -80,7 +80,7 @@
 		},
 		{
 			phase: phase, role: "discovery", what: "lines in the worst second", unit: "/s", formula: "fronts cut off x 30 / 1.3 s",
-			budget: Default(FullFronts).DiscoveryLines, mechanism: mechanismBackoff, mechanismWithHealth: mechanismBackoff,
+			budget: DefaultSettings(FullFronts).DiscoveryLines, mechanism: mechanismBackoff, mechanismWithHealth: mechanismBackoff,
 			figure: func(r *Result) float64 { return maxOverSeconds(r, answeredLines) },
 		},
 	}
@@ -91,7 +91,7 @@
 	discoveryLines := func(phase, formula, mechanism string) row {
 		return row{
 			phase: phase, role: "discovery", what: "lines asked for in the worst second", unit: "/s", formula: formula,
-			budget: Default(FullFronts).DiscoveryLines, mechanism: mechanism, mechanismWithHealth: mechanism,
+			budget: DefaultSettings(FullFronts).DiscoveryLines, mechanism: mechanism, mechanismWithHealth: mechanism,
 			figure: func(r *Result) float64 { return maxOverSeconds(r, func(s *Second) float64 { return s.RequestedLines }) },
 		}
 	}
--- a/internal/lab/processes/hollow.go
+++ b/internal/lab/processes/hollow.go
@@ -26,8 +26,8 @@
 	}
 	var runs []hollow.PerFront
 	for seed := range seeds {
-		settings := hollow.Default(scenario.Fronts)
-		settings.Nodes, settings.Zones, settings.Regions, settings.Rate, settings.Seed = scenario.Nodes, 1, 1, scenario.Rate, uint64(seed)+1
+		settings := hollow.DefaultSettings(scenario.Fronts)
+		settings.Nodes, settings.Zones, settings.Regions, settings.RequestRate, settings.Seed = scenario.Nodes, 1, 1, scenario.Rate, uint64(seed)+1
 		results, err := hollow.Run(settings, hollow.Events[index])
 		if err != nil {
 			return nil, err
