--- a/cmd/otterlab/demo.go
+++ b/cmd/otterlab/demo.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	compared, err := s.Compare(1, s.Compared())
+	compared, err := s.Compare(1, s.AllVariants())
 	if err != nil {
 		return err
 	}
--- a/cmd/otterlab/rehearse.go
+++ b/cmd/otterlab/rehearse.go
@@ -35,9 +35,9 @@
 		if err != nil {
 			return err
 		}
-		variants := s.Compared()
+		variants := s.AllVariants()
 		for _, build := range slices.Sorted(maps.Keys(c.Build)) {
-			v, end := scenario.Build(build, c.Build[build])
+			v, end := scenario.BenchlinkVariant(build, c.Build[build])
 			defer end()
 			variants = append(variants, v)
 		}
@@ -51,7 +51,7 @@
 		if err := compared.Table(out); err != nil {
 			return err
 		}
-		if passed, _ := compared.Kept(); !passed {
+		if passed, _ := compared.CheckRules(); !passed {
 			failed = errors.Join(failed, fmt.Errorf("%s: a rule was broken or a node was overloaded", name))
 		}
 		comparisons = append(comparisons, compared)
@@ -95,7 +95,7 @@
 		var digests [2]string
 		var result scenario.Result
 		for i := range digests {
-			if result, err = s.Play(1, scenario.Ours); err != nil {
+			if result, err = s.Play(1, scenario.CurrentScheduler); err != nil {
 				return err
 			}
 			digests[i] = result.Digest
@@ -128,7 +128,7 @@
 			return err
 		}
 		began := time.Now()
-		r, err := s.Play(1, scenario.Ours)
+		r, err := s.Play(1, scenario.CurrentScheduler)
 		if err != nil {
 			return err
 		}
@@ -158,7 +158,7 @@
 	maxDifference := 0.0
 	var failed error
 	for seed := range uint64(c.Days) {
-		simulated, err := s.Play(seed+1, scenario.Ours)
+		simulated, err := s.Play(seed+1, scenario.CurrentScheduler)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/hollow/settings.go
+++ b/internal/lab/hollow/settings.go
@@ -106,11 +106,11 @@
 }
 
 // nodeFigures returns the settings of the model of a node.
-func (s *Settings) nodeFigures() model.Figures {
+func (s *Settings) nodeFigures() model.Parameters {
 	set := s.schedulerSettings(0)
-	return model.Figures{
+	return model.Parameters{
 		Cores: 8, Speed: 1, Room: 200, ColdFrom: set.InitialCapacity, Ramp: int64(set.SlowStart),
-		FallTimes: set.OverloadMultiple, FallSpan: int64(set.OverloadSpan), FallFree: set.SlowStartUnits * workPerUnit, MostMemory: 1,
+		OverloadMultiple: set.OverloadMultiple, OverloadSpan: int64(set.OverloadSpan), OverloadFreeWork: set.SlowStartUnits * workPerUnit, MaxRemembered: 1,
 	}
 }
 
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -5,16 +5,16 @@
 
 import "slices"
 
-// Figures are the parameters of a node. A value of 0 turns the property off.
-type Figures struct {
-	Cores     int
-	Speed     float64 // of a core; a core of speed 1 does 1 us of work per us
-	Room      int     // maximum number of queued requests, without the running ones
-	ColdFrom  float64 // share of its speed that it has at its start
-	Ramp      int64   // time from its start until it has its full speed
-	FallTimes float64 // a cold node fails when it receives more than this multiple of the work that it can do
-	FallSpan  int64   // time within which that work is counted
-	FallFree  float64 // work within FallSpan that never makes it fail, in microseconds of a core of speed 1
+// Parameters are the parameters of a node. A value of 0 turns the property off.
+type Parameters struct {
+	Cores            int
+	Speed            float64 // of a core; a core of speed 1 does 1 us of work per us
+	Room             int     // maximum number of queued requests, without the running ones
+	ColdFrom         float64 // share of its speed that it has at its start
+	Ramp             int64   // time from its start until it has its full speed
+	OverloadMultiple float64 // a cold node fails when it receives more than this multiple of the work that it can do
+	OverloadSpan     int64   // time within which that work is counted
+	OverloadFreeWork float64 // work within FallSpan that never makes it fail, in microseconds of a core of speed 1
 
 	FullQueueCost float64 // additional cost of a job with a full queue, as a share; proportionally less with a shorter queue
 	DeferredShare float64 // share of a write's work that is deferred
@@ -25,16 +25,16 @@
 	ProbeWork     float64 // deferred work of a health check
 	ConnWork      float64 // deferred work of a new connection
 	MaxConns      int     // maximum number of open connections
-	MostMemory    int     // maximum number of objects, and of keys, that are remembered
+	MaxRemembered int     // maximum number of objects, and of keys, that are remembered
 }
 
 // Job is a request at a node. A job without a Tag is deferred work.
 type Job struct {
-	Tag   any
-	Work  float64 // microseconds on a core of speed 1
-	Write bool
-	Piece string // object that it is for, "" for none
-	Key   string // idempotency key, "" for none
+	Tag    any
+	Work   float64 // microseconds on a core of speed 1
+	Write  bool
+	Object string // object that it is for, "" for none
+	Key    string // idempotency key, "" for none
 }
 
 // Done is a job with its end time.
@@ -45,7 +45,7 @@
 
 // Node is the state of a node.
 type Node struct {
-	Figures
+	Parameters
 	StartedAt     int64  // time of the last start, 0 for a node that has always been warm
 	Failed        bool   // failed by overload while cold; it is silent until it restarts
 	Dead          bool   // its process has ended
@@ -62,13 +62,13 @@
 }
 
 // New returns a warm node.
-func New(f Figures) *Node {
-	return &Node{Figures: f, objects: map[string]int64{}, keys: map[string]int64{}}
+func New(f Parameters) *Node {
+	return &Node{Parameters: f, objects: map[string]int64{}, keys: map[string]int64{}}
 }
 
 // Restart starts a new process; the state of the old one is lost.
 func (n *Node) Restart(now int64) {
-	*n = *New(n.Figures)
+	*n = *New(n.Parameters)
 	n.StartedAt = now
 }
 
@@ -150,12 +150,12 @@
 		n.received = nil
 		return
 	}
-	n.received = slices.DeleteFunc(append(n.received, Done{Job{Work: work}, now}), func(d Done) bool { return d.At < now-n.FallSpan })
+	n.received = slices.DeleteFunc(append(n.received, Done{Job{Work: work}, now}), func(d Done) bool { return d.At < now-n.OverloadSpan })
 	sum := 0.0
 	for _, d := range n.received {
 		sum += d.Work
 	}
-	if sum > max(n.FallFree, n.FallTimes*share*n.Speed*float64(n.Cores)*float64(n.FallSpan)) {
+	if sum > max(n.OverloadFreeWork, n.OverloadMultiple*share*n.Speed*float64(n.Cores)*float64(n.OverloadSpan)) {
 		n.Failed, n.running, n.queue = true, nil, nil
 	}
 }
@@ -189,18 +189,18 @@
 	if n.Room > 0 {
 		work *= 1 + n.FullQueueCost*float64(len(n.queue))/float64(n.Room)
 	}
-	if n.NearSpan > 0 && j.Piece != "" {
-		if at, worked := n.objects[j.Piece]; worked && now < at+n.NearSpan {
+	if n.NearSpan > 0 && j.Object != "" {
+		if at, worked := n.objects[j.Object]; worked && now < at+n.NearSpan {
 			work *= n.Near
 		}
-		remember(n.objects, j.Piece, now, n.NearSpan, n.MostMemory)
+		remember(n.objects, j.Object, now, n.NearSpan, n.MaxRemembered)
 	}
 	if j.Write && n.DeferredFor > 0 {
 		n.deferWork(now, work*n.DeferredShare)
 		work *= 1 - n.DeferredShare
 	}
 	if j.Key != "" && n.KeyWindow > 0 {
-		remember(n.keys, j.Key, now, n.KeyWindow, n.MostMemory)
+		remember(n.keys, j.Key, now, n.KeyWindow, n.MaxRemembered)
 	}
 	return work
 }
--- a/internal/lab/model/node_test.go
+++ b/internal/lab/model/node_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestNodeServesInOrderAndRejectsWhenFull(t *testing.T) {
-	n := New(Figures{Cores: 1, Speed: 2, Room: 1, ColdFrom: 1})
+	n := New(Parameters{Cores: 1, Speed: 2, Room: 1, ColdFrom: 1})
 	for i, want := range []bool{true, true, false} { // the first runs, the second is queued
 		if got := n.Arrive(0, Job{Tag: i, Work: 200}); got != want {
 			t.Errorf("job %d: accepted is %v", i, got)
@@ -19,7 +19,7 @@
 }
 
 func TestColdNodeWarmsUpAndFailsWhenOverloaded(t *testing.T) {
-	f := Figures{Cores: 1, Speed: 1, Room: 1000, ColdFrom: 0.2, Ramp: 10_000_000, FallTimes: 2.5, FallSpan: 1_000_000}
+	f := Parameters{Cores: 1, Speed: 1, Room: 1000, ColdFrom: 0.2, Ramp: 10_000_000, OverloadMultiple: 2.5, OverloadSpan: 1_000_000}
 	n := New(f)
 	n.Restart(1)
 	n.Arrive(1, Job{Work: 100_000}) // takes five times as long as on a warm node
@@ -66,9 +66,9 @@
 }
 
 func TestObjectsKeysAndDeferredWork(t *testing.T) {
-	n := New(Figures{
+	n := New(Parameters{
 		Cores: 1, Speed: 1, Room: 8, ColdFrom: 1, Near: 0.25, NearSpan: 1000, KeyWindow: 2000,
-		DeferredShare: 0.5, DeferredFor: 5000, ProbeWork: 300, MostMemory: 8,
+		DeferredShare: 0.5, DeferredFor: 5000, ProbeWork: 300, MaxRemembered: 8,
 	})
 	for _, c := range []struct {
 		what string
@@ -76,9 +76,9 @@
 		job  Job
 		want int64
 	}{
-		{"first job for an object", 10_000, Job{Work: 400, Piece: "a"}, 400},
-		{"second job for the object", 10_500, Job{Work: 400, Piece: "a"}, 100},
-		{"job for the object after NearSpan", 20_000, Job{Work: 400, Piece: "a"}, 400},
+		{"first job for an object", 10_000, Job{Work: 400, Object: "a"}, 400},
+		{"second job for the object", 10_500, Job{Work: 400, Object: "a"}, 100},
+		{"job for the object after NearSpan", 20_000, Job{Work: 400, Object: "a"}, 400},
 		{"write with half of its work deferred", 30_000, Job{Work: 800, Write: true, Key: "k"}, 400},
 		{"duplicate of the write", 30_500, Job{Work: 800, Write: true, Key: "k"}, 0},
 		{"deferred work runs before the job", 36_000, Job{Work: 100}, 500},
--- a/internal/lab/model/queue_test.go
+++ b/internal/lab/model/queue_test.go
@@ -12,7 +12,7 @@
 	const cores, mean = 4, 10_000.0
 	for _, busy := range []float64{0.5, 0.8, 0.9} {
 		rng := rand.New(rand.NewPCG(1, uint64(busy*100)))
-		n := New(Figures{Cores: cores, Speed: 1, Room: math.MaxInt, ColdFrom: 1})
+		n := New(Parameters{Cores: cores, Speed: 1, Room: math.MaxInt, ColdFrom: 1})
 		waited, count, at := 0.0, 0, 0.0
 		finish := func(until int64) {
 			for next, ok := n.Next(); ok && next <= until; next, ok = n.Next() {
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -66,9 +66,9 @@
 	var nodes []*model.Node
 	speeds := 0.0
 	for i := range 10 {
-		f := model.Figures{
+		f := model.Parameters{
 			Cores: 2, Speed: 0.85 + 0.85*rng.Float64(), Room: 24, ColdFrom: 0.25, Ramp: int64(15 * second),
-			FallTimes: 2.5, FallSpan: int64(second), FallFree: 8 * 40_000,
+			OverloadMultiple: 2.5, OverloadSpan: int64(second), OverloadFreeWork: 8 * 40_000,
 		}
 		if i%3 == 1 {
 			f.Speed *= 0.35
--- a/internal/lab/scenario/build.go
+++ b/internal/lab/scenario/build.go
@@ -11,10 +11,10 @@
 	"otterturn/scheduler"
 )
 
-// Build returns a variant that is decided by another build of this program, such as an earlier release: path names its
+// BenchlinkVariant returns a variant that is decided by another build of this program, such as an earlier release: path names its
 // benchlink executable, which is driven through its standard input and output. The variant restarts the executable for each
 // simulated day. The caller ends the executable with stop.
-func Build(name, path string) (v Variant, stop func() error) {
+func BenchlinkVariant(name, path string) (v Variant, stop func() error) {
 	var cmd *exec.Cmd
 	var in io.WriteCloser
 	var remote *wire.Remote
--- a/internal/lab/scenario/page.go
+++ b/internal/lab/scenario/page.go
@@ -107,7 +107,7 @@
 
 func (c Comparison) pageEntry() (p pageEntry, err error) {
 	p = pageEntry{Comparison: c, Seeds: len(c.Rows[0].Days), Causes: Causes(c.Rows[0].Days[0].Traces), Traced: len(c.Rows[0].Days[0].Traces)}
-	_, p.Why = c.Kept()
+	_, p.Why = c.CheckRules()
 	p.Head = fmt.Sprintf("%d fronts, %d nodes, %v", c.Scenario.Fronts, c.Scenario.Nodes.Count, c.Scenario.Length)
 	var served, latency []plotter.XYs
 	var names []string
--- a/internal/lab/scenario/play.go
+++ b/internal/lab/scenario/play.go
@@ -41,15 +41,15 @@
 	Make func(front int, set scheduler.Settings, seed int64) (world.Decider, error)
 }
 
-// Ours is the scheduler of this build.
-var Ours = Variant{"rules", func(front int, set scheduler.Settings, seed int64) (world.Decider, error) {
+// CurrentScheduler is the scheduler of this build.
+var CurrentScheduler = Variant{"rules", func(front int, set scheduler.Settings, seed int64) (world.Decider, error) {
 	set.FrontIndex = front
 	return scheduler.New(set, seed)
 }}
 
-// Compared returns the scheduler, its variants in the scenario and the baselines.
-func (s Scenario) Compared() []Variant {
-	out := []Variant{Ours}
+// AllVariants returns the scheduler, its variants in the scenario and the baselines.
+func (s Scenario) AllVariants() []Variant {
+	out := []Variant{CurrentScheduler}
 	for _, v := range s.Variants {
 		out = append(out, Variant{v.Name, func(front int, set scheduler.Settings, seed int64) (world.Decider, error) {
 			set.FrontIndex = front
@@ -82,12 +82,12 @@
 	set, nodes, power := s.Settings(), []*model.Node{}, 0.0
 	n := s.Nodes
 	for range n.Count {
-		f := model.Figures{
+		f := model.Parameters{
 			Cores: n.Cores, Speed: n.Speed[0] + (n.Speed[1]-n.Speed[0])*rng.Float64(),
-			Room: n.Room, ColdFrom: n.ColdFrom, Ramp: int64(micros(n.Ramp)), FallTimes: set.OverloadMultiple,
-			FallSpan: int64(set.OverloadSpan), FallFree: set.SlowStartUnits * 60_000, FullQueueCost: n.Overfull, DeferredShare: n.PutOff,
+			Room: n.Room, ColdFrom: n.ColdFrom, Ramp: int64(micros(n.Ramp)), OverloadMultiple: set.OverloadMultiple,
+			OverloadSpan: int64(set.OverloadSpan), OverloadFreeWork: set.SlowStartUnits * 60_000, FullQueueCost: n.Overfull, DeferredShare: n.PutOff,
 			DeferredFor: int64(micros(n.PutFor)), ProbeWork: float64(micros(n.Probe)), ConnWork: float64(micros(n.Connect)),
-			MaxConns: n.Conns, MostMemory: 10_000,
+			MaxConns: n.Conns, MaxRemembered: 10_000,
 		}
 		if n.Near > 0 {
 			f.Near, f.NearSpan = n.Near, int64(second)
--- a/internal/lab/scenario/report.go
+++ b/internal/lab/scenario/report.go
@@ -98,9 +98,9 @@
 	return c, nil
 }
 
-// Kept reports whether the first variant broke no rule and made no node fail on any day, and returns the first violations:
+// CheckRules reports whether the first variant broke no rule and made no node fail on any day, and returns the first violations:
 // up to 3 per day and 10 in total.
-func (c Comparison) Kept() (kept bool, why []string) {
+func (c Comparison) CheckRules() (kept bool, why []string) {
 	kept = true
 	for _, r := range c.Rows[0].Days {
 		kept = kept && r.keptRules()
@@ -129,7 +129,7 @@
 		fmt.Fprintln(w)
 	}
 	w.Flush()
-	if _, why := c.Kept(); len(why) > 0 {
+	if _, why := c.CheckRules(); len(why) > 0 {
 		for _, line := range why {
 			fmt.Fprintln(out, "broken:", line)
 		}
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -34,14 +34,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := s.Play(1, Ours)
+	r, err := s.Play(1, CurrentScheduler)
 	if err != nil || r.Fallen > 0 || len(r.Breaks) > 0 || r.Requests < 1000 || r.Share() < 0.5 {
 		t.Errorf("%s: result %+v, error %v", s.Name, r, err)
 	}
 	if !strings.HasSuffix(name, "deploy.toml") {
 		return
 	}
-	c, err := s.Compare(1, s.Compared()[:2])
+	c, err := s.Compare(1, s.AllVariants()[:2])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err := s.Play(1, Ours); err != nil || r.Requests != 2 || r.Ended["served"] != 2 {
+	if r, err := s.Play(1, CurrentScheduler); err != nil || r.Requests != 2 || r.Ended["served"] != 2 {
 		t.Errorf("result %+v, error %v; want 2 requests served", r, err)
 	}
 	for _, c := range []struct{ text, want string }{
@@ -137,7 +137,7 @@
 	s.Nodes.Halls, s.Nodes.Overfull, s.Nodes.PutOff, s.Nodes.PutFor, s.Nodes.Near, s.Nodes.Conns = 2, 0.5, 0.3, 2e9, 0.5, 50
 	s.Nodes.Probe, s.Nodes.Connect = 1e6, 2e6
 	s.Load.Pieces, s.Load.Recent, s.Load.Comes, s.Load.Heeds = 20, 0.2, 0.8, 0.7
-	calm, err := s.Play(1, Ours)
+	calm, err := s.Play(1, CurrentScheduler)
 	if err != nil || !calm.keptRules() || calm.Share() < 0.9 {
 		t.Fatalf("without events: result %+v, error %v", calm, err)
 	}
@@ -147,7 +147,7 @@
 		if err := eventful.validate(); err != nil {
 			t.Error(err)
 		}
-		r, err := eventful.Play(1, Ours)
+		r, err := eventful.Play(1, CurrentScheduler)
 		if err != nil || !r.keptRules() {
 			t.Errorf("%s: error %v, broken rules %v, %d nodes failed by overload", what, err, r.Breaks, r.Fallen)
 		}
--- a/internal/lab/sockets/emulate.go
+++ b/internal/lab/sockets/emulate.go
@@ -31,7 +31,7 @@
 
 // Emulate serves nodes until ctx ends, each with its own model of the given figures and with files in memory. cost returns
 // the work of a request of the platform's protocol.
-func Emulate(ctx context.Context, nodes []Emulated, figures model.Figures, set protocol.Settings, cost func(protocol.Request) model.Job) error {
+func Emulate(ctx context.Context, nodes []Emulated, figures model.Parameters, set protocol.Settings, cost func(protocol.Request) model.Job) error {
 	var models []*model.Node
 	for range nodes {
 		models = append(models, model.New(figures))
@@ -116,7 +116,7 @@
 	switch <-reply {
 	case world.Answer:
 		return nil
-	case world.TurnedAway:
+	case world.QueueFull:
 		return errQueueFull
 	}
 	s.conn.Close()
@@ -162,7 +162,7 @@
 }
 
 func (r *reader) ReadAt(p []byte, at int64) (int, error) {
-	if err := r.runJob(model.Job{Work: readWork * units(len(p)), Piece: fmt.Sprint(r.path, at)}); err != nil {
+	if err := r.runJob(model.Job{Work: readWork * units(len(p)), Object: fmt.Sprint(r.path, at)}); err != nil {
 		return 0, err
 	}
 	return r.ReaderAt.ReadAt(p, at)
--- a/internal/lab/sockets/node.go
+++ b/internal/lab/sockets/node.go
@@ -74,8 +74,8 @@
 
 // results maps the reply of a node to the result of the attempt.
 var results = map[world.Reply]scheduler.Result{
-	world.Answer: scheduler.OK, world.TurnedAway: scheduler.QueueFull, world.Unreachable: scheduler.Unreachable,
-	world.Broken: scheduler.Reset, world.Garbled: scheduler.Reset,
+	world.Answer: scheduler.OK, world.QueueFull: scheduler.QueueFull, world.Unreachable: scheduler.Unreachable,
+	world.ConnectionBroken: scheduler.Reset, world.Malformed: scheduler.Reset,
 }
 
 // ServeHTTP answers health checks and attempts.
@@ -101,28 +101,28 @@
 	}
 	reply := make(chan world.Reply, 1)
 	n.world.Do(func() {
-		job, known := n.world.Reach(request.ID, n.node)
+		job, known := n.world.AttemptReached(request.ID, n.node)
 		if !known && n.cost != nil {
 			job, known = n.cost(request), true
 		}
 		if known {
 			n.world.Arrive(n.node, job, func(r world.Reply) {
-				n.world.Left(request.ID, n.node, results[r])
+				n.world.AttemptLeft(request.ID, n.node, results[r])
 				reply <- r
 			})
 		}
 	})
 	select {
 	case <-r.Context().Done():
-		n.world.Do(func() { n.world.Left(request.ID, n.node, scheduler.TimedOut) })
+		n.world.Do(func() { n.world.AttemptLeft(request.ID, n.node, scheduler.TimedOut) })
 	case got := <-reply:
 		switch got {
 		case world.Answer:
 			w.Write(body)
-		case world.TurnedAway:
+		case world.QueueFull:
 			w.Header().Set("X-Unprocessed", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case world.Garbled: // the connection ends before the answer is complete
+		case world.Malformed: // the connection ends before the answer is complete
 			w.Header().Set("Content-Length", "100")
 			w.Write([]byte("garbled"))
 			panic(http.ErrAbortHandler)
--- a/internal/lab/sockets/site.go
+++ b/internal/lab/sockets/site.go
@@ -63,7 +63,7 @@
 			s.Close()
 			return nil, fmt.Errorf("front %d: %w", i, err)
 		}
-		w.Put(i, f)
+		w.AddFront(i, f)
 	}
 	return s, nil
 }
--- a/internal/lab/sockets/site_test.go
+++ b/internal/lab/sockets/site_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	s.Happens = []scenario.Event{{At: 2 * time.Second, What: "die", Share: 0.25, Back: 2 * time.Second}}
-	want, err := s.Play(1, scenario.Ours)
+	want, err := s.Play(1, scenario.CurrentScheduler)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/world/audit_test.go
+++ b/internal/lab/world/audit_test.go
@@ -86,11 +86,11 @@
 		"refused": "though it may have run", "leaving": "after it was known to leave", "limit": "beyond its limit",
 		"silence": "no final answer", "cold": "pushed over",
 	} {
-		cold := model.Figures{Cores: 1, Speed: 1, Room: 1000, ColdFrom: 0.2, Ramp: 60_000_000, FallTimes: 2.5, FallSpan: 1_000_000}
+		cold := model.Parameters{Cores: 1, Speed: 1, Room: 1000, ColdFrom: 0.2, Ramp: 60_000_000, OverloadMultiple: 2.5, OverloadSpan: 1_000_000}
 		nodes := []*model.Node{model.New(cold), model.New(cold)}
 		w := New(set, nodes, 1, 500, 1)
 		if fault == "silence" {
-			w.Put(0, silent{})
+			w.AddFront(0, silent{})
 		} else {
 			w.StartFront(0, &naive{fault: fault, open: map[string]scheduler.Request{}})
 		}
--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -91,15 +91,15 @@
 	if t == nil {
 		return j, false
 	}
-	j = model.Job{Work: t.Work, Write: t.Write, Piece: t.Key}
+	j = model.Job{Work: t.Work, Write: t.Write, Object: t.Key}
 	if w.Set.Classes[t.Class].Idempotency == scheduler.IdempotentByKey {
 		j.Key = id
 	}
 	return j, true
 }
 
-// Reach reports that a try's attempt has reached a node over a socket. It returns as Job does.
-func (w *World) Reach(id string, n *Node) (j model.Job, known bool) {
+// AttemptReached reports that a try's attempt has reached a node over a socket. It returns as Job does.
+func (w *World) AttemptReached(id string, n *Node) (j model.Job, known bool) {
 	j, known = w.Job(id)
 	if known {
 		for _, x := range w.watchers {
@@ -109,8 +109,8 @@
 	return j, known
 }
 
-// Left reports the result of an attempt as it leaves the node.
-func (w *World) Left(id string, n *Node, r scheduler.Result) {
+// AttemptLeft reports the result of an attempt as it leaves the node.
+func (w *World) AttemptLeft(id string, n *Node, r scheduler.Result) {
 	for _, x := range w.watchers {
 		x.AttemptFinished(id, r)
 	}
--- a/internal/lab/world/fleet_test.go
+++ b/internal/lab/world/fleet_test.go
@@ -36,9 +36,9 @@
 	}}
 	var models []*model.Node
 	for range nodes {
-		models = append(models, model.New(model.Figures{
+		models = append(models, model.New(model.Parameters{
 			Cores: 2, Speed: 0.5, Room: 60, ColdFrom: f.set.InitialCapacity, Ramp: int64(f.set.SlowStart),
-			FallTimes: f.set.OverloadMultiple, FallSpan: int64(f.set.OverloadSpan), FallFree: f.set.SlowStartUnits * unitWork, KeyWindow: int64(7 * second), MostMemory: 10_000,
+			OverloadMultiple: f.set.OverloadMultiple, OverloadSpan: int64(f.set.OverloadSpan), OverloadFreeWork: f.set.SlowStartUnits * unitWork, KeyWindow: int64(7 * second), MaxRemembered: 10_000,
 		}))
 	}
 	f.World = world.New(f.set, models, 1, 5_000, seed)
--- a/internal/lab/world/front.go
+++ b/internal/lab/world/front.go
@@ -32,7 +32,7 @@
 // StartFront adds a front that uses the decider. It takes the same index as Put.
 func (w *World) StartFront(index int, decider Decider) *SimulatedFront {
 	f := &SimulatedFront{world: w, index: index, decider: decider, open: map[string]*openRequest{}, idleConns: map[string]int{}}
-	w.Put(index, f)
+	w.AddFront(index, f)
 	return f
 }
 
@@ -132,8 +132,8 @@
 
 // replyResults maps a node's reply to the event that the front sees.
 var replyResults = map[Reply]scheduler.AttemptEnded{
-	Answer: {Result: scheduler.OK, Final: true}, TurnedAway: {Result: scheduler.QueueFull},
-	Unreachable: {Result: scheduler.Unreachable}, Broken: {Result: scheduler.Reset}, Garbled: {Result: scheduler.Reset, Alive: true},
+	Answer: {Result: scheduler.OK, Final: true}, QueueFull: {Result: scheduler.QueueFull},
+	Unreachable: {Result: scheduler.Unreachable}, ConnectionBroken: {Result: scheduler.Reset}, Malformed: {Result: scheduler.Reset, Alive: true},
 }
 
 // startAttempt simulates an attempt: the way to the node, its work there and the way back, or the time-out at the deadline.
@@ -171,7 +171,7 @@
 	ready, up := f.connect(n)
 	w.schedule(ready, func() {
 		reply := func(r Reply) {
-			w.schedule(w.Now+w.delay, func() { finish(replyResults[r], r == Answer || r == TurnedAway) })
+			w.schedule(w.Now+w.delay, func() { finish(replyResults[r], r == Answer || r == QueueFull) })
 		}
 		job, known := w.Job(a.ID)
 		switch {
--- a/internal/lab/world/node.go
+++ b/internal/lab/world/node.go
@@ -11,10 +11,10 @@
 // The replies. A silent node gives none.
 const (
 	Answer Reply = iota
-	TurnedAway
+	QueueFull
 	Unreachable
-	Broken // the connection broke; the request may have run
-	Garbled
+	ConnectionBroken // the connection broke; the request may have run
+	Malformed
 )
 
 // nodeAttempt is an attempt at a node. reply is called once, or never if the node becomes silent.
@@ -41,12 +41,12 @@
 	case n.Mute:
 		return
 	case n.BreakShare > 0 && w.Rand.Float64() < n.BreakShare:
-		t.sendReply(Broken)
+		t.sendReply(ConnectionBroken)
 		return
 	}
 	j.Tag = t
 	if !n.Node.Arrive(int64(w.Now), j) {
-		t.sendReply(TurnedAway)
+		t.sendReply(QueueFull)
 		return
 	}
 	w.scheduleNextEnd(n)
@@ -74,7 +74,7 @@
 		for _, d := range n.Finish(int64(w.Now)) {
 			r := Answer
 			if n.MalformedShare > 0 && w.Rand.Float64() < n.MalformedShare {
-				r = Garbled
+				r = Malformed
 			}
 			d.Tag.(*nodeAttempt).sendReply(r)
 		}
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -197,8 +197,8 @@
 	return out
 }
 
-// Put adds a front at an index, 0 for the first, and gives it the node list. A front that was there before ends.
-func (w *World) Put(index int, front Front) {
+// AddFront adds a front at an index, 0 for the first, and gives it the node list. A front that was there before ends.
+func (w *World) AddFront(index int, front Front) {
 	if index < len(w.Fronts) {
 		w.Fronts[index].End()
 		for id, t := range w.open {
@@ -247,7 +247,7 @@
 func (w *World) Kill(n *Node) {
 	for _, j := range n.Die() {
 		if t, waits := j.Tag.(*nodeAttempt); waits {
-			t.sendReply(Broken)
+			t.sendReply(ConnectionBroken)
 		}
 	}
 	w.Changed(n)
@@ -264,7 +264,7 @@
 func (w *World) ReplaceNode(old *Node) *Node {
 	w.Kill(old)
 	old.State = scheduler.Removed
-	n := &Node{Node: model.New(old.Figures), Name: fmt.Sprintf("node-%02d", len(w.Nodes)), Shard: old.Shard, Zone: old.Zone}
+	n := &Node{Node: model.New(old.Parameters), Name: fmt.Sprintf("node-%02d", len(w.Nodes)), Shard: old.Shard, Zone: old.Zone}
 	n.Node.Restart(int64(w.Now))
 	w.Nodes = append(w.Nodes, n)
 	w.Changed(n)
