--- a/internal/fleet/monitor/monitor.go
+++ b/internal/fleet/monitor/monitor.go
@@ -15,7 +15,7 @@
 )
 
 // ErrStopped means that the monitor has ended.
-var ErrStopped = errors.New("health monitor has stopped")
+var ErrStopped = errors.New("the monitor of the zone's health has stopped")
 
 // Hooks are the functions through which a Monitor acts. All must be set.
 type Hooks struct {
--- a/internal/net/protocol/sftp/packet/request.go
+++ b/internal/net/protocol/sftp/packet/request.go
@@ -61,7 +61,7 @@
 const PosixRename = "posix-rename@openssh.com"
 
 // ErrMalformed reports bytes that are not a valid packet. The start of the next packet is then unknown, so the connection is closed.
-var ErrMalformed = errors.New("malformed packet")
+var ErrMalformed = errors.New("a malformed packet")
 
 // Request is a client's packet. Fields that packets of its kind don't have are empty.
 type Request struct {
--- a/internal/net/routing/core.go
+++ b/internal/net/routing/core.go
@@ -34,7 +34,8 @@
 	RetryAfter time.Duration // the client should wait this long before it retries
 }
 
-func (r *RejectedError) Error() string { return fmt.Sprintf("rejected, retry after %v", r.RetryAfter) }
+// Error returns a text that is part of SFTP status texts (WriteFailed).
+func (r *RejectedError) Error() string { return fmt.Sprintf("refused, come back in %v", r.RetryAfter) }
 
 // Clock returns Unix time in microseconds, computed from its start time and the monotonic time since then, so that steps of
 // the system clock move no deadline.
--- a/internal/net/transport/sftp/client_conn.go
+++ b/internal/net/transport/sftp/client_conn.go
@@ -18,11 +18,11 @@
 	"otterturn/internal/net/routing"
 )
 
-// errClientGone reports that a client's connection has ended.
-var errClientGone = errors.New("client has disconnected")
+// errClientGone reports that a client's connection has ended. Its text can be part of SFTP status texts (WriteFailed).
+var errClientGone = errors.New("the client has left")
 
 // errStopping reports that the front accepts no more commands.
-var errStopping = errors.New("front is stopping")
+var errStopping = errors.New("the front is stopping")
 
 // clientConn is one client's connection. One goroutine reads its packets in order and accepts each when it may run; each accepted
 // command runs in a goroutine of its own. Reads and writes run in parallel, because clients send many ahead. Any other command
@@ -127,7 +127,7 @@
 	}
 	n := binary.BigEndian.Uint32(head)
 	if n == 0 || n > uint32(c.front.limits.Files.PacketBytes) {
-		return nil, fmt.Errorf("%w: length is %d bytes, must be 1 to %d", packet.ErrMalformed, n, c.front.limits.Files.PacketBytes)
+		return nil, fmt.Errorf("%w: %d bytes, at most %d are taken", packet.ErrMalformed, n, c.front.limits.Files.PacketBytes)
 	}
 	if err := c.extendReadDeadline(); err != nil {
 		return nil, err
