--- a/cmd/otterturn/accept_test.go
+++ b/cmd/otterturn/accept_test.go
@@ -11,7 +11,7 @@
 
 	"otterturn/internal/lab/faults"
 	"otterturn/internal/limits"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // startUnderFaults starts the front with an injector that can make the given system calls fail.
@@ -46,7 +46,7 @@
 		before := injector.Injected(unix.SYS_ACCEPT4)
 		injector.Inject(faults.Rule{Call: unix.SYS_ACCEPT4, Err: errno, Times: 3})
 		c := dialFront(t, s.addr)
-		c.SetDeadline(time.Now().Add(standin.WaitTimeout))
+		c.SetDeadline(time.Now().Add(testsupport.WaitTimeout))
 		if _, err := c.Write([]byte(requestHead("GET", 0, 3*time.Second))); err != nil {
 			t.Fatal(err)
 		}
@@ -59,7 +59,7 @@
 		injector.Clear()
 	}
 	p.Process.Signal(syscall.SIGTERM)
-	if err := standin.Await(t, "the exit of the program", p.done); err != nil {
+	if err := testsupport.Await(t, "the exit of the program", p.done); err != nil {
 		t.Errorf("exited with %v:\n%s", err, p.output)
 	}
 }
@@ -73,7 +73,7 @@
 	before := s.received.Load()
 	injector.Inject(faults.Rule{Call: unix.SYS_ACCEPT4, Err: unix.ENFILE, Until: time.Now().Add(failing)})
 	c := dialFront(t, s.addr)
-	c.SetDeadline(time.Now().Add(standin.WaitTimeout))
+	c.SetDeadline(time.Now().Add(testsupport.WaitTimeout))
 	c.Write([]byte(requestHead("GET", 0, wait)))
 	status, err := readAnswer(c)
 	if received := s.received.Load() - before; err != nil || status != 503 || received != 0 {
@@ -98,7 +98,7 @@
 	if status, err := readAnswer(c); err != nil {
 		t.Errorf("status %d, error %v\n%s", status, err, p.output)
 	}
-	if err := standin.Await(t, "the exit of the program", p.done); err != nil {
+	if err := testsupport.Await(t, "the exit of the program", p.done); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/otterturn/appliance_test.go
+++ b/cmd/otterturn/appliance_test.go
@@ -16,7 +16,7 @@
 	"github.com/pkg/sftp"
 
 	"otterturn/internal/lab/authority"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 const operatorFile = `
@@ -109,7 +109,7 @@
 func TestApplianceEndToEnd(t *testing.T) {
 	challenge := freeAddr(t)
 	ca := startAuthority(t, authority.Settings{Lifetime: 90 * 24 * time.Hour, HTTP: challenge})
-	files := standin.NewFileServer(t)
+	files := testsupport.NewFileServer(t)
 	node := httpPeer(t, func(*http.Request) string { return "index data" })
 	dir := t.TempDir()
 	sftpAddr, httpAddr := freeAddr(t), freeAddr(t)
@@ -119,19 +119,19 @@
 	p := start(t, nil, "serve", "--config", config)
 	console := func(command ...string) (string, error) {
 		c := start(t, nil, append([]string{"console", "--config", config}, command...)...)
-		err := standin.Await(t, "the exit of the console", c.done)
+		err := testsupport.Await(t, "the exit of the console", c.done)
 		return c.output.String(), err
 	}
-	standin.WaitFor(t, "the console to answer", func() bool { _, err := console("status"); return err == nil })
+	testsupport.WaitFor(t, "the console to answer", func() bool { _, err := console("status"); return err == nil })
 
-	standin.WaitFor(t, "the certificate", func() bool {
+	testsupport.WaitFor(t, "the certificate", func() bool {
 		text, err := console("certificate")
 		return err == nil && strings.Contains(text, "files for files.example, search.example, serial 65 until ")
 	})
 	if text, err := console("renew", "files"); err != nil {
 		t.Errorf("renew: %q, %v", text, err)
 	}
-	standin.WaitFor(t, "the renewed certificate", func() bool {
+	testsupport.WaitFor(t, "the renewed certificate", func() bool {
 		text, err := console("certificate")
 		return err == nil && strings.Contains(text, "serial 66 until ")
 	})
@@ -141,14 +141,14 @@
 	if text, err := console("revoke", "files"); err != nil {
 		t.Errorf("revoke: %q, %v", text, err)
 	}
-	standin.WaitFor(t, "the replacement of the revoked certificate", func() bool {
+	testsupport.WaitFor(t, "the replacement of the revoked certificate", func() bool {
 		text, err := console("certificate")
 		return err == nil && strings.Contains(text, "serial 67 until ")
 	})
 	if n := ca.Counts(); n.Accounts != 1 || n.Issued != 3 || n.Revoked != 1 {
 		t.Errorf("the authority counted %+v, want 1 account, 3 issued and 1 revoked", n)
 	}
-	client := &http.Client{Timeout: standin.WaitTimeout, Transport: &http.Transport{TLSClientConfig: &tls.Config{
+	client := &http.Client{Timeout: testsupport.WaitTimeout, Transport: &http.Transport{TLSClientConfig: &tls.Config{
 		RootCAs: ca.Roots(), ServerName: "files.example",
 	}}}
 	r, err := http.NewRequest(http.MethodGet, "https://"+httpAddr+"/read/00000000000000aa/00000000000000bb", nil)
@@ -221,7 +221,7 @@
 		t.Fatal(err)
 	}
 	p.Process.Signal(syscall.SIGHUP)
-	standin.WaitFor(t, "the node added by the reload", func() bool {
+	testsupport.WaitFor(t, "the node added by the reload", func() bool {
 		text, err := console("drain", "node-b")
 		return err == nil && text == ""
 	})
--- a/cmd/otterturn/certificate_order_test.go
+++ b/cmd/otterturn/certificate_order_test.go
@@ -11,7 +11,7 @@
 	"testing"
 
 	"otterturn/internal/lab/authority"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // Signals arrive during a certificate order. SIGHUP does not affect the order, SIGTERM ends the program at once, and after SIGKILL
@@ -23,14 +23,14 @@
 	ca := startAuthority(t, authority.Settings{HTTP: challenge, Lifetime: 1 << 40, Faults: faults})
 	dir := t.TempDir()
 	text := fmt.Sprintf(operatorFile, freeAddr(t), httpAddr, ca.Directory(), writeTemp(t, "roots.pem", string(ca.ServerRoots())),
-		filepath.Join(dir, "acme"), challenge, filepath.Join(dir, "console.sock"), standin.NewFileServer(t).Addr,
+		filepath.Join(dir, "acme"), challenge, filepath.Join(dir, "console.sock"), testsupport.NewFileServer(t).Addr,
 		httpPeer(t, func(*http.Request) string { return "x" }))
 	text = strings.Replace(text, `try = "20s"`, `try = "1s"`, 1)
 	config := writeTemp(t, "appliance.toml", text)
 	stalled := 0
 	startUntilStalled := func() *process {
 		p := start(t, nil, "serve", "--config", config)
-		standin.WaitFor(t, "the stalled step of the order", func() bool { return faults.Count() > stalled })
+		testsupport.WaitFor(t, "the stalled step of the order", func() bool { return faults.Count() > stalled })
 		stalled = faults.Count()
 		return p
 	}
@@ -39,10 +39,10 @@
 	p.stop(t)
 	p = startUntilStalled()
 	p.Process.Signal(syscall.SIGKILL)
-	standin.Await(t, "the exit of the program", p.done)
+	testsupport.Await(t, "the exit of the program", p.done)
 	p = startUntilStalled()
 	faults.Set()
-	standin.WaitFor(t, "the certificate", func() bool {
+	testsupport.WaitFor(t, "the certificate", func() bool {
 		c, err := tls.Dial("tcp", httpAddr, &tls.Config{RootCAs: ca.Roots(), ServerName: "search.example"})
 		if err == nil {
 			c.Close()
@@ -56,7 +56,7 @@
 	// The running appliance uses the challenge port: a second appliance fails with an error that names the field.
 	other := strings.NewReplacer(httpAddr, freeAddr(t), "console.sock", "other.sock").Replace(text)
 	second := start(t, nil, "serve", "--config", writeTemp(t, "other.toml", other))
-	if err := standin.Await(t, "the exit of the second process", second.done); err == nil ||
+	if err := testsupport.Await(t, "the exit of the second process", second.done); err == nil ||
 		!strings.Contains(second.output.String(), "acme.challenge: ") {
 		t.Errorf("second process: error %v, output %q", err, second.output)
 	}
@@ -69,12 +69,12 @@
 			t.Fatal(err)
 		}
 		p.Process.Signal(syscall.SIGHUP)
-		standin.WaitFor(t, "the reload", func() bool {
+		testsupport.WaitFor(t, "the reload", func() bool {
 			if c.want != "" {
 				return strings.Contains(p.output.String(), c.want)
 			}
 			shown := start(t, nil, "console", "--config", config, "certificate")
-			standin.Await(t, "the console", shown.done)
+			testsupport.Await(t, "the console", shown.done)
 			return strings.Contains(shown.output.String(), "of a file for ")
 		})
 	}
--- a/cmd/otterturn/crash_test.go
+++ b/cmd/otterturn/crash_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
-	"otterturn/internal/standin"
 	"otterturn/internal/state/snapshot"
 	"otterturn/internal/state/store"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
@@ -79,7 +79,7 @@
 func (c *uploadClients) session(conn net.Conn, path string) {
 	const maxOpen = 4
 	reply := func() (kind byte, id uint32, rest []byte, err error) {
-		conn.SetReadDeadline(time.Now().Add(standin.WaitTimeout))
+		conn.SetReadDeadline(time.Now().Add(testsupport.WaitTimeout))
 		var head [9]byte
 		if _, err := io.ReadFull(conn, head[:]); err != nil {
 			return 0, 0, nil, err
@@ -92,7 +92,7 @@
 	if _, _, _, err := reply(); err != nil {
 		return
 	}
-	conn.Write(standin.Command(3, 0, []byte(path), uint32(0x0a), uint32(0))) // SSH_FXF_WRITE | SSH_FXF_CREAT
+	conn.Write(testsupport.Command(3, 0, []byte(path), uint32(0x0a), uint32(0))) // SSH_FXF_WRITE | SSH_FXF_CREAT
 	kind, _, rest, err := reply()
 	if err != nil || kind != 102 {
 		return
@@ -101,7 +101,7 @@
 	open := map[uint32]bool{}
 	for id := uint32(1); ; {
 		for len(open) < maxOpen {
-			if _, err := conn.Write(standin.Command(6, id, handle, uint64(id%64)*crashWriteBytes, data)); err != nil {
+			if _, err := conn.Write(testsupport.Command(6, id, handle, uint64(id%64)*crashWriteBytes, data)); err != nil {
 				c.broken.Add(int64(len(open)))
 				return
 			}
@@ -192,7 +192,7 @@
 		}
 	}
 	limit := &bucketMeter{level: crashBurst, minLevel: crashBurst, at: time.Now()}
-	node := standin.NewFileServer(t)
+	node := testsupport.NewFileServer(t)
 	node.Before = func(op, path string) bool {
 		if op == "Write" && strings.HasPrefix(path, "/limited/") {
 			limit.draw(crashUnits)
@@ -243,7 +243,7 @@
 		lives := []time.Duration{30 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond}
 		time.Sleep(time.Duration(rand.Int64N(int64(lives[n%len(lives)]))))
 		p.Process.Signal(syscall.SIGKILL)
-		standin.Await(t, "the exit of the program", p.done)
+		testsupport.Await(t, "the exit of the program", p.done)
 		snap, err := store.Read(folder, false)
 		damage = ""
 		switch {
--- a/cmd/otterturn/descriptors_test.go
+++ b/cmd/otterturn/descriptors_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // Guards against idle clients that use up all file descriptors. Hundreds of clients connect while discovery is down, idle or with an
@@ -21,7 +21,7 @@
 	node := httpPeer(t, func(*http.Request) string { return "index data" })
 	list := fmt.Sprintf(`{"seq":42,"whole":true,"hosts":[{"host":"s","dial":%q,"site":"a","block":0,"health":"up","born_ms":0}]}`, node)
 	back := make(chan struct{})
-	discovery := standin.Peer(t, func(_ int, c net.Conn) {
+	discovery := testsupport.Peer(t, func(_ int, c net.Conn) {
 		for in := bufio.NewReader(c); ; {
 			if _, err := http.ReadRequest(in); err != nil {
 				return
@@ -53,7 +53,7 @@
 	}
 	close(back)
 	get := newGet(t, addr)
-	standin.WaitFor(t, "a served request", func() bool { status, _, _ := get(readPath, newRequestID()); return status == 200 })
+	testsupport.WaitFor(t, "a served request", func() bool { status, _, _ := get(readPath, newRequestID()); return status == 200 })
 	if text := p.output.String(); strings.Contains(text, "too many open files") {
 		t.Error(text)
 	}
--- a/cmd/otterturn/exit_test.go
+++ b/cmd/otterturn/exit_test.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"testing"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // Scripts distinguish kinds of failure by the exit status.
@@ -34,7 +34,7 @@
 		{0, []string{"state", "show", "--config", config}},
 	} {
 		ended := start(t, nil, c.args...)
-		got, err := 0, standin.Await(t, "the exit of the program", ended.done)
+		got, err := 0, testsupport.Await(t, "the exit of the program", ended.done)
 		if status := (*exec.ExitError)(nil); errors.As(err, &status) {
 			got = status.ExitCode()
 		}
@@ -44,7 +44,7 @@
 	}
 	p.stop(t)
 	ended := start(t, nil, "console", "--config", config, "status")
-	if status := (*exec.ExitError)(nil); !errors.As(standin.Await(t, "the exit", ended.done), &status) || status.ExitCode() != exitNotRunning {
+	if status := (*exec.ExitError)(nil); !errors.As(testsupport.Await(t, "the exit", ended.done), &status) || status.ExitCode() != exitNotRunning {
 		t.Errorf("console without an appliance: %s", ended.output)
 	}
 }
--- a/cmd/otterturn/fleet_input_test.go
+++ b/cmd/otterturn/fleet_input_test.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"testing"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // A front's peer address can receive any datagram from any sender. Invalid ones are dropped, counted and logged once per kind, and
@@ -45,7 +45,7 @@
 				s.relay.Inject(1, 0, []byte(c.text))
 			}
 		}
-		standin.WaitFor(t, fmt.Sprintf("the dropped messages of kind %d", kind), func() bool { return f.metric("health.dropped") >= before+each })
+		testsupport.WaitFor(t, fmt.Sprintf("the dropped messages of kind %d", kind), func() bool { return f.metric("health.dropped") >= before+each })
 		awaitLogLine(t, f.process, c.why)
 		if n := strings.Count(f.output.String(), c.why); n != 1 {
 			t.Errorf("%s was logged %d times", c.why, n)
@@ -118,7 +118,7 @@
 		{"/nowhere/fleet.toml", "RELAY_FLEET"},
 	} {
 		p := start(t, []string{"RELAY_CONFIG=" + config, "RELAY_FLEET=" + c.fleet})
-		err := standin.Await(t, "the exit of the program", p.done)
+		err := testsupport.Await(t, "the exit of the program", p.done)
 		exit, text := new(exec.ExitError), p.output.String()
 		if !errors.As(err, &exit) || exit.ExitCode() != exitInvalid || strings.Count(text, "\n") != 1 || !strings.Contains(text, c.says) {
 			t.Errorf("error %v, output %q, want %q", err, text, c.says)
--- a/cmd/otterturn/fleet_links_test.go
+++ b/cmd/otterturn/fleet_links_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // Messages are lost, duplicated and reordered, and one front receives nothing from another. The zone must still detect silent nodes
@@ -16,10 +16,10 @@
 	s := newFleetSite(t, fronts, healthy+1, writeFleetFile(t, fleetSettings, fronts))
 	for i := range fronts {
 		for j := range fronts {
-			s.relay.Datagrams(i, j).Set(standin.Faults{Loss: 0.3, Repeat: 0.3, Jitter: 60 * time.Millisecond})
+			s.relay.Datagrams(i, j).Set(testsupport.Faults{Loss: 0.3, Repeat: 0.3, Jitter: 60 * time.Millisecond})
 		}
 	}
-	s.relay.Datagrams(1, 2).Set(standin.Faults{Cut: true})
+	s.relay.Datagrams(1, 2).Set(testsupport.Faults{Cut: true})
 	for shard, node := range s.nodes[:healthy] {
 		node.setSilent(true)
 		for _, f := range s.fronts {
--- a/cmd/otterturn/fleet_nodes_test.go
+++ b/cmd/otterturn/fleet_nodes_test.go
@@ -11,7 +11,7 @@
 	"sync"
 	"testing"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // auditedNode is a storage node that counts the requests it receives per front. It has a separate address for each front.
@@ -29,7 +29,7 @@
 	n := &auditedNode{name: name}
 	n.resetCounts()
 	for front := range fronts {
-		n.addrs = append(n.addrs, standin.Peer(t, func(_ int, c net.Conn) { n.serve(front, c) }))
+		n.addrs = append(n.addrs, testsupport.Peer(t, func(_ int, c net.Conn) { n.serve(front, c) }))
 	}
 	return n
 }
--- a/cmd/otterturn/fleet_silence_test.go
+++ b/cmd/otterturn/fleet_silence_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // silenceCost is the cost of a silent node for the fleet.
@@ -26,7 +26,7 @@
 	began := time.Now()
 	first := s.fronts[0]
 	go first.ask(0)
-	standin.WaitFor(t, "the first front to avoid the node", func() bool { return first.metric("chunk_servers_excluded") == 1 })
+	testsupport.WaitFor(t, "the first front to avoid the node", func() bool { return first.metric("chunk_servers_excluded") == 1 })
 	awaitVerdict(s)
 	s.forEachFront(func(f *fleetFront) {
 		if status := f.ask(0); status == http.StatusOK {
@@ -51,11 +51,11 @@
 	shared := measureSilentNode(t, writeFleetFile(t, fleetSettings, fronts),
 		func(s *fleetSite) { awaitMetric(t, s.fronts, "health.condemned", 1) },
 		func(n *auditedNode) {
-			standin.WaitFor(t, "further probes", func() bool { return n.counts().probes > 3*probers })
+			testsupport.WaitFor(t, "further probes", func() bool { return n.counts().probes > 3*probers })
 		})
 	separate := measureSilentNode(t, "", func(*fleetSite) {},
 		func(n *auditedNode) {
-			standin.WaitFor(t, "probes of all fronts", func() bool { return len(n.counts().probing) == fronts })
+			testsupport.WaitFor(t, "probes of all fronts", func() bool { return len(n.counts().probing) == fronts })
 		})
 	t.Logf("shared: %d attempts, %d probes by fronts %v in %.1f s; separate: %d attempts, %d probes by fronts %v in %.1f s", shared.attempts, shared.probes,
 		shared.probing, shared.seconds, separate.attempts, separate.probes, separate.probing, separate.seconds)
@@ -82,7 +82,7 @@
 	awaitMetric(t, s.fronts, "health.condemned", 1)
 	node.resetCounts()
 	var probers []int
-	standin.WaitFor(t, "probes of two fronts", func() bool {
+	testsupport.WaitFor(t, "probes of two fronts", func() bool {
 		probers = node.counts().probing
 		return len(probers) >= 2
 	})
@@ -90,17 +90,17 @@
 	for _, f := range s.fronts {
 		if slices.Contains(probers, f.number) {
 			f.Process.Kill()
-			standin.Await(t, "the exit of a prober", f.done)
+			testsupport.Await(t, "the exit of a prober", f.done)
 			continue
 		}
 		remaining = append(remaining, f)
 	}
 	killed := time.Now()
 	node.resetCounts()
-	standin.WaitFor(t, "probes of others", func() bool { return node.counts().probes > 0 })
+	testsupport.WaitFor(t, "probes of others", func() bool { return node.counts().probes > 0 })
 	tookOver := secondsSince(killed)
 	// Evidence from the killed probers expires after 8 s. From then on the verdict depends on the other fronts' evidence.
-	standin.WaitFor(t, "the expiry of the killed probers' evidence", func() bool { return secondsSince(killed) > 9 })
+	testsupport.WaitFor(t, "the expiry of the killed probers' evidence", func() bool { return secondsSince(killed) > 9 })
 	seen := node.counts()
 	t.Logf("probers %v were killed; others took over in %.1f s, with %d probes by fronts %v in %.1f s",
 		probers, tookOver, seen.probes, seen.probing, secondsSince(killed))
--- a/cmd/otterturn/fleet_site_test.go
+++ b/cmd/otterturn/fleet_site_test.go
@@ -14,13 +14,13 @@
 	"testing"
 	"time"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // fleetSite is a set of fronts, each a process of the program, and of nodes. A relay carries all traffic between them.
 type fleetSite struct {
 	t      *testing.T
-	relay  *standin.Relay
+	relay  *testsupport.Relay
 	nodes  []*auditedNode // by shard
 	fronts []*fleetFront
 }
@@ -31,9 +31,9 @@
 	t             *testing.T
 	number        int
 	addr, control string
-	listen        netip.AddrPort  // for messages of other fronts
-	config        string          // path of its configuration
-	pipes         []*standin.Pipe // by node
+	listen        netip.AddrPort      // for messages of other fronts
+	config        string              // path of its configuration
+	pipes         []*testsupport.Pipe // by node
 	client        *http.Client
 }
 
@@ -71,7 +71,7 @@
 // once each front has served a request from each node.
 func newFleetSite(t *testing.T, fronts, nodes int, fleetFile string) *fleetSite {
 	t.Helper()
-	s := &fleetSite{t: t, relay: standin.NewRelay(t, rand.Uint64())}
+	s := &fleetSite{t: t, relay: testsupport.NewRelay(t, rand.Uint64())}
 	for i := range nodes {
 		s.nodes = append(s.nodes, newAuditedNode(t, fmt.Sprint("s-", i), fronts))
 	}
@@ -86,7 +86,7 @@
 	}
 	peers := s.relay.Mesh(listens)
 	for i := range fronts {
-		clients, control := standin.Listen(t), standin.Listen(t)
+		clients, control := testsupport.Listen(t), testsupport.Listen(t)
 		reserved = append(reserved, clients, control)
 		f := &fleetFront{number: i, listen: listens[i], addr: clients.Addr().String(), control: control.Addr().String()}
 		s.configure(f, peers[i])
@@ -133,7 +133,7 @@
 // configure writes a front's configuration, in which all nodes and peers are reached through the relay.
 func (s *fleetSite) configure(f *fleetFront, peers []netip.AddrPort) {
 	s.t.Helper()
-	f.t, f.client = s.t, &http.Client{Timeout: standin.WaitTimeout, Transport: &http.Transport{}}
+	f.t, f.client = s.t, &http.Client{Timeout: testsupport.WaitTimeout, Transport: &http.Transport{}}
 	var hosts, peerNames []string
 	for shard, n := range s.nodes {
 		pipe := s.relay.Pipe(n.addrs[f.number])
@@ -193,7 +193,7 @@
 			f.t.Logf("front %d, shard %d: answers %v", f.number, shard, statuses)
 		}
 	}()
-	standin.WaitFor(f.t, fmt.Sprintf("a request for shard %d served by front %d", shard, f.number), func() bool {
+	testsupport.WaitFor(f.t, fmt.Sprintf("a request for shard %d served by front %d", shard, f.number), func() bool {
 		statuses = append(statuses, f.ask(shard))
 		return statuses[len(statuses)-1] == http.StatusOK
 	})
@@ -217,7 +217,7 @@
 func awaitMetric(t *testing.T, fronts []*fleetFront, name string, want int) {
 	t.Helper()
 	for _, f := range fronts {
-		standin.WaitFor(t, fmt.Sprintf("metric %s = %d on front %d", name, want, f.number), func() bool { return f.metric(name) == want })
+		testsupport.WaitFor(t, fmt.Sprintf("metric %s = %d on front %d", name, want, f.number), func() bool { return f.metric(name) == want })
 	}
 }
 
--- a/cmd/otterturn/fleet_view_test.go
+++ b/cmd/otterturn/fleet_view_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // replace replaces old in text, and panics if old is missing.
@@ -30,7 +30,7 @@
 	go s.fronts[0].ask(0)
 	awaitMetric(t, s.fronts, "health.condemned", 1)
 	var probing []int
-	standin.WaitFor(t, "probes of the probers", func() bool {
+	testsupport.WaitFor(t, "probes of the probers", func() bool {
 		probing = node.counts().probing
 		return len(probing) >= probers
 	})
@@ -47,21 +47,21 @@
 			others = append(others, f)
 		}
 	}
-	cutOff.pipes[0].Set(standin.Faults{Cut: true})
-	standin.WaitFor(t, "the front that is cut off to avoid the node", func() bool { // one timeout may not suffice
+	cutOff.pipes[0].Set(testsupport.Faults{Cut: true})
+	testsupport.WaitFor(t, "the front that is cut off to avoid the node", func() bool { // one timeout may not suffice
 		cutOff.ask(0)
 		return cutOff.metric("chunk_servers_excluded") == 1
 	})
-	standin.WaitFor(t, "probes of the other probers", func() bool { return len(node.counts().probing) >= probers-1 })
+	testsupport.WaitFor(t, "probes of the other probers", func() bool { return len(node.counts().probing) >= probers-1 })
 	sent := cutOff.metric("health.probes")
-	standin.WaitFor(t, "three further probes of the front that is cut off", func() bool { return cutOff.metric("health.probes") >= sent+3 })
+	testsupport.WaitFor(t, "three further probes of the front that is cut off", func() bool { return cutOff.metric("health.probes") >= sent+3 })
 	for _, f := range others {
 		if n := f.verdictCount() - verdicts[f]; n != 0 || f.metric("chunk_servers_excluded") != 0 {
 			t.Errorf("front %d avoids the node on the report of front %d only (%d verdicts)", f.number, cutOff.number, n)
 		}
 		f.awaitServed(0)
 	}
-	cutOff.pipes[0].Set(standin.Faults{})
+	cutOff.pipes[0].Set(testsupport.Faults{})
 	cutOff.awaitServed(0)
 }
 
@@ -70,7 +70,7 @@
 	s := newFleetSite(t, 6, 1, writeFleetFile(t, fleetSettings, 3, 3))
 	isolated, connected := s.fronts[:3], s.fronts[3:]
 	for _, f := range isolated {
-		f.pipes[0].Set(standin.Faults{Cut: true})
+		f.pipes[0].Set(testsupport.Faults{Cut: true})
 	}
 	go isolated[0].ask(0)
 	awaitMetric(t, isolated, "health.condemned", 1)
@@ -85,7 +85,7 @@
 		}
 	}
 	for _, f := range isolated {
-		f.pipes[0].Set(standin.Faults{})
+		f.pipes[0].Set(testsupport.Faults{})
 	}
 	awaitMetric(t, isolated, "health.condemned", 0)
 	for _, f := range isolated {
@@ -118,7 +118,7 @@
 			}
 		}
 		stopped := time.Now()
-		standin.WaitFor(t, "two seconds of service by the other fronts", func() bool {
+		testsupport.WaitFor(t, "two seconds of service by the other fronts", func() bool {
 			for _, f := range others {
 				if status := f.ask(1); status != http.StatusOK {
 					t.Errorf("front %d: status %d while others are suspended", f.number, status)
--- a/cmd/otterturn/learned_test.go
+++ b/cmd/otterturn/learned_test.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"testing"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // learningConfig writes the operator's file of an appliance that saves its learned state. addr is the appliance's SFTP address.
@@ -25,17 +25,17 @@
 
 func awaitOutput(t *testing.T, p *process, text string) {
 	t.Helper()
-	standin.WaitFor(t, fmt.Sprintf("%q in the log", text), func() bool { return strings.Contains(p.output.String(), text) })
+	testsupport.WaitFor(t, fmt.Sprintf("%q in the log", text), func() bool { return strings.Contains(p.output.String(), text) })
 }
 
 // Learned state survives SIGKILL and a graceful shutdown. It can be shown and removed on a running and on a stopped appliance. Only
 // one process at a time uses its folder.
 func TestLearnedStateSurvivesRestart(t *testing.T) {
-	node := standin.NewFileServer(t)
+	node := testsupport.NewFileServer(t)
 	config, folder, addr := learningConfig(t, node.Addr)
 	run := func(args ...string) (string, error) {
 		c := start(t, nil, append([]string{args[0], "--config", config}, args[1:]...)...)
-		err := standin.Await(t, "the exit of "+args[0], c.done)
+		err := testsupport.Await(t, "the exit of "+args[0], c.done)
 		return c.output.String(), err
 	}
 	if text, err := run("state", "show"); err == nil {
@@ -66,13 +66,13 @@
 		}
 	}
 	second := start(t, nil, "serve", "--config", config)
-	if err := standin.Await(t, "the exit of the second process", second.done); err == nil ||
+	if err := testsupport.Await(t, "the exit of the second process", second.done); err == nil ||
 		!strings.Contains(second.output.String(), "another process uses the folder") {
 		t.Errorf("second process with the same folder: %v, %q", err, second.output)
 	}
 
 	p.Process.Signal(syscall.SIGKILL)
-	standin.Await(t, "the exit of the program", p.done)
+	testsupport.Await(t, "the exit of the program", p.done)
 	p = start(t, nil, "serve", "--config", config)
 	awaitOutput(t, p, servingMessage)
 	if text := p.output.String(); !strings.Contains(text, "learned state restored") || !strings.Contains(text, `"node drain restored","node":"node-a"`) {
--- a/cmd/otterturn/log_test.go
+++ b/cmd/otterturn/log_test.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // Guards against requests lost while the log cannot be written: a log line written before the shutdown blocked the whole shutdown.
@@ -27,7 +27,7 @@
 	fillPipe(t, log)
 	clients := &eagerClients{wait: deadline}
 	clients.start(t, s.addr, shutdownClients)
-	standin.WaitFor(t, "answers", func() bool { clients.mu.Lock(); defer clients.mu.Unlock(); return clients.answered > 0 })
+	testsupport.WaitFor(t, "answers", func() bool { clients.mu.Lock(); defer clients.mu.Unlock(); return clients.answered > 0 })
 	clients.stopUnderLoad(t, p, deadline, syscall.SIGTERM)
 }
 
@@ -60,7 +60,7 @@
 	log.Close()
 	read.Close()
 	p.Process.Signal(syscall.SIGHUP) // the reload writes a log line
-	standin.WaitFor(t, "the reload", func() bool { return metricValue(t, s.control, "svc.reloads_ok") == 1 })
-	standin.WaitFor(t, "a dropped log line", func() bool { return metricValue(t, s.control, "svc.log_lines_dropped") > 0 })
+	testsupport.WaitFor(t, "the reload", func() bool { return metricValue(t, s.control, "svc.reloads_ok") == 1 })
+	testsupport.WaitFor(t, "a dropped log line", func() bool { return metricValue(t, s.control, "svc.log_lines_dropped") > 0 })
 	p.stop(t)
 }
--- a/cmd/otterturn/main_test.go
+++ b/cmd/otterturn/main_test.go
@@ -17,7 +17,7 @@
 
 	"otterturn/internal/lab/authority"
 	"otterturn/internal/lab/faults"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // TestMain runs the program itself when OTTERTURN_TEST_RUN is set, so that the tests can start it from the test binary.
@@ -50,7 +50,7 @@
 
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	l := standin.Listen(t)
+	l := testsupport.Listen(t)
 	defer l.Close()
 	return l.Addr().String()
 }
@@ -66,7 +66,7 @@
 
 // httpPeer starts a server that answers requests with the text that answer returns; it does not answer if the text is empty.
 func httpPeer(t *testing.T, answer func(r *http.Request) string) string {
-	return standin.Peer(t, func(_ int, c net.Conn) {
+	return testsupport.Peer(t, func(_ int, c net.Conn) {
 		for in := bufio.NewReader(c); ; {
 			r, err := http.ReadRequest(in)
 			if err != nil {
@@ -102,7 +102,7 @@
 // newGet returns a function that sends a GET request to the front and returns the answer's status and body, and whether the answer
 // closes the connection.
 func newGet(t *testing.T, addr string) func(path, id string) (int, string, bool) {
-	client := &http.Client{Timeout: standin.WaitTimeout, Transport: &http.Transport{}}
+	client := &http.Client{Timeout: testsupport.WaitTimeout, Transport: &http.Transport{}}
 	return func(path, id string) (int, string, bool) {
 		r, err := http.NewRequest(http.MethodGet, "http://"+addr+path, nil)
 		if err != nil {
@@ -139,19 +139,19 @@
 	addr := freeAddr(t)
 	p := start(t, []string{"RELAY_CONFIG=" + writeTemp(t, "config.json", fmt.Sprintf(platformConfig, addr, discovery))})
 	get := newGet(t, addr)
-	standin.WaitFor(t, "readiness", func() bool { status, _, _ := get("/ready", ""); return status == 200 })
-	standin.WaitFor(t, "a served request", func() bool {
+	testsupport.WaitFor(t, "readiness", func() bool { status, _, _ := get("/ready", ""); return status == 200 })
+	testsupport.WaitFor(t, "a served request", func() bool {
 		status, body, _ := get("/read/00000000000000aa/00000000000000bb", fmt.Sprint("id-", time.Now().UnixNano()))
 		return status == 200 && body == "index data"
 	})
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	standin.WaitFor(t, "an answer that closes its connection", func() bool {
+	testsupport.WaitFor(t, "an answer that closes its connection", func() bool {
 		status, _, ends := get("/read/00000000000000aa/00000000000000bb", fmt.Sprint("id-", time.Now().UnixNano()))
 		return status == 200 && ends
 	})
-	if err := standin.Await(t, "the exit of the program", p.done); err != nil {
+	if err := testsupport.Await(t, "the exit of the program", p.done); err != nil {
 		t.Errorf("exited with %v:\n%s", err, p.output)
 	}
 }
@@ -190,14 +190,14 @@
 		} else {
 			p = start(t, []string{"RELAY_CONFIG=" + writeTemp(t, "config.json", strings.Replace(platform, c.old, c.with, 1))})
 		}
-		err := standin.Await(t, "the exit of the program", p.done)
+		err := testsupport.Await(t, "the exit of the program", p.done)
 		text := p.output.String()
 		if exit := new(exec.ExitError); !errors.As(err, &exit) || strings.Count(text, "\n") != 1 || !strings.Contains(text, c.field) {
 			t.Errorf("%s instead of %s: error %v, output %q", c.with, c.old, err, text)
 		}
 	}
 	p := start(t, nil, "serve", "--config", "../../deploy/missing.toml")
-	if err := standin.Await(t, "the exit of the program", p.done); err == nil {
+	if err := testsupport.Await(t, "the exit of the program", p.done); err == nil {
 		t.Error("a missing configuration file was accepted")
 	}
 }
--- a/cmd/otterturn/openssh_test.go
+++ b/cmd/otterturn/openssh_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/pkg/sftp"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // Guards against incomplete uploads that the client takes for complete. OpenSSH's client has up to 64 writes open and keeps only
@@ -26,7 +26,7 @@
 	if _, err := exec.LookPath("sftp"); err != nil {
 		t.Skip("no OpenSSH client on this machine")
 	}
-	node := standin.NewFileServer(t)
+	node := testsupport.NewFileServer(t)
 	var busy sync.Mutex
 	node.Before = func(op, _ string) bool {
 		if op == "Write" {
@@ -41,7 +41,7 @@
 		fmt.Sprintf(filesOnly, addr, filepath.Join(dir, "console.sock"), node.Addr), `wait = "5s"`, `wait = "2s"`))
 	p := start(t, nil, "serve", "--config", config)
 	defer p.stop(t)
-	standin.WaitFor(t, "the front to accept connections", func() bool {
+	testsupport.WaitFor(t, "the front to accept connections", func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			c.Close()
--- a/cmd/otterturn/operators_test.go
+++ b/cmd/otterturn/operators_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // site is a platform front with one node. The test holds the client listening socket, as the platform does.
@@ -32,7 +32,7 @@
 		}
 		return list
 	})
-	l := standin.Listen(t)
+	l := testsupport.Listen(t)
 	file, err := l.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp, err := (&http.Client{Timeout: standin.WaitTimeout}).Do(r)
+	resp, err := (&http.Client{Timeout: testsupport.WaitTimeout}).Do(r)
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -73,13 +73,13 @@
 
 func awaitHealthy(t *testing.T, control string) {
 	t.Helper()
-	standin.WaitFor(t, "the health check", func() bool { status, _ := operatorCall(t, "GET", control, "/healthcheck"); return status == 200 })
+	testsupport.WaitFor(t, "the health check", func() bool { status, _ := operatorCall(t, "GET", control, "/healthcheck"); return status == 200 })
 }
 
 func (s *site) awaitMetricLine(t *testing.T, line string) {
 	t.Helper()
 	var text string
-	standin.WaitFor(t, line, func() bool {
+	testsupport.WaitFor(t, line, func() bool {
 		_, text = operatorCall(t, "GET", s.control, "/stats")
 		return strings.Contains("\n"+text, "\n"+line+"\n")
 	})
@@ -103,7 +103,7 @@
 		defer c.Close()
 		fmt.Fprint(c, "GET /stats HTTP/1.1\r\n")
 	}
-	standin.WaitFor(t, "a served request", func() bool { status, _, _ := s.get(readPath, newRequestID()); return status == 200 })
+	testsupport.WaitFor(t, "a served request", func() bool { status, _, _ := s.get(readPath, newRequestID()); return status == 200 })
 	s.awaitMetricLine(t, "svc.chunk_servers_known:1|g")
 	s.awaitMetricLine(t, "svc.chunk_servers_excluded:0|g")
 	for _, c := range []struct {
@@ -121,7 +121,7 @@
 	if status, _ := operatorCall(t, "POST", s.control, "/chunk-servers/s/ready"); status != 200 {
 		t.Errorf("readmitting the node: status %d", status)
 	}
-	standin.WaitFor(t, "a served request", func() bool { status, _, _ := s.get(readPath, newRequestID()); return status == 200 })
+	testsupport.WaitFor(t, "a served request", func() bool { status, _, _ := s.get(readPath, newRequestID()); return status == 200 })
 	s.awaitMetricLine(t, "svc.served.read:2|c")
 	s.awaitMetricLine(t, "svc.attempts:2|c")
 	s.awaitMetricLine(t, "svc.in_flight:0|g")
@@ -159,14 +159,14 @@
 		s.awaitMetricLine(t, fmt.Sprintf("svc.reloads_failed:%d|c", i+1))
 		awaitLogLine(t, p, c.says) // logged after the metric is incremented
 	}
-	standin.WaitFor(t, "a served request", func() bool { status, _, _ := s.get(readPath, newRequestID()); return status == 200 })
+	testsupport.WaitFor(t, "a served request", func() bool { status, _, _ := s.get(readPath, newRequestID()); return status == 200 })
 	reload(strings.Replace(string(former), `"classes":[`, `"classes":[{"name":"index","aimUs":300000,"giveUpUs":5000000,"semantics":"retryable","credit":1},`, 1))
 	s.awaitMetricLine(t, "svc.reloads_ok:1|c")
 	s.awaitMetricLine(t, "svc.served.index:0|c")
 	s.awaitMetricLine(t, "svc.served.read:1|c")
 	reload(strings.Replace(string(former), `"name":"read"`, `"name":"index"`, 1))
 	s.awaitMetricLine(t, "svc.reloads_ok:2|c")
-	standin.WaitFor(t, "the removal of a class", func() bool { status, _, _ := s.get(readPath, newRequestID()); return status == 404 })
+	testsupport.WaitFor(t, "the removal of a class", func() bool { status, _, _ := s.get(readPath, newRequestID()); return status == 404 })
 	p.stop(t)
 }
 
@@ -175,7 +175,7 @@
 	s := newSite(t)
 	for _, fd := range []string{"x", "1", "77"} {
 		p := s.start(t, freeAddr(t), "RELAY_ACCEPT_FD="+fd)
-		if err := standin.Await(t, "the exit of the program", p.done); err == nil || !strings.Contains(p.output.String(), "RELAY_ACCEPT_FD") {
+		if err := testsupport.Await(t, "the exit of the program", p.done); err == nil || !strings.Contains(p.output.String(), "RELAY_ACCEPT_FD") {
 			t.Errorf("%q: %v, %s", fd, err, p.output)
 		}
 	}
--- a/cmd/otterturn/process_test.go
+++ b/cmd/otterturn/process_test.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"testing"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // process is a running otterturn program.
@@ -64,7 +64,7 @@
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := standin.Await(t, "the exit of the program", p.done); err != nil {
+	if err := testsupport.Await(t, "the exit of the program", p.done); err != nil {
 		t.Errorf("exited with %v:\n%s", err, p.output)
 	}
 }
--- a/cmd/otterturn/reload_test.go
+++ b/cmd/otterturn/reload_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // Guards against a program that ends at SIGHUP. The signal switches to the discovery address in the reloaded file, whose versions
@@ -36,7 +36,7 @@
 	get := newGet(t, addr)
 	served := func(by string) {
 		t.Helper()
-		standin.WaitFor(t, "an answer from the "+by+" node", func() bool {
+		testsupport.WaitFor(t, "an answer from the "+by+" node", func() bool {
 			status, body, _ := get("/read/00000000000000aa/00000000000000bb", fmt.Sprint("id-", time.Now().UnixNano()))
 			return status == 200 && body == by
 		})
@@ -51,17 +51,17 @@
 	}
 	served("old")
 	reload(`{"listen"`)
-	standin.WaitFor(t, "the log line for the invalid file", func() bool { return strings.Contains(p.output.String(), "reload failed, configuration unchanged") })
+	testsupport.WaitFor(t, "the log line for the invalid file", func() bool { return strings.Contains(p.output.String(), "reload failed, configuration unchanged") })
 	served("old")
 	reload(fmt.Sprintf(platformConfig, addr, second))
-	if query := standin.Await(t, "a call to the new discovery", calls); query != "" {
+	if query := testsupport.Await(t, "a call to the new discovery", calls); query != "" {
 		t.Errorf("the first query to the new discovery was %q, want a query for the whole list", query)
 	}
 	served("new")
 	for _, sig := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
 		p.Process.Signal(sig)
 	}
-	if err := standin.Await(t, "the exit of the program", p.done); err != nil {
+	if err := testsupport.Await(t, "the exit of the program", p.done); err != nil {
 		t.Errorf("exited with %v:\n%s", err, p.output)
 	}
 	if n := strings.Count(p.output.String(), "reload failed, configuration unchanged"); n != 1 {
--- a/cmd/otterturn/renewals_test.go
+++ b/cmd/otterturn/renewals_test.go
@@ -19,7 +19,7 @@
 	"github.com/pkg/sftp"
 
 	"otterturn/internal/lab/authority"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // renewalTally counts the results that clients saw.
@@ -55,7 +55,7 @@
 	const lifetime = 10 * time.Second
 	challenge, faults := freeAddr(t), &authority.Faults{}
 	ca := startAuthority(t, authority.Settings{Lifetime: lifetime, HTTP: challenge, Faults: faults})
-	node := standin.NewFileServer(t)
+	node := testsupport.NewFileServer(t)
 	if err := nodeSession(t, node.Addr).Mkdir("/riverside"); err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 		`try = "20s"`, `try = "500ms"`).Replace(text)
 	p := start(t, nil, "serve", "--config", writeTemp(t, "appliance.toml", text))
 	tlsConfig := &tls.Config{RootCAs: ca.Roots(), ServerName: "files.example"}
-	standin.WaitFor(t, "the first certificate", func() bool {
+	testsupport.WaitFor(t, "the first certificate", func() bool {
 		c, err := tls.Dial("tcp", httpAddr, tlsConfig)
 		if err == nil {
 			c.Close()
@@ -128,7 +128,7 @@
 	}
 	for i := range transfers - transfers/2 { // bulk reads, each on one connection for the whole test
 		all.Go(func() {
-			client := &http.Client{Timeout: standin.WaitTimeout, Transport: &http.Transport{TLSClientConfig: tlsConfig.Clone(), MaxConnsPerHost: 1}}
+			client := &http.Client{Timeout: testsupport.WaitTimeout, Transport: &http.Transport{TLSClientConfig: tlsConfig.Clone(), MaxConnsPerHost: 1}}
 			for n := 0; !stopped(); n++ {
 				r, err := http.NewRequest(http.MethodGet, "https://"+httpAddr+"/bulk-read/00000000000000aa/00000000000000bb", nil)
 				if err != nil {
@@ -159,7 +159,7 @@
 		all.Go(func() {
 			for !stopped() {
 				began := time.Now()
-				conn, err := tls.DialWithDialer(&net.Dialer{Timeout: standin.WaitTimeout}, "tcp", []string{httpAddr, sftpAddr}[i%2], tlsConfig)
+				conn, err := tls.DialWithDialer(&net.Dialer{Timeout: testsupport.WaitTimeout}, "tcp", []string{httpAddr, sftpAddr}[i%2], tlsConfig)
 				if err != nil {
 					var invalid *tls.CertificateVerificationError
 					if errors.As(err, &invalid) {
@@ -201,7 +201,7 @@
 		}
 		faults.Set(fault)
 		before := served()
-		standin.WaitFor(t, "the next certificate", func() bool {
+		testsupport.WaitFor(t, "the next certificate", func() bool {
 			now := served()
 			return now != "" && now != before
 		})
--- a/cmd/otterturn/resources_test.go
+++ b/cmd/otterturn/resources_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // fleetConfig returns the configuration of one front in a fleet of many fronts and as many nodes, none of which answers.
@@ -44,11 +44,11 @@
 func TestFrontResourcesByFleetSize(t *testing.T) {
 	rss := map[int]int{}
 	for _, size := range []int{10, 350, 1024} {
-		discovery := standin.Peer(t, func(_ int, c net.Conn) { c.Read(make([]byte, 1<<16)) }) // accepts the request and does not answer
+		discovery := testsupport.Peer(t, func(_ int, c net.Conn) { c.Read(make([]byte, 1<<16)) }) // accepts the request and does not answer
 		addr := freeAddr(t)
 		p := start(t, []string{"RELAY_CONFIG=" + writeTemp(t, "config.json", fleetConfig(t, addr, discovery, freePeerAddr(t), size))})
 		get := newGet(t, addr)
-		standin.WaitFor(t, "readiness", func() bool { status, _, _ := get("/ready", ""); return status == 200 })
+		testsupport.WaitFor(t, "readiness", func() bool { status, _, _ := get("/ready", ""); return status == 200 })
 		for i := range 2 { // for a node that does not answer
 			get("/read/00000000000000aa/00000000000000bb", fmt.Sprint("id-", i))
 		}
@@ -79,19 +79,19 @@
 // Signals may arrive while a front starts, before discovery or a node has answered. The front must still reload its configuration and
 // shut down gracefully.
 func TestSignalsBeforeDiscoveryAnswers(t *testing.T) {
-	discovery := standin.Peer(t, func(_ int, c net.Conn) { c.Read(make([]byte, 1<<16)) })
+	discovery := testsupport.Peer(t, func(_ int, c net.Conn) { c.Read(make([]byte, 1<<16)) })
 	for _, ready := range []bool{false, true} {
 		addr := freeAddr(t)
 		config := writeTemp(t, "config.json", fleetConfig(t, addr, discovery, freePeerAddr(t), 350))
 		p := start(t, []string{"RELAY_CONFIG=" + config})
-		standin.WaitFor(t, "the first log line", func() bool { return p.output.String() != "" })
+		testsupport.WaitFor(t, "the first log line", func() bool { return p.output.String() != "" })
 		if get := newGet(t, addr); ready {
-			standin.WaitFor(t, "readiness", func() bool { status, _, _ := get("/ready", ""); return status == 200 })
+			testsupport.WaitFor(t, "readiness", func() bool { status, _, _ := get("/ready", ""); return status == 200 })
 		}
 		for _, sig := range []os.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
 			p.Process.Signal(sig)
 		}
-		if err := standin.Await(t, "the exit of the program", p.done); err != nil {
+		if err := testsupport.Await(t, "the exit of the program", p.done); err != nil {
 			t.Errorf("ready %v: exited with %v:\n%s", ready, err, p.output)
 		}
 	}
--- a/cmd/otterturn/shutdown_test.go
+++ b/cmd/otterturn/shutdown_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // The platform sends SIGKILL after SIGTERM. The time between them is the longest deadline of a class, at most killMaxDeadline, plus
@@ -73,7 +73,7 @@
 func (s *shutdownSite) awaitServing(t *testing.T) {
 	t.Helper()
 	awaitHealthy(t, s.control)
-	standin.WaitFor(t, "the node on the endpoint list", func() bool {
+	testsupport.WaitFor(t, "the node on the endpoint list", func() bool {
 		_, text := operatorCall(t, "GET", s.control, "/stats")
 		return strings.Contains(text, "svc.chunk_servers_known:1|g")
 	})
@@ -108,7 +108,7 @@
 	before, after := dialFront(t, s.addr), dialFront(t, s.addr)
 	put := requestHead("PUT", 10, deadline)
 	io.WriteString(before, put+"12345")
-	standin.WaitFor(t, "the beginning of a request", func() bool { return metricValue(t, s.control, "svc.in_flight") >= 0 })
+	testsupport.WaitFor(t, "the beginning of a request", func() bool { return metricValue(t, s.control, "svc.in_flight") >= 0 })
 	began := time.Now()
 	p.Process.Signal(syscall.SIGTERM)
 	time.Sleep(100 * time.Millisecond) // the test needs a fixed time within the shutdown
@@ -123,7 +123,7 @@
 		}
 	}
 	p.Process.Kill()
-	standin.Await(t, "the exit of the program", p.done)
+	testsupport.Await(t, "the exit of the program", p.done)
 }
 
 func readAnswer(c net.Conn) (status int, err error) {
@@ -189,7 +189,7 @@
 			}
 			break
 		}
-		c.SetReadDeadline(time.Now().Add(standin.WaitTimeout))
+		c.SetReadDeadline(time.Now().Add(testsupport.WaitTimeout))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
 			return // the front closed the connection between two requests
@@ -220,7 +220,7 @@
 	e.mu.Unlock()
 	e.all.Wait()
 	p.Process.Kill()
-	standin.Await(t, "the exit of the program", p.done)
+	testsupport.Await(t, "the exit of the program", p.done)
 	if e.unanswered > 0 {
 		t.Errorf("%d requests had no answer at SIGKILL, %d were answered", e.unanswered, e.answered)
 	}
@@ -242,9 +242,9 @@
 		t.Fatal(err)
 	}
 	p.Process.Signal(syscall.SIGHUP)
-	standin.WaitFor(t, "the reload", func() bool { return metricValue(t, s.control, "svc.reloads_ok") == 1 })
+	testsupport.WaitFor(t, "the reload", func() bool { return metricValue(t, s.control, "svc.reloads_ok") == 1 })
 	clients := &eagerClients{wait: reloaded}
 	clients.start(t, s.addr, shutdownClients)
-	standin.WaitFor(t, "answers", func() bool { clients.mu.Lock(); defer clients.mu.Unlock(); return clients.answered > 0 })
+	testsupport.WaitFor(t, "answers", func() bool { clients.mu.Lock(); defer clients.mu.Unlock(); return clients.answered > 0 })
 	clients.stopUnderLoad(t, p, reloaded, syscall.SIGTERM)
 }
--- a/cmd/otterturn/upgrade_test.go
+++ b/cmd/otterturn/upgrade_test.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"testing"
 
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // clientConn is a client connection that stays open during upgrades.
@@ -67,7 +67,7 @@
 			t.Log(p.output)
 		}
 	}()
-	standin.WaitFor(t, what, func() bool { return strings.Contains(p.output.String(), what) })
+	testsupport.WaitFor(t, what, func() bool { return strings.Contains(p.output.String(), what) })
 }
 
 // During successive upgrades no client connection is closed, a node that an operator excluded stays excluded, a request id is accepted
@@ -79,7 +79,7 @@
 	clients := []*clientConn{s.connect(t), s.connect(t), s.connect(t)}
 	split := s.connect(t)
 	for _, c := range clients[:2] { // the third connection has not sent a request yet
-		standin.WaitFor(t, "a served request", func() bool { return c.request(t, newRequestID()) == 200 })
+		testsupport.WaitFor(t, "a served request", func() bool { return c.request(t, newRequestID()) == 200 })
 	}
 	usedID := newRequestID()
 	if got := clients[0].request(t, usedID); got != 200 {
@@ -138,7 +138,7 @@
 	predecessor := s.start(t, s.control)
 	awaitHealthy(t, s.control)
 	c := s.connect(t)
-	standin.WaitFor(t, "a served request", func() bool { return c.request(t, newRequestID()) == 200 })
+	testsupport.WaitFor(t, "a served request", func() bool { return c.request(t, newRequestID()) == 200 })
 	bad, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: filepath.Join(s.folder, "handover"), Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
@@ -156,14 +156,14 @@
 			t.Errorf("new client of the successor: status %d", got)
 		}
 		successor.Process.Kill()
-		standin.Await(t, "the exit of the successor", successor.done)
-		standin.WaitFor(t, "an answer of the predecessor to a new client", func() bool { return s.connect(t).request(t, newRequestID()) == 200 })
+		testsupport.Await(t, "the exit of the successor", successor.done)
+		testsupport.WaitFor(t, "an answer of the predecessor to a new client", func() bool { return s.connect(t).request(t, newRequestID()) == 200 })
 	}
 	control := freeAddr(t)
 	successor := s.start(t, control)
 	awaitHealthy(t, control)
 	predecessor.Process.Signal(syscall.SIGKILL)
-	standin.Await(t, "the exit of the predecessor", predecessor.done)
+	testsupport.Await(t, "the exit of the predecessor", predecessor.done)
 	if got := s.connect(t).request(t, newRequestID()); got != 200 {
 		t.Errorf("request after the predecessor was killed: status %d", got)
 	}
@@ -185,6 +185,6 @@
 	awaitLogLine(t, successor, "predecessor silent, limits suspended until it ends")
 	predecessor.Process.Kill()
 	awaitLogLine(t, successor, "predecessor ended, limits resumed")
-	standin.WaitFor(t, "a served request", func() bool { return s.connect(t).request(t, newRequestID()) == 200 })
+	testsupport.WaitFor(t, "a served request", func() bool { return s.connect(t).request(t, newRequestID()) == 200 })
 	successor.stop(t)
 }
--- a/internal/admission/gate/gate_test.go
+++ b/internal/admission/gate/gate_test.go
@@ -11,18 +11,18 @@
 
 	"otterturn/internal/admission"
 	"otterturn/internal/net/routing"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // Many concurrent calls: at most 8 requests are admitted at the same time, each one is admitted or rejected, and a request is
 // admitted at once afterwards.
 func TestConcurrentRequests(t *testing.T) {
-	g := New(admission.Config{MaxAdmitted: 8, MaxWaiting: 64, MaxRetryAfter: 1000}, standin.WaitTimeout)
+	g := New(admission.Config{MaxAdmitted: 8, MaxWaiting: 64, MaxRetryAfter: 1000}, testsupport.WaitTimeout)
 	var admitted, maxAdmitted, served, rejected atomic.Int64
 	var callers sync.WaitGroup
 	for i := range 5000 {
 		callers.Go(func() {
-			release, err := g.Acquire(t.Context(), fmt.Sprint(i%100), fmt.Sprint(i), 1, 1, standin.WaitTimeout)
+			release, err := g.Acquire(t.Context(), fmt.Sprint(i%100), fmt.Sprint(i), 1, 1, testsupport.WaitTimeout)
 			if err != nil {
 				rejected.Add(1)
 				return
@@ -48,7 +48,7 @@
 }
 
 func TestWaitEndsByTimeoutDisconnectOrAdmission(t *testing.T) {
-	g := New(admission.Config{MaxAdmitted: 1, MaxWaiting: 4, MaxRetryAfter: 5_000_000}, standin.WaitTimeout)
+	g := New(admission.Config{MaxAdmitted: 1, MaxWaiting: 4, MaxRetryAfter: 5_000_000}, testsupport.WaitTimeout)
 	release, err := g.Acquire(t.Context(), "a", "", 1, 1, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -61,24 +61,24 @@
 	ctx, end := context.WithCancelCause(t.Context())
 	done := make(chan error, 2)
 	go func() {
-		_, err := g.Acquire(ctx, "c", "", 1, 1, standin.WaitTimeout)
+		_, err := g.Acquire(ctx, "c", "", 1, 1, testsupport.WaitTimeout)
 		done <- err
 	}()
-	standin.WaitFor(t, "a waiting request", func() bool { return g.Waiting() == 1 })
+	testsupport.WaitFor(t, "a waiting request", func() bool { return g.Waiting() == 1 })
 	end(disconnected)
-	if err := standin.Await(t, "the end of a request whose client disconnected", done); !errors.Is(err, disconnected) || g.Waiting() != 0 {
+	if err := testsupport.Await(t, "the end of a request whose client disconnected", done); !errors.Is(err, disconnected) || g.Waiting() != 0 {
 		t.Errorf("request whose client disconnected: error %v, want client disconnected; %d waiting, want 0", err, g.Waiting())
 	}
 	go func() {
-		releaseNext, err := g.Acquire(t.Context(), "d", "", 1, 1, standin.WaitTimeout)
+		releaseNext, err := g.Acquire(t.Context(), "d", "", 1, 1, testsupport.WaitTimeout)
 		if err == nil {
 			releaseNext()
 		}
 		done <- err
 	}()
-	standin.WaitFor(t, "a waiting request", func() bool { return g.Waiting() == 1 })
+	testsupport.WaitFor(t, "a waiting request", func() bool { return g.Waiting() == 1 })
 	release()
-	if err := standin.Await(t, "the admission of the waiting request", done); err != nil {
+	if err := testsupport.Await(t, "the admission of the waiting request", done); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/certs/vault/vault.go
+++ b/internal/certs/certstore/certstore.go
@@ -1,6 +1,6 @@
-// Package vault stores account keys, certificates with their keys, and pending orders in a folder that only its owner
+// Package certstore stores account keys, certificates with their keys, and pending orders in a folder that only its owner
 // can read. Files are replaced atomically. A damaged file is renamed and never used.
-package vault
+package certstore
 
 import (
 	"crypto"
@@ -26,8 +26,8 @@
 // ErrDamaged is returned for a file without usable content.
 var ErrDamaged = errors.New("damaged")
 
-// Vault is a folder of keys, certificates and orders. Several processes may read it; only one at a time renews.
-type Vault struct {
+// Store is a folder of keys, certificates and orders. Several processes may read it; only one at a time renews.
+type Store struct {
 	folder     string
 	writeFault func(name string) error // for tests: an error returned here makes the write fail
 }
@@ -41,7 +41,7 @@
 }
 
 // Open opens a folder and creates it if it does not exist.
-func Open(folder string) (*Vault, error) {
+func Open(folder string) (*Store, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, fmt.Errorf("create the certificate folder: %w", err)
 	}
@@ -52,14 +52,14 @@
 	if info.Mode().Perm()&0o077 != 0 {
 		return nil, fmt.Errorf("%s holds keys and others may read it: chmod 700 it", folder)
 	}
-	return &Vault{folder: folder, writeFault: func(string) error { return nil }}, nil
+	return &Store{folder: folder, writeFault: func(string) error { return nil }}, nil
 }
 
-func (v *Vault) path(name string) string { return filepath.Join(v.folder, name) }
+func (s *Store) path(name string) string { return filepath.Join(s.folder, name) }
 
 // Lock takes the lock for renewing and returns its release. It returns ErrLocked if another process holds it.
-func (v *Vault) Lock() (release func(), err error) {
-	f, err := os.OpenFile(v.path("lock"), os.O_CREATE|os.O_RDWR, 0o600)
+func (s *Store) Lock() (release func(), err error) {
+	f, err := os.OpenFile(s.path("lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("lock the certificate folder: %w", err)
 	}
@@ -74,30 +74,30 @@
 }
 
 // write replaces a file atomically, and syncs the file and the folder.
-func (v *Vault) write(name string, content []byte) error {
-	err := v.writeFault(name)
+func (s *Store) write(name string, content []byte) error {
+	err := s.writeFault(name)
 	if err == nil {
-		err = renameio.WriteFile(v.path(name), content, 0o600, renameio.WithTempDir(v.folder))
+		err = renameio.WriteFile(s.path(name), content, 0o600, renameio.WithTempDir(s.folder))
 	}
 	if err == nil {
 		var d *os.File
-		if d, err = os.Open(v.folder); err == nil {
+		if d, err = os.Open(s.folder); err == nil {
 			err = errors.Join(d.Sync(), d.Close())
 		}
 	}
 	if err != nil {
-		return fmt.Errorf("write %s: %w", v.path(name), err)
+		return fmt.Errorf("write %s: %w", s.path(name), err)
 	}
 	return nil
 }
 
 // renameDamaged renames a damaged file so that it is not read again. It returns an error that wraps ErrDamaged.
-func (v *Vault) renameDamaged(name string, cause error) error {
+func (s *Store) renameDamaged(name string, cause error) error {
 	newName := name + ".aside." + time.Now().UTC().Format("20060102T150405.000000000")
-	if err := os.Rename(v.path(name), v.path(newName)); err != nil {
-		return fmt.Errorf("%s is %w: %w; it can't be set aside: %w", v.path(name), ErrDamaged, cause, err)
+	if err := os.Rename(s.path(name), s.path(newName)); err != nil {
+		return fmt.Errorf("%s is %w: %w; it can't be set aside: %w", s.path(name), ErrDamaged, cause, err)
 	}
-	return fmt.Errorf("%s is %w: %w; it is kept as %s", v.path(name), ErrDamaged, cause, newName)
+	return fmt.Errorf("%s is %w: %w; it is kept as %s", s.path(name), ErrDamaged, cause, newName)
 }
 
 // accountName, certName and orderName return file names. The names of authorities and certificates contain only letters,
@@ -107,30 +107,30 @@
 func orderName(name string) string        { return "order-" + name + ".json" }
 
 // Account returns the key of the account at an authority, or fs.ErrNotExist if there is none.
-func (v *Vault) Account(authority string) (crypto.Signer, error) {
+func (s *Store) Account(authority string) (crypto.Signer, error) {
 	name := accountName(authority)
-	content, err := os.ReadFile(v.path(name))
+	content, err := os.ReadFile(s.path(name))
 	if err != nil {
 		return nil, err
 	}
 	block, _ := pem.Decode(content)
 	if block == nil {
-		return nil, v.renameDamaged(name, errors.New("it holds no key"))
+		return nil, s.renameDamaged(name, errors.New("it holds no key"))
 	}
 	key, err := ParseKey(block.Bytes)
 	if err != nil {
-		return nil, v.renameDamaged(name, err)
+		return nil, s.renameDamaged(name, err)
 	}
 	return key, nil
 }
 
 // SaveAccount stores an account's key.
-func (v *Vault) SaveAccount(authority string, key crypto.Signer) error {
+func (s *Store) SaveAccount(authority string, key crypto.Signer) error {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return err
 	}
-	return v.write(accountName(authority), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}))
+	return s.write(accountName(authority), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}))
 }
 
 // ParseKey parses an ECDSA key in PKCS #8 form.
@@ -147,21 +147,21 @@
 }
 
 // Certificate returns a certificate with its key, or fs.ErrNotExist if there is none.
-func (v *Vault) Certificate(name string) (*tls.Certificate, error) {
+func (s *Store) Certificate(name string) (*tls.Certificate, error) {
 	file := certName(name)
-	content, err := os.ReadFile(v.path(file))
+	content, err := os.ReadFile(s.path(file))
 	if err != nil {
 		return nil, err
 	}
 	cert, err := tls.X509KeyPair(content, content) // fails if the key does not match the certificate
 	if err != nil {
-		return nil, v.renameDamaged(file, err)
+		return nil, s.renameDamaged(file, err)
 	}
 	return &cert, nil
 }
 
 // SaveCertificate stores a certificate with its key.
-func (v *Vault) SaveCertificate(name string, cert *tls.Certificate) error {
+func (s *Store) SaveCertificate(name string, cert *tls.Certificate) error {
 	der, err := x509.MarshalPKCS8PrivateKey(cert.PrivateKey)
 	if err != nil {
 		return err
@@ -170,38 +170,38 @@
 	for _, c := range cert.Certificate {
 		content = append(content, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c})...)
 	}
-	return v.write(certName(name), content)
+	return s.write(certName(name), content)
 }
 
 // Order returns the pending order for a certificate, or fs.ErrNotExist if there is none.
-func (v *Vault) Order(name string) (Order, error) {
+func (s *Store) Order(name string) (Order, error) {
 	file := orderName(name)
-	content, err := os.ReadFile(v.path(file))
+	content, err := os.ReadFile(s.path(file))
 	if err != nil {
 		return Order{}, err
 	}
 	var o Order
 	if err := json.Unmarshal(content, &o); err != nil {
-		return Order{}, v.renameDamaged(file, err)
+		return Order{}, s.renameDamaged(file, err)
 	}
 	if _, err := ParseKey(o.Key); err != nil {
-		return Order{}, v.renameDamaged(file, err)
+		return Order{}, s.renameDamaged(file, err)
 	}
 	return o, nil
 }
 
 // SaveOrder stores a pending order.
-func (v *Vault) SaveOrder(name string, o Order) error {
+func (s *Store) SaveOrder(name string, o Order) error {
 	content, err := json.Marshal(o)
 	if err != nil {
 		return err
 	}
-	return v.write(orderName(name), content)
+	return s.write(orderName(name), content)
 }
 
 // DeleteOrder deletes an order. It is no error if there is none.
-func (v *Vault) DeleteOrder(name string) error {
-	if err := os.Remove(v.path(orderName(name))); err != nil && !errors.Is(err, fs.ErrNotExist) {
+func (s *Store) DeleteOrder(name string) error {
+	if err := os.Remove(s.path(orderName(name))); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	return nil
--- a/internal/certs/vault/vault_test.go
+++ b/internal/certs/certstore/certstore_test.go
@@ -1,4 +1,4 @@
-package vault
+package certstore
 
 import (
 	"crypto/ecdsa"
@@ -16,70 +16,70 @@
 	"otterturn/internal/lab/authority"
 )
 
-func openVault(t *testing.T) *Vault {
+func openStore(t *testing.T) *Store {
 	t.Helper()
-	v, err := Open(filepath.Join(t.TempDir(), "acme"))
+	s, err := Open(filepath.Join(t.TempDir(), "acme"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return v
+	return s
 }
 
-// newVaultWithCertificate returns a vault that holds a certificate.
-func newVaultWithCertificate(t *testing.T) (*Vault, tls.Certificate) {
+// newStoreWithCertificate returns a store that holds a certificate.
+func newStoreWithCertificate(t *testing.T) (*Store, tls.Certificate) {
 	t.Helper()
-	v := openVault(t)
+	s := openStore(t)
 	cert, _, err := authority.SelfSigned("files.example", time.Hour)
 	if err == nil {
-		err = v.SaveCertificate("files", &cert)
+		err = s.SaveCertificate("files", &cert)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return v, cert
+	return s, cert
 }
 
 func TestSavedFilesAreReadBack(t *testing.T) {
-	v := openVault(t)
-	if _, err := v.Account("main"); !errors.Is(err, fs.ErrNotExist) {
+	s := openStore(t)
+	if _, err := s.Account("main"); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("an account that was never saved: %v, want fs.ErrNotExist", err)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := v.SaveAccount("main", key); err != nil {
+	if err := s.SaveAccount("main", key); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := v.Account("main"); err != nil || !key.Equal(got) {
+	if got, err := s.Account("main"); err != nil || !key.Equal(got) {
 		t.Errorf("account: %v", err)
 	}
 	cert, _, err := authority.SelfSigned("files.example", time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := v.SaveCertificate("files", &cert); err != nil {
+	if err := s.SaveCertificate("files", &cert); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := v.Certificate("files"); err != nil || !got.Leaf.Equal(cert.Leaf) {
+	if got, err := s.Certificate("files"); err != nil || !got.Leaf.Equal(cert.Leaf) {
 		t.Errorf("certificate: %v", err)
 	}
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := v.SaveOrder("files", Order{Authority: "main", URL: "https://x/order/1", Key: der}); err != nil {
+	if err := s.SaveOrder("files", Order{Authority: "main", URL: "https://x/order/1", Key: der}); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := v.Order("files"); err != nil || got.URL != "https://x/order/1" {
+	if got, err := s.Order("files"); err != nil || got.URL != "https://x/order/1" {
 		t.Errorf("order: %+v, %v", got, err)
 	}
 	for range 2 {
-		if err := v.DeleteOrder("files"); err != nil {
+		if err := s.DeleteOrder("files"); err != nil {
 			t.Error(err)
 		}
 	}
-	entries, err := os.ReadDir(v.folder)
+	entries, err := os.ReadDir(s.folder)
 	if err != nil || len(entries) != 2 {
 		t.Errorf("the folder holds %v, %v; want 2 files", entries, err)
 	}
@@ -92,17 +92,17 @@
 
 // A write that fails, as on a full disk, must leave the stored certificate intact.
 func TestFailedWriteKeepsPreviousFile(t *testing.T) {
-	v, cert := newVaultWithCertificate(t)
+	s, cert := newStoreWithCertificate(t)
 	errFull := errors.New("no space left on device")
-	v.writeFault = func(string) error { return errFull }
+	s.writeFault = func(string) error { return errFull }
 	other, _, err := authority.SelfSigned("files.example", 2*time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := v.SaveCertificate("files", &other); !errors.Is(err, errFull) {
+	if err := s.SaveCertificate("files", &other); !errors.Is(err, errFull) {
 		t.Errorf("saving on a full disk did not fail with its error: %v", err)
 	}
-	if got, err := v.Certificate("files"); err != nil || !got.Leaf.Equal(cert.Leaf) {
+	if got, err := s.Certificate("files"); err != nil || !got.Leaf.Equal(cert.Leaf) {
 		t.Errorf("the previous certificate: %v", err)
 	}
 }
@@ -110,8 +110,8 @@
 // A truncated certificate file, an order with a damaged key and an account file without a key are each renamed and
 // reported as damaged.
 func TestDamagedFilesAreRenamed(t *testing.T) {
-	v, _ := newVaultWithCertificate(t)
-	name := v.path(certName("files"))
+	s, _ := newStoreWithCertificate(t)
+	name := s.path(certName("files"))
 	content, err := os.ReadFile(name)
 	if err != nil {
 		t.Fatal(err)
@@ -120,38 +120,38 @@
 		if err := os.WriteFile(name, content[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := v.Certificate("files"); !errors.Is(err, ErrDamaged) {
+		if _, err := s.Certificate("files"); !errors.Is(err, ErrDamaged) {
 			t.Fatalf("truncated to %d bytes: %v, want ErrDamaged", n, err)
 		}
 	}
-	if err := os.WriteFile(v.path(orderName("files")), []byte(`{"Authority":"main","Key":"AAAA"}`), 0o600); err != nil {
+	if err := os.WriteFile(s.path(orderName("files")), []byte(`{"Authority":"main","Key":"AAAA"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := v.Order("files"); !errors.Is(err, ErrDamaged) {
+	if _, err := s.Order("files"); !errors.Is(err, ErrDamaged) {
 		t.Errorf("an order without a valid key: %v, want ErrDamaged", err)
 	}
-	if err := os.WriteFile(v.path(accountName("main")), []byte("x"), 0o600); err != nil {
+	if err := os.WriteFile(s.path(accountName("main")), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := v.Account("main"); !errors.Is(err, ErrDamaged) {
+	if _, err := s.Account("main"); !errors.Is(err, ErrDamaged) {
 		t.Errorf("an account without a key: %v, want ErrDamaged", err)
 	}
-	if _, err := v.Account("main"); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := s.Account("main"); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("after the damaged file was renamed: %v, want fs.ErrNotExist", err)
 	}
 }
 
 func TestLockIsExclusive(t *testing.T) {
-	v := openVault(t)
-	release, err := v.Lock()
+	s := openStore(t)
+	release, err := s.Lock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := v.Lock(); !errors.Is(err, ErrLocked) {
+	if _, err := s.Lock(); !errors.Is(err, ErrLocked) {
 		t.Errorf("a second lock: %v, want ErrLocked", err)
 	}
 	release()
-	if release, err = v.Lock(); err != nil {
+	if release, err = s.Lock(); err != nil {
 		t.Fatal(err)
 	}
 	release()
--- a/internal/certs/vault/golden_test.go
+++ b/internal/certs/certstore/golden_test.go
@@ -1,4 +1,4 @@
-package vault
+package certstore
 
 import (
 	"crypto/ecdsa"
@@ -22,28 +22,28 @@
 	if *update {
 		writeGolden(t, golden)
 	}
-	folder := filepath.Join(t.TempDir(), "vault")
+	folder := filepath.Join(t.TempDir(), "certstore")
 	if err := os.CopyFS(folder, os.DirFS(golden)); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.Chmod(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	v, err := Open(folder)
+	s, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := v.Account("main"); err != nil {
+	if _, err := s.Account("main"); err != nil {
 		t.Errorf("account: %v", err)
 	}
-	cert, err := v.Certificate("front")
+	cert, err := s.Certificate("front")
 	if err != nil {
 		t.Fatalf("certificate: %v", err)
 	}
 	if names := cert.Leaf.DNSNames; len(names) != 1 || names[0] != "front.example" {
 		t.Errorf("certificate for %v", names)
 	}
-	order, err := v.Order("front")
+	order, err := s.Order("front")
 	if err != nil || order.Authority != "main" || order.URL != "https://authority.example/order/1" {
 		t.Errorf("order %q at %q, %v", order.URL, order.Authority, err)
 	}
@@ -52,7 +52,7 @@
 // writeGolden writes the golden folder with newly generated keys that are used nowhere else.
 func writeGolden(t *testing.T, folder string) {
 	t.Helper()
-	v, err := Open(folder)
+	s, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,21 +60,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := v.SaveAccount("main", key); err != nil {
+	if err := s.SaveAccount("main", key); err != nil {
 		t.Fatal(err)
 	}
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := v.SaveOrder("front", Order{Authority: "main", URL: "https://authority.example/order/1", Key: der}); err != nil {
+	if err := s.SaveOrder("front", Order{Authority: "main", URL: "https://authority.example/order/1", Key: der}); err != nil {
 		t.Fatal(err)
 	}
 	cert, _, err := authority.SelfSigned("front.example", time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := v.SaveCertificate("front", &cert); err != nil {
+	if err := s.SaveCertificate("front", &cert); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/certs/manager/manager.go
+++ b/internal/certs/manager/manager.go
@@ -14,9 +14,9 @@
 	"sync/atomic"
 	"time"
 
+	"otterturn/internal/certs/certstore"
 	"otterturn/internal/certs/order"
 	"otterturn/internal/certs/plan"
-	"otterturn/internal/certs/vault"
 )
 
 // Certificate describes a certificate that the manager renews.
@@ -42,7 +42,7 @@
 // Manager serves and renews certificates.
 type Manager struct {
 	settings Settings
-	vault    *vault.Vault
+	store    *certstore.Store
 	clients  []*order.Client
 	managed  []*managedCert
 	tryMutex sync.Mutex // allows one try at a time, because authorities limit the requests of an account
@@ -64,15 +64,15 @@
 	renewals        int
 }
 
-// New returns a manager that serves the certificates stored in the vault.
-func New(settings Settings, v *vault.Vault) *Manager {
-	m := &Manager{settings: settings, vault: v}
+// New returns a manager that serves the certificates in the store.
+func New(settings Settings, store *certstore.Store) *Manager {
+	m := &Manager{settings: settings, store: store}
 	for _, a := range settings.Authorities {
-		m.clients = append(m.clients, order.New(a, v))
+		m.clients = append(m.clients, order.New(a, store))
 	}
 	for _, c := range settings.Certificates {
 		k := &managedCert{Certificate: c, changed: make(chan struct{}, 1), plan: plan.New(settings.Policy, plan.Cert{}, rand.Float64())}
-		if cert, err := v.Certificate(c.Name); err == nil {
+		if cert, err := store.Certificate(c.Name); err == nil {
 			m.adopt(k, cert)
 		} else if !errors.Is(err, fs.ErrNotExist) {
 			settings.Log.Warn("a kept certificate can't be read", "certificate", c.Name, "error", err)
@@ -147,8 +147,8 @@
 func (m *Manager) try(ctx context.Context, k *managedCert, next plan.Try) {
 	m.tryMutex.Lock()
 	defer m.tryMutex.Unlock()
-	release, err := m.vault.Lock()
-	if stored, loadErr := m.vault.Certificate(k.Name); loadErr == nil && m.adopt(k, stored) {
+	release, err := m.store.Lock()
+	if stored, loadErr := m.store.Certificate(k.Name); loadErr == nil && m.adopt(k, stored) {
 		if err == nil {
 			release()
 		}
--- a/internal/certs/manager/manager_test.go
+++ b/internal/certs/manager/manager_test.go
@@ -16,11 +16,11 @@
 
 	"golang.org/x/crypto/acme"
 
+	"otterturn/internal/certs/certstore"
 	"otterturn/internal/certs/order"
 	"otterturn/internal/certs/plan"
-	"otterturn/internal/certs/vault"
 	"otterturn/internal/lab/authority"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // fixture holds a certificate folder, authorities, and the front's ports for HTTP-01 and TLS-ALPN-01.
@@ -39,7 +39,7 @@
 	s := &fixture{t: t, folder: filepath.Join(t.TempDir(), "acme")}
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.manager().HTTP().ServeHTTP(w, r) }))
 	t.Cleanup(web.Close)
-	l := standin.Listen(t)
+	l := testsupport.Listen(t)
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -56,7 +56,7 @@
 	s.settings = Settings{
 		Certificates: []Certificate{{"files", []string{"files.example", "search.example"}}}, HTTP: true, ALPN: true,
 		Policy: plan.Policy{MinSpacing: 10 * time.Millisecond, MaxSpacing: 50 * time.Millisecond}, TryTimeout: 2 * time.Second,
-		Log: standin.Log(func(line string) {
+		Log: testsupport.Log(func(line string) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.log = append(s.log, line)
@@ -91,11 +91,11 @@
 // start starts a manager as a new process would. end stops it, at any time.
 func (s *fixture) start() (m *Manager, end func()) {
 	s.t.Helper()
-	v, err := vault.Open(s.folder)
+	store, err := certstore.Open(s.folder)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	m = New(s.settings, v)
+	m = New(s.settings, store)
 	s.mu.Lock()
 	s.current = m
 	s.mu.Unlock()
@@ -116,7 +116,7 @@
 func (s *fixture) waitForCertificate(m *Manager) *tls.Certificate {
 	s.t.Helper()
 	var cert *tls.Certificate
-	standin.WaitFor(s.t, "the certificate", func() bool {
+	testsupport.WaitFor(s.t, "the certificate", func() bool {
 		var err error
 		cert, err = m.Certificate(&tls.ClientHelloInfo{ServerName: "search.example"})
 		return err == nil
@@ -168,7 +168,7 @@
 	s := newFixture(t, authority.Settings{ValidationTimeout: 200 * time.Millisecond})
 	s.settings.HTTP, s.settings.ALPN = false, false
 	m, _ := s.start()
-	standin.WaitFor(t, "a failed try", func() bool {
+	testsupport.WaitFor(t, "a failed try", func() bool {
 		return strings.Contains(m.Status()[0].Last.Detail, "http-01 is not set up")
 	})
 }
@@ -176,7 +176,7 @@
 func TestExternalAccountBinding(t *testing.T) {
 	s := newFixture(t, authority.Settings{Bindings: map[string][]byte{"customer": []byte("a key of the customer's account, of 32 bytes at least")}})
 	m, end := s.start()
-	standin.WaitFor(t, "a failed try", func() bool {
+	testsupport.WaitFor(t, "a failed try", func() bool {
 		return strings.Contains(m.Status()[0].Last.Detail, "externalAccountRequired")
 	})
 	end()
@@ -203,7 +203,7 @@
 		faults.Set(authority.Fault{Step: step, Do: "stall", Times: 1})
 		s := newFixture(t, authority.Settings{Faults: faults})
 		_, end := s.start()
-		standin.WaitFor(t, "the step at which the process ends", func() bool { return faults.Count() == 1 })
+		testsupport.WaitFor(t, "the step at which the process ends", func() bool { return faults.Count() == 1 })
 		end()
 		m, _ := s.start()
 		s.waitForCertificate(m)
@@ -217,21 +217,21 @@
 // not store.
 func TestNoOrderUnlessKeyIsStored(t *testing.T) {
 	s := newFixture(t, authority.Settings{})
-	v, err := vault.Open(s.folder)
+	store, err := certstore.Open(s.folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := os.RemoveAll(s.folder); err != nil {
 		t.Fatal(err)
 	}
-	m := New(s.settings, v)
+	m := New(s.settings, store)
 	s.mu.Lock()
 	s.current = m
 	s.mu.Unlock()
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	go m.Run(ctx)
-	standin.WaitFor(t, "a failed try", func() bool { _, at := m.managed[0].last(); return !at.IsZero() })
+	testsupport.WaitFor(t, "a failed try", func() bool { _, at := m.managed[0].last(); return !at.IsZero() })
 	if n := s.authorities[0].Counts(); n.Orders+n.Accounts != 0 {
 		t.Errorf("counted %+v, want no orders and no accounts", n)
 	}
@@ -253,12 +253,12 @@
 	faults := s.authorities[0].Faults
 	faults.Set(authority.Fault{Step: "finalize", Do: "stall", For: 200 * time.Millisecond})
 	first, _ := s.start()
-	standin.WaitFor(t, "the order", func() bool { return s.authorities[0].Counts().Orders > 0 })
-	v, err := vault.Open(s.folder)
+	testsupport.WaitFor(t, "the order", func() bool { return s.authorities[0].Counts().Orders > 0 })
+	store, err := certstore.Open(s.folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	second := New(s.settings, v) // the ports lead to the first process
+	second := New(s.settings, store) // the ports lead to the first process
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	go second.Run(ctx)
@@ -284,7 +284,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	standin.WaitFor(t, "the expiry", func() bool { return time.Now().After(cert.Leaf.NotAfter) })
+	testsupport.WaitFor(t, "the expiry", func() bool { return time.Now().After(cert.Leaf.NotAfter) })
 	if c, err := m.Certificate(&tls.ClientHelloInfo{ServerName: "files.example"}); !errors.Is(err, errNoCertificate) {
 		t.Errorf("after the expiry: %v, %v, want no certificate", c, err)
 	}
@@ -309,7 +309,7 @@
 	m, _ := s.start()
 	first := s.waitForCertificate(m)
 	s.authorities[0].SuggestRenewalWindow(time.Now().Add(-2*time.Second), time.Now().Add(-time.Second))
-	standin.WaitFor(t, "the renewal that the authority asked for", func() bool { return !s.waitForCertificate(m).Leaf.Equal(first.Leaf) })
+	testsupport.WaitFor(t, "the renewal that the authority asked for", func() bool { return !s.waitForCertificate(m).Leaf.Equal(first.Leaf) })
 	if left := time.Until(first.Leaf.NotAfter); left < 10*time.Second {
 		t.Errorf("renewed with %v left, want renewal at the authority's request before a third of the lifetime is left", left)
 	}
@@ -337,7 +337,7 @@
 	if err := m.Renew("files"); err != nil {
 		t.Fatal(err)
 	}
-	standin.WaitFor(t, "the renewal", func() bool { return m.Status()[0].Renewals == 1 })
+	testsupport.WaitFor(t, "the renewal", func() bool { return m.Status()[0].Renewals == 1 })
 	if n := s.authorities[0].Counts(); n.Accounts != 1 || n.Issued != 2 {
 		t.Errorf("counted %+v, want one account", n)
 	}
@@ -364,7 +364,7 @@
 		t.Errorf("mode %v, %v, want 0600", info.Mode(), err)
 	}
 	os.Chmod(s.folder, 0o755)
-	if _, err := vault.Open(s.folder); err == nil || !strings.Contains(err.Error(), "chmod 700") {
+	if _, err := certstore.Open(s.folder); err == nil || !strings.Contains(err.Error(), "chmod 700") {
 		t.Errorf("a folder that other users can read: %v", err)
 	}
 }
--- a/internal/certs/manager/status.go
+++ b/internal/certs/manager/status.go
@@ -78,7 +78,7 @@
 	if i < 0 {
 		return fmt.Errorf("no authority %q", authority)
 	}
-	release, err := m.vault.Lock()
+	release, err := m.store.Lock()
 	if err != nil {
 		return err
 	}
--- a/internal/certs/order/account.go
+++ b/internal/certs/order/account.go
@@ -11,8 +11,8 @@
 
 	"golang.org/x/crypto/acme"
 
+	"otterturn/internal/certs/certstore"
 	"otterturn/internal/certs/plan"
-	"otterturn/internal/certs/vault"
 )
 
 // ensureAccount makes sure that there is an account at the authority. The key is on disk before the authority receives
@@ -21,10 +21,10 @@
 	if c.acme.Key != nil && !reregister {
 		return nil
 	}
-	key, err := c.vault.Account(c.authority.Name)
-	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, vault.ErrDamaged) {
+	key, err := c.store.Account(c.authority.Name)
+	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, certstore.ErrDamaged) {
 		if key, err = ecdsa.GenerateKey(elliptic.P256(), rand.Reader); err == nil {
-			err = c.vault.SaveAccount(c.authority.Name, key)
+			err = c.store.SaveAccount(c.authority.Name, key)
 		}
 	}
 	if err != nil {
@@ -60,13 +60,13 @@
 // adoptRolledKey switches to the new key of an interrupted rollover: the authority had accepted the key, and the process
 // was killed before it saved the key as the account's. It reports whether there was such a key and it is now saved.
 func (c *Client) adoptRolledKey(ctx context.Context) bool {
-	next, err := c.vault.Account(c.authority.Name + nextKeySuffix)
+	next, err := c.store.Account(c.authority.Name + nextKeySuffix)
 	if err != nil {
 		return false
 	}
 	old := c.acme.Key
 	c.acme.Key, c.acme.KID = next, ""
-	if _, err := c.acme.GetReg(ctx, ""); err == nil && c.vault.SaveAccount(c.authority.Name, next) == nil {
+	if _, err := c.acme.GetReg(ctx, ""); err == nil && c.store.SaveAccount(c.authority.Name, next) == nil {
 		return true
 	}
 	c.acme.Key, c.acme.KID = old, ""
@@ -87,14 +87,14 @@
 		return err
 	}
 	nextName := c.authority.Name + nextKeySuffix
-	if err := c.vault.SaveAccount(nextName, next); err != nil {
+	if err := c.store.SaveAccount(nextName, next); err != nil {
 		return err
 	}
 	if err := c.acme.AccountKeyRollover(ctx, next); err != nil {
 		return fmt.Errorf("the authority did not take the new key: %w", err)
 	}
 	c.acme.Key = next
-	if err := c.vault.SaveAccount(c.authority.Name, next); err != nil {
+	if err := c.store.SaveAccount(c.authority.Name, next); err != nil {
 		return fmt.Errorf("the new key is taken, and kept as %s alone: %w", nextName, err)
 	}
 	return nil
--- a/internal/certs/order/order.go
+++ b/internal/certs/order/order.go
@@ -19,8 +19,8 @@
 
 	"golang.org/x/crypto/acme"
 
+	"otterturn/internal/certs/certstore"
 	"otterturn/internal/certs/plan"
-	"otterturn/internal/certs/vault"
 )
 
 // Authority describes an authority's directory and the account to use there.
@@ -61,14 +61,14 @@
 // Client sends requests to one authority.
 type Client struct {
 	authority Authority
-	vault     *vault.Vault
+	store     *certstore.Store
 	acme      *acme.Client
 }
 
 // New returns a client for an authority that stores its account keys, orders and certificates in v.
-func New(a Authority, v *vault.Vault) *Client {
+func New(a Authority, store *certstore.Store) *Client {
 	transport := &http.Transport{TLSClientConfig: &tls.Config{RootCAs: a.Roots}, MaxIdleConns: 2, IdleConnTimeout: 30 * time.Second}
-	return &Client{authority: a, vault: v, acme: &acme.Client{
+	return &Client{authority: a, store: store, acme: &acme.Client{
 		DirectoryURL: a.Directory, UserAgent: "otterturn",
 		HTTPClient: &http.Client{Transport: transport},
 		// By default the library also retries after a server error or a rate limit. Package plan decides when to
@@ -118,10 +118,10 @@
 	if err != nil {
 		return nil, c.dropIfUnusable(name, withKind(plan.BadChain, err))
 	}
-	if err := c.vault.SaveCertificate(name, cert); err != nil {
+	if err := c.store.SaveCertificate(name, cert); err != nil {
 		return cert, withKind(plan.Local, err) // it can be served, and the next process fetches it again by the stored order
 	}
-	c.vault.DeleteOrder(name)
+	c.store.DeleteOrder(name)
 	return cert, nil
 }
 
@@ -130,17 +130,17 @@
 func (c *Client) dropIfUnusable(name string, err error) error {
 	switch Outcome(err).Kind {
 	case plan.Invalid, plan.Unreachable, plan.Rejected, plan.BadChain, plan.NoAccount:
-		err = errors.Join(err, c.vault.DeleteOrder(name))
+		err = errors.Join(err, c.store.DeleteOrder(name))
 	}
 	return err
 }
 
 // startOrResume resumes the stored order if there is one that is still usable, or places a new one.
 func (c *Client) startOrResume(ctx context.Context, name string, names []string) (*acme.Order, crypto.Signer, error) {
-	stored, err := c.vault.Order(name)
+	stored, err := c.store.Order(name)
 	if err == nil && stored.Authority == c.authority.Name && stored.URL != "" {
 		if o, err := c.acme.GetOrder(ctx, stored.URL); err == nil && o.Status != acme.StatusInvalid && sameNames(o, names) {
-			key, err := vault.ParseKey(stored.Key)
+			key, err := certstore.ParseKey(stored.Key)
 			return o, key, withKind(plan.Local, err)
 		}
 	}
@@ -152,8 +152,8 @@
 	if err != nil {
 		return nil, nil, withKind(plan.Local, err)
 	}
-	stored = vault.Order{Authority: c.authority.Name, Key: der}
-	if err := c.vault.SaveOrder(name, stored); err != nil {
+	stored = certstore.Order{Authority: c.authority.Name, Key: der}
+	if err := c.store.SaveOrder(name, stored); err != nil {
 		return nil, nil, withKind(plan.Local, err)
 	}
 	o, err := c.acme.AuthorizeOrder(ctx, acme.DomainIDs(names...))
@@ -161,7 +161,7 @@
 		return nil, nil, fmt.Errorf("place the order: %w", err)
 	}
 	stored.URL = o.URI
-	if err := c.vault.SaveOrder(name, stored); err != nil {
+	if err := c.store.SaveOrder(name, stored); err != nil {
 		return nil, nil, withKind(plan.Local, err)
 	}
 	if o.Status == acme.StatusInvalid {
--- a/internal/certs/order/outcome.go
+++ b/internal/certs/order/outcome.go
@@ -15,8 +15,8 @@
 
 	"golang.org/x/crypto/acme"
 
+	"otterturn/internal/certs/certstore"
 	"otterturn/internal/certs/plan"
-	"otterturn/internal/certs/vault"
 )
 
 // kindError is an error of a known plan.Kind.
@@ -83,7 +83,7 @@
 	switch {
 	case errors.As(err, &kindErr):
 		outcome.Kind = kindErr.kind
-	case errors.Is(err, vault.ErrLocked):
+	case errors.Is(err, certstore.ErrLocked):
 		outcome.Kind = plan.Busy
 	case errors.As(err, &acmeErr):
 		outcome.RetryAfter, _ = acme.RateLimit(acmeErr)
--- a/internal/fleet/monitor/monitor_test.go
+++ b/internal/fleet/monitor/monitor_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"otterturn/internal/fleet/health"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
@@ -22,7 +22,7 @@
 	}
 }
 
-var testBounds = Bounds{Inbox: 16, MaxProbeWait: standin.WaitTimeout}
+var testBounds = Bounds{Inbox: 16, MaxProbeWait: testsupport.WaitTimeout}
 
 // zone contains the monitors of two fronts that exchange messages, and the channels to which their hooks write.
 type zone struct {
@@ -48,7 +48,7 @@
 			},
 			Report: func(e scheduler.Event) { z.reports[i] <- e },
 			Send:   func(to int, message []byte) { z.monitors[to].Intercept(i, message) },
-			Log:    standin.Log(func(line string) { z.logLines <- line }),
+			Log:    testsupport.Log(func(line string) { z.logLines <- line }),
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -68,7 +68,7 @@
 	if p := z.monitors[0].Probe("a"); !p.OK || p.Node != "a" {
 		t.Errorf("probe result %+v, want success", p)
 	}
-	if node := standin.Await(t, "a probe", z.probes); node != "a" {
+	if node := testsupport.Await(t, "a probe", z.probes); node != "a" {
 		t.Errorf("probed %q", node)
 	}
 }
@@ -83,20 +83,20 @@
 	}
 	z.monitors[0].AttemptEnded("a", scheduler.AttemptEnded{ID: "x", Result: scheduler.Unreachable})
 	for _, reports := range z.reports {
-		if e := standin.Await(t, "a report", reports); e.(scheduler.NodeSilent).Node != "a" {
+		if e := testsupport.Await(t, "a report", reports); e.(scheduler.NodeSilent).Node != "a" {
 			t.Errorf("reported %+v, want node a silent", e)
 		}
 	}
 	answered := make(chan scheduler.HealthChecked, 1)
 	go func() { answered <- z.monitors[1].Probe("a") }()
-	standin.WaitFor(t, "further probes", func() bool { return len(z.probes) > 4 })
+	testsupport.WaitFor(t, "further probes", func() bool { return len(z.probes) > 4 })
 	select {
 	case p := <-answered:
 		t.Errorf("probe answered with %+v while the node is silent", p)
 	default:
 	}
 	z.answers.Store(true)
-	if p := standin.Await(t, "the answer", answered); !p.OK {
+	if p := testsupport.Await(t, "the answer", answered); !p.OK {
 		t.Errorf("probe result %+v, want success", p)
 	}
 	c, err := z.monitors[0].Counters(t.Context())
@@ -108,7 +108,7 @@
 // A call of Probe returns as failed after MaxProbeWait, and when the monitor ends, even if the probe hook blocks forever.
 func TestProbeWaitIsBounded(t *testing.T) {
 	blockingHooks := Hooks{
-		Now: func() scheduler.Micros { return 1 }, Probe: func(string) scheduler.HealthChecked { select {} }, Log: standin.Log(func(string) {}),
+		Now: func() scheduler.Micros { return 1 }, Probe: func(string) scheduler.HealthChecked { select {} }, Log: testsupport.Log(func(string) {}),
 	}
 	for what, maxWait := range map[string]time.Duration{"the bound": time.Millisecond, "the monitor's end": time.Hour} {
 		m, err := New(testConfig(0), Bounds{Inbox: 16, MaxProbeWait: maxWait}, blockingHooks)
@@ -120,14 +120,14 @@
 		answered := make(chan scheduler.HealthChecked, 1)
 		go func() { answered <- m.Probe("a") }()
 		if maxWait == time.Hour {
-			standin.WaitFor(t, "the call", func() bool {
+			testsupport.WaitFor(t, "the call", func() bool {
 				m.waiters.mu.Lock()
 				defer m.waiters.mu.Unlock()
 				return len(m.waiters.byNode["a"]) == 1
 			})
 			cancel()
 		}
-		if p := standin.Await(t, what, answered); p.OK || p.Node != "a" || p.Queue != -1 {
+		if p := testsupport.Await(t, what, answered); p.OK || p.Node != "a" || p.Queue != -1 {
 			t.Errorf("%s: probe result %+v, want failure", what, p)
 		}
 		cancel()
@@ -147,7 +147,7 @@
 // of accepted attempts.
 func TestFullInboxDoesNotBlockSenders(t *testing.T) {
 	m, err := New(testConfig(0), Bounds{Inbox: 3, MaxProbeWait: time.Hour}, Hooks{
-		Now: func() scheduler.Micros { return 1 }, Log: standin.Log(func(string) {}),
+		Now: func() scheduler.Micros { return 1 }, Log: testsupport.Log(func(string) {}),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -186,7 +186,7 @@
 	}
 	m.Intercept(1, good) // about an unknown node
 	m.Intercept(1, good) // repeated
-	standin.WaitFor(t, "the counts", func() bool {
+	testsupport.WaitFor(t, "the counts", func() bool {
 		c, err := m.Counters(t.Context())
 		d := c.Dropped
 		return err == nil && c.Drops() == 12 && d[health.DropUnreadable] == 5 && d[DropUnknownSender] == 5 &&
@@ -194,7 +194,7 @@
 	})
 	logged := map[health.Drop]int{}
 	for range 4 {
-		line := standin.Await(t, "a line", z.logLines)
+		line := testsupport.Await(t, "a line", z.logLines)
 		for _, why := range []health.Drop{health.DropUnreadable, DropUnknownSender, health.DropUnknown, health.DropRepeated} {
 			if strings.Contains(line, string(why)) {
 				logged[why]++
--- a/internal/lab/processes/processes_test.go
+++ b/internal/lab/processes/processes_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"otterturn/internal/program"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // asFront is the environment variable that makes the test binary run as a front, like the built program.
@@ -105,7 +105,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetReadDeadline(time.Now().Add(standin.WaitTimeout))
+		c.SetReadDeadline(time.Now().Add(testsupport.WaitTimeout))
 		return c
 	}
 	first, last := listen(0), listen(2)
--- a/internal/net/steady/steady.go
+++ b/internal/net/retryconn/retryconn.go
@@ -1,7 +1,7 @@
-// Package steady provides a connection that retries reads and writes after transient errors. A system call that returns an error
+// Package retryconn provides a connection that retries reads and writes after transient errors. A system call that returns an error
 // has transferred no bytes, and Linux has errors of routing and resources that do not affect the connection; if the connection has
 // really ended, the next call fails too. Without retries, such an error would end a client's connection before its answer is sent.
-package steady
+package retryconn
 
 import (
 	"errors"
--- a/internal/net/steady/steady_test.go
+++ b/internal/net/retryconn/retryconn_test.go
@@ -1,4 +1,4 @@
-package steady
+package retryconn
 
 import (
 	"crypto/tls"
--- a/internal/net/routing/core_test.go
+++ b/internal/net/routing/core_test.go
@@ -11,7 +11,7 @@
 	"otterturn/internal/lifecycle"
 	"otterturn/internal/limits"
 	"otterturn/internal/net/routing"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
@@ -20,7 +20,7 @@
 }
 
 func newCore(t *testing.T) *routing.Core {
-	core := standin.StartCore(t, standin.Settings(), nil)
+	core := testsupport.StartCore(t, testsupport.Settings(), nil)
 	core.UpdateEndpoints(scheduler.EndpointsChanged{Full: true, Endpoints: []scheduler.Endpoint{{Node: "a"}}})
 	return core
 }
@@ -85,16 +85,16 @@
 				})
 			done <- err
 		}()
-		attemptCtx := standin.Await(t, "the second attempt", started)
+		attemptCtx := testsupport.Await(t, "the second attempt", started)
 		leave()
-		if err := standin.Await(t, "the end of the request", done); !errors.Is(err, context.Canceled) {
+		if err := testsupport.Await(t, "the end of the request", done); !errors.Is(err, context.Canceled) {
 			t.Fatal(err)
 		}
 		if attemptCtx.Err() != nil {
 			t.Fatal("the attempt ended when its client left")
 		}
 		close(proceed)
-		standin.Await(t, "the end of the attempt", attemptCtx.Done())
+		testsupport.Await(t, "the end of the attempt", attemptCtx.Done())
 	}
 }
 
@@ -119,7 +119,7 @@
 		_, err := routing.Do(first, core, request("same"), serve)
 		done <- err
 	}()
-	attemptCtx := standin.Await(t, "the attempt", started)
+	attemptCtx := testsupport.Await(t, "the attempt", started)
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 100 {
@@ -131,12 +131,12 @@
 	default:
 	}
 	leave()
-	standin.Await(t, "the end of the first request", done)
+	testsupport.Await(t, "the end of the first request", done)
 	if _, err := routing.Do(t.Context(), core, request("same"), failIfSent); !errors.Is(err, routing.ErrDuplicate) {
 		t.Errorf("duplicate during the first request's attempt: got %v, want ErrDuplicate", err)
 	}
 	close(proceed)
-	standin.Await(t, "the end of the attempt", attemptCtx.Done())
+	testsupport.Await(t, "the end of the attempt", attemptCtx.Done())
 	// Faulty clients send copies of answered requests. Such a copy was sent to its node up to four more times.
 	if _, err := routing.Do(t.Context(), core, request("same"), failIfSent); !errors.Is(err, routing.ErrDuplicate) {
 		t.Errorf("duplicate after the first request's end: got %v, want ErrDuplicate", err)
@@ -146,9 +146,9 @@
 // A retry must begin within the deduplication window of the nodes, which starts with the first attempt. A retry that was
 // decided on in time was still written after the window if its connection came up late.
 func TestRetryBeginsWithinDedupWindow(t *testing.T) {
-	settings := standin.Settings()
+	settings := testsupport.Settings()
 	settings.Classes[1].DedupWindow = 1_000_000
-	core := standin.StartCore(t, settings, nil)
+	core := testsupport.StartCore(t, settings, nil)
 	core.UpdateEndpoints(scheduler.EndpointsChanged{Full: true, Endpoints: []scheduler.Endpoint{{Node: "a"}}})
 	keyed, startedAt, attempts := request("keyed"), time.Now(), 0
 	keyed.Class = 1
@@ -205,7 +205,7 @@
 		<-proceed
 		return 0, scheduler.AttemptEnded{Result: scheduler.Reset}
 	})
-	if !errors.Is(err, routing.ErrFailed) || time.Since(startedAt) > standin.WaitTimeout/2 || core.Tally().EndedOverdue != 1 {
+	if !errors.Is(err, routing.ErrFailed) || time.Since(startedAt) > testsupport.WaitTimeout/2 || core.Tally().EndedOverdue != 1 {
 		t.Errorf("got %v after %v, tally %+v; want ErrFailed at the deadline", err, time.Since(startedAt), core.Tally())
 	}
 }
@@ -227,9 +227,9 @@
 		})
 		ended <- err
 	}()
-	standin.Await(t, "the attempt", started)
+	testsupport.Await(t, "the attempt", started)
 	core.Guard.BeginShutdown(time.Now())
-	if err := standin.Await(t, "the final answer", ended); !errors.Is(err, routing.ErrFailed) {
+	if err := testsupport.Await(t, "the final answer", ended); !errors.Is(err, routing.ErrFailed) {
 		t.Errorf("open request: got %v, want ErrFailed", err)
 	}
 	_, err := routing.Do(t.Context(), core, request("late"), func(context.Context, routing.Attempt) (int, scheduler.AttemptEnded) {
--- a/internal/net/routing/observer_test.go
+++ b/internal/net/routing/observer_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"otterturn/internal/net/routing"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
@@ -25,8 +25,8 @@
 // The observer is notified of the start and the end of each attempt, with node and number. It is not notified of the end of an
 // attempt that it did not accept.
 func TestObserverIsNotifiedOfEachAttempt(t *testing.T) {
-	settings := standin.Settings()
-	core, err := routing.New(settings, 1, standin.Limits(), func(node string) scheduler.HealthChecked {
+	settings := testsupport.Settings()
+	core, err := routing.New(settings, 1, testsupport.Limits(), func(node string) scheduler.HealthChecked {
 		return scheduler.HealthChecked{Node: node, OK: true, Queue: -1}
 	})
 	if err != nil {
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	for _, want := range []string{"start a x 0", "end a x 0 broken true", "start a x 1", "end a x 1 answered false", "start b y 0"} {
-		if got := standin.Await(t, want, o.lines); got != want {
+		if got := testsupport.Await(t, want, o.lines); got != want {
 			t.Errorf("observer got %q, want %q", got, want)
 		}
 	}
--- a/internal/net/transport/admission_test.go
+++ b/internal/net/transport/admission_test.go
@@ -11,7 +11,7 @@
 	"otterturn/internal/admission"
 	"otterturn/internal/admission/gate"
 	"otterturn/internal/net/protocol"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
@@ -19,7 +19,7 @@
 // front's address. The gate may be nil.
 func startFrontWithGate(t *testing.T, g *gate.Gate, work func()) (addr string) {
 	t.Helper()
-	node := standin.Peer(t, func(_ int, c net.Conn) {
+	node := testsupport.Peer(t, func(_ int, c net.Conn) {
 		for in := bufio.NewReader(c); ; {
 			r, err := http.ReadRequest(in)
 			if err != nil {
@@ -33,9 +33,9 @@
 			}
 		}
 	})
-	l := standin.Limits()
+	l := testsupport.Limits()
 	nodes := NewNodes(l)
-	core := standin.StartCore(t, standin.Settings(), nil)
+	core := testsupport.StartCore(t, testsupport.Settings(), nil)
 	core.UpdateEndpoints(nodes.Apply(endpointList(node)))
 	f := NewFront(protocol.Settings{
 		Classes: []string{"read", "write"}, Plans: []string{"gold"}, Shards: 1,
@@ -43,7 +43,7 @@
 	}, l,
 		NewRoundTripper(core, nodes))
 	f.Admission = g
-	listener := standin.Listen(t)
+	listener := testsupport.Listen(t)
 	go f.Serve(listener)
 	t.Cleanup(func() { f.server.Close() })
 	return listener.Addr().String()
@@ -53,7 +53,7 @@
 // second is served once the first is.
 func TestAdmissionGateQueuesAndRejects(t *testing.T) {
 	asked, release := make(chan bool, 4), make(chan bool)
-	g := gate.New(admission.Config{MaxAdmitted: 1, MaxWaiting: 1, MaxRetryAfter: 1_000_000}, standin.WaitTimeout)
+	g := gate.New(admission.Config{MaxAdmitted: 1, MaxWaiting: 1, MaxRetryAfter: 1_000_000}, testsupport.WaitTimeout)
 	addr := startFrontWithGate(t, g, func() {
 		asked <- true
 		<-release
@@ -80,15 +80,15 @@
 		return out
 	}
 	first := ask("first")
-	standin.Await(t, "the first request to reach its node", asked)
+	testsupport.Await(t, "the first request to reach its node", asked)
 	second := ask("second")
-	standin.WaitFor(t, "the second request to wait", func() bool { return g.Waiting() == 1 })
-	if a := standin.Await(t, "the answer to the third request", ask("third")); a.status != http.StatusServiceUnavailable || a.after == "" {
+	testsupport.WaitFor(t, "the second request to wait", func() bool { return g.Waiting() == 1 })
+	if a := testsupport.Await(t, "the answer to the third request", ask("third")); a.status != http.StatusServiceUnavailable || a.after == "" {
 		t.Errorf("third request: %+v", a)
 	}
 	for _, a := range []chan answer{first, second} {
 		release <- true
-		if got := standin.Await(t, "an answer", a); got.status != http.StatusOK {
+		if got := testsupport.Await(t, "an answer", a); got.status != http.StatusOK {
 			t.Errorf("answer %+v, want status 200", got)
 		}
 	}
--- a/internal/net/transport/clientlimits_test.go
+++ b/internal/net/transport/clientlimits_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"otterturn/internal/limits"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 func TestRequestOverOpenLimitIsRejectedAtOnce(t *testing.T) {
@@ -26,7 +26,7 @@
 	_, _, front := startFront(t, func(l *limits.Limits) { l.Requests.Open = 1 }, addr)
 	first, second := dialClient(t, front), dialClient(t, front)
 	io.WriteString(first, fmt.Sprintf(requestHead, "one")+"\r\n")
-	standin.Await(t, "the attempt to begin", started)
+	testsupport.Await(t, "the attempt to begin", started)
 	if r, _ := second.roundTrip(t, fmt.Sprintf(requestHead, "two")+"\r\n"); r.StatusCode != 503 ||
 		r.Header.Get("Retry-After") != "1" || !r.Close {
 		t.Errorf("request over the limit on open requests: status %d, header %v, close %v", r.StatusCode, r.Header, r.Close)
@@ -52,7 +52,7 @@
 	}, addr, stuck)
 	slow := dialClient(t, front)
 	io.WriteString(slow, strings.Replace(fmt.Sprintf(requestHead, "slow"), "shard=0", "shard=1", 1)+"\r\n")
-	standin.Await(t, "the slow attempt to begin", started)
+	testsupport.Await(t, "the slow attempt to begin", started)
 	var waiting []*testClient
 	for i := range 6 {
 		c := dialClient(t, front)
@@ -70,7 +70,7 @@
 		if r, _ := c.roundTrip(t, fmt.Sprintf(requestHead, fmt.Sprint("active-", i))+"\r\n"); r.StatusCode != 200 {
 			t.Errorf("active client %d: status %d", i, r.StatusCode)
 		}
-		standin.WaitFor(t, "the active clients to be idle", func() bool { // net/http reports it after the answer
+		testsupport.WaitFor(t, "the active clients to be idle", func() bool { // net/http reports it after the answer
 			f.clients.mu.Lock()
 			defer f.clients.mu.Unlock()
 			for c := range f.clients.conns {
@@ -102,7 +102,7 @@
 	put := strings.Replace(fmt.Sprintf(requestHead, "id"), "GET", "PUT", 1) + "Content-Length: 4\r\n\r\n"
 	complete := dialClient(t, front)
 	io.WriteString(complete, put+"data")
-	standin.Await(t, "the attempt to begin", started)
+	testsupport.Await(t, "the attempt to begin", started)
 	for _, text := range []string{"", "GET /read/", put[:len(put)-2]} {
 		c := dialClient(t, front)
 		io.WriteString(c, text)
@@ -164,7 +164,7 @@
 	_, _, front := startFront(t, nil, addr)
 	first := dialClient(t, front)
 	io.WriteString(first, fmt.Sprintf(requestHead, "same")+"\r\n")
-	standin.Await(t, "the attempt to begin", started)
+	testsupport.Await(t, "the attempt to begin", started)
 	if r, _ := dialClient(t, front).roundTrip(t, fmt.Sprintf(requestHead, "same")+"\r\n"); r.StatusCode != 400 {
 		t.Errorf("second request: status %d", r.StatusCode)
 	}
@@ -190,7 +190,7 @@
 	kept, idle, slow := dialClient(t, front), dialClient(t, front), dialClient(t, front)
 	idle.roundTrip(t, fmt.Sprintf(requestHead, "idle")+"\r\n")
 	io.WriteString(slow, fmt.Sprintf(requestHead, "slow")+"\r\n")
-	standin.Await(t, "the slow attempt to begin", started)
+	testsupport.Await(t, "the slow attempt to begin", started)
 	if r, _ := kept.roundTrip(t, fmt.Sprintf(requestHead, "before")+"\r\n"); r.StatusCode != 200 || r.Close {
 		t.Errorf("before the shutdown: status %d, close %v", r.StatusCode, r.Close)
 	}
@@ -205,9 +205,9 @@
 			}
 		})
 	}()
-	standin.Await(t, "the shutdown to begin", f.guard.Stopping())
+	testsupport.Await(t, "the shutdown to begin", f.guard.Stopping())
 	// A client that found all of its connections taken by waiting requests, and could open no other, sent nothing more.
-	if open := standin.Await(t, "the limit on open requests during the shutdown", maxOpen); open != 3/2 {
+	if open := testsupport.Await(t, "the limit on open requests during the shutdown", maxOpen); open != 3/2 {
 		t.Errorf("limit of %d open requests with 3 connections, want 1", open)
 	}
 	for i, c := range []*testClient{kept, dialClient(t, front), kept} {
@@ -231,7 +231,7 @@
 	if r, _ := slow.roundTrip(t, ""); r.StatusCode != 200 {
 		t.Errorf("slow request: status %d", r.StatusCode)
 	}
-	if err := standin.Await(t, "the front to stop", stopped); err != nil {
+	if err := testsupport.Await(t, "the front to stop", stopped); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/net/transport/connections_test.go
+++ b/internal/net/transport/connections_test.go
@@ -11,17 +11,17 @@
 	"otterturn/internal/limits"
 	"otterturn/internal/logs"
 	"otterturn/internal/net/protocol"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
 func TestAttemptAtUnreachableOrSilentNode(t *testing.T) {
-	l := standin.Listen(t)
+	l := testsupport.Listen(t)
 	l.Close()
-	if got := sendAttempt(t, newNodes(nil, l.Addr().String()), standin.WaitTimeout); got.Result != scheduler.Unreachable {
+	if got := sendAttempt(t, newNodes(nil, l.Addr().String()), testsupport.WaitTimeout); got.Result != scheduler.Unreachable {
 		t.Errorf("refused connection: result %v", got.Result)
 	}
-	silent := standin.Peer(t, func(_ int, c net.Conn) { io.Copy(io.Discard, c) })
+	silent := testsupport.Peer(t, func(_ int, c net.Conn) { io.Copy(io.Discard, c) })
 	if got := sendAttempt(t, newNodes(nil, silent), 50*time.Millisecond); got.Result != scheduler.TimedOut {
 		t.Errorf("silent node: result %v", got.Result)
 	}
@@ -30,7 +30,7 @@
 // A connection that is reset while it is opened, or before anything is written, says nothing about the node, and an attempt
 // of which nothing was sent uses another connection. Which of the two cases the client sees depends on how fast the node is.
 func TestConnectionResetWhileOpening(t *testing.T) {
-	addr := standin.Peer(t, func(n int, c net.Conn) {
+	addr := testsupport.Peer(t, func(n int, c net.Conn) {
 		if n%2 == 0 {
 			c.(*net.TCPConn).SetLinger(0)
 			return
@@ -40,7 +40,7 @@
 		}
 	})
 	for range 2000 {
-		if got := sendAttempt(t, newNodes(nil, addr), standin.WaitTimeout); got.Result != scheduler.OK && !got.Alive {
+		if got := sendAttempt(t, newNodes(nil, addr), testsupport.WaitTimeout); got.Result != scheduler.OK && !got.Alive {
 			t.Fatalf("result %+v, want OK or an alive node", got)
 		}
 	}
@@ -61,21 +61,21 @@
 	other, count := startNode(t, func(_ int64, c net.Conn, _ *http.Request) { io.WriteString(c, served) })
 	s := newNodes(func(l *limits.Limits) { l.Nodes.Conns = 1 }, addr, other)
 	probe := NewHealthChecker(s, protocol.Settings{}, logs.Discard()).Check
-	if got := sendAttempt(t, s, standin.WaitTimeout); got.Result != scheduler.OK {
+	if got := sendAttempt(t, s, testsupport.WaitTimeout); got.Result != scheduler.OK {
 		t.Errorf("first attempt: result %v", got.Result)
 	}
 	if !probe("node-1").OK {
 		t.Error("health check failed though the other node's connection was idle")
 	}
 	first, second := make(chan scheduler.AttemptEnded, 1), make(chan scheduler.HealthChecked, 1)
-	go func() { first <- sendAttempt(t, s, standin.WaitTimeout) }()
-	standin.Await(t, "the attempt to begin", started)
+	go func() { first <- sendAttempt(t, s, testsupport.WaitTimeout) }()
+	testsupport.Await(t, "the attempt to begin", started)
 	go func() { second <- probe("node-1") }()
 	close(proceed)
-	if got := standin.Await(t, "the outcome", first); got.Result != scheduler.OK {
+	if got := testsupport.Await(t, "the outcome", first); got.Result != scheduler.OK {
 		t.Errorf("attempt that held the connection: result %v", got.Result)
 	}
-	if !standin.Await(t, "the probe", second).OK || count.Load() != 2 {
+	if !testsupport.Await(t, "the probe", second).OK || count.Load() != 2 {
 		t.Errorf("health check that waited failed, or %d requests instead of 2", count.Load())
 	}
 }
@@ -92,9 +92,9 @@
 		}
 	})
 	s := newNodes(nil, addr)
-	sendAttempt(t, s, standin.WaitTimeout)
-	standin.Await(t, "the node to close the connection", ended)
-	if got := sendAttempt(t, s, standin.WaitTimeout); got.Result != scheduler.OK {
+	sendAttempt(t, s, testsupport.WaitTimeout)
+	testsupport.Await(t, "the node to close the connection", ended)
+	if got := sendAttempt(t, s, testsupport.WaitTimeout); got.Result != scheduler.OK {
 		t.Errorf("after the node closed an idle connection: result %v", got.Result)
 	}
 }
@@ -103,7 +103,7 @@
 // connection was being opened.
 func TestNodeChangesApplyBeforeTheFirstByte(t *testing.T) {
 	conns := make(chan int, 8)
-	addr := standin.Peer(t, func(n int, c net.Conn) {
+	addr := testsupport.Peer(t, func(n int, c net.Conn) {
 		conns <- n
 		for in := bufio.NewReader(c); ; {
 			if _, err := http.ReadRequest(in); err != nil {
@@ -113,18 +113,18 @@
 		}
 	})
 	s := newNodes(nil, addr)
-	sendAttempt(t, s, standin.WaitTimeout)
-	standin.Await(t, "the first connection", conns)
+	sendAttempt(t, s, testsupport.WaitTimeout)
+	testsupport.Await(t, "the first connection", conns)
 	endpoints := endpointList(addr)
 	endpoints.Hosts[0].StartedAt = 7
 	s.Apply(endpoints)
-	if got := sendAttempt(t, s, standin.WaitTimeout); got.Result != scheduler.OK {
+	if got := sendAttempt(t, s, testsupport.WaitTimeout); got.Result != scheduler.OK {
 		t.Errorf("after a restart: result %v", got.Result)
 	}
-	standin.Await(t, "a connection to the restarted node", conns)
+	testsupport.Await(t, "a connection to the restarted node", conns)
 	endpoints.Hosts[0].State = scheduler.Draining
 	s.Apply(endpoints)
-	if got := sendAttempt(t, s, standin.WaitTimeout); got.Result != scheduler.QueueFull {
+	if got := sendAttempt(t, s, testsupport.WaitTimeout); got.Result != scheduler.QueueFull {
 		t.Errorf("draining node: result %v", got.Result)
 	}
 }
--- a/internal/net/transport/discovery_test.go
+++ b/internal/net/transport/discovery_test.go
@@ -13,7 +13,7 @@
 	"otterturn/internal/limits"
 	"otterturn/internal/net/protocol"
 	"otterturn/internal/roster"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
@@ -21,7 +21,7 @@
 // queries of the calls, the lists and the log lines.
 func startWatch(t *testing.T, edit func(*limits.Limits), answer func(n int64, query string) string) (calls chan string, lists chan protocol.List, logged chan string) {
 	t.Helper()
-	l := standin.Limits()
+	l := testsupport.Limits()
 	edit(&l)
 	calls, lists, logged = make(chan string, 1024), make(chan protocol.List, 1024), make(chan string, 1024)
 	addr, _ := startNode(t, func(n int64, c net.Conn, r *http.Request) {
@@ -35,7 +35,7 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	go Watch(ctx, addr, 41, nil, l, 1, systemTime, func(l protocol.List) { lists <- l }, standin.Log(func(line string) { logged <- line }))
+	go Watch(ctx, addr, 41, nil, l, 1, systemTime, func(l protocol.List) { lists <- l }, testsupport.Log(func(line string) { logged <- line }))
 	return calls, lists, logged
 }
 
@@ -53,18 +53,18 @@
 		}
 		return `{"seq":42,"hosts":[` + listEntry("draining", 3, 5) + `]}`
 	})
-	if query := standin.Await(t, "the first call", calls); query == "from=41&hold_ms=0" {
+	if query := testsupport.Await(t, "the first call", calls); query == "from=41&hold_ms=0" {
 		t.Errorf("first call: query %s", query)
 	}
 	for range silentCalls {
-		if query := standin.Await(t, "a discovery call", calls); query != "from=41&hold_ms=0" {
+		if query := testsupport.Await(t, "a discovery call", calls); query != "from=41&hold_ms=0" {
 			t.Errorf("call after silence: query %s", query)
 		}
 	}
-	if got := standin.Await(t, "the list", lists); got.Seq != 42 || got.Hosts[0].State != scheduler.Draining {
+	if got := testsupport.Await(t, "the list", lists); got.Seq != 42 || got.Hosts[0].State != scheduler.Draining {
 		t.Errorf("%+v", got)
 	}
-	if query := standin.Await(t, "the call after the list", calls); strings.HasSuffix(query, "hold_ms=0") {
+	if query := testsupport.Await(t, "the call after the list", calls); strings.HasSuffix(query, "hold_ms=0") {
 		t.Errorf("call after a list: query %s", query)
 	}
 }
@@ -81,13 +81,13 @@
 		}
 		return `{"seq":7,"whole":true,"hosts":[` + listEntry("up", 3, 6) + `]}`
 	})
-	if got := standin.Await(t, "the first list", lists); got.Seq != 45 {
+	if got := testsupport.Await(t, "the first list", lists); got.Seq != 45 {
 		t.Errorf("%+v", got)
 	}
-	if got := standin.Await(t, "the whole list", lists); got.Seq != 7 || got.Hosts[0].StartedAt != 6000 {
+	if got := testsupport.Await(t, "the whole list", lists); got.Seq != 7 || got.Hosts[0].StartedAt != 6000 {
 		t.Errorf("list applied next: %+v", got)
 	}
-	if line := standin.Await(t, "a log line", logged); !strings.Contains(line, "discovery went back, endpoint list unchanged") {
+	if line := testsupport.Await(t, "a log line", logged); !strings.Contains(line, "discovery went back, endpoint list unchanged") {
 		t.Error(line)
 	}
 	<-calls
@@ -104,14 +104,14 @@
 	})
 	known := roster.New()
 	for i := range texts {
-		standin.Await(t, "a discovery call", calls)
-		got := known.Update(standin.Await(t, "a list", lists))
+		testsupport.Await(t, "a discovery call", calls)
+		got := known.Update(testsupport.Await(t, "a list", lists))
 		if len(got.Hosts) != 1 || got.Hosts[0].Shard != 3 || got.Hosts[0].StartedAt != 5000 || known.Len() != 1 {
 			t.Errorf("list %d: %+v", i, got)
 		}
 	}
-	standin.Await(t, "a log line", logged)
-	standin.Await(t, "a further discovery call", calls)
+	testsupport.Await(t, "a log line", logged)
+	testsupport.Await(t, "a further discovery call", calls)
 	if len(logged) > 0 {
 		t.Errorf("logged again: %s", <-logged)
 	}
@@ -131,8 +131,8 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	})
 	lists := make(chan protocol.List, 1024)
-	go Watch(t.Context(), addr, FullList, nil, standin.Limits(), 1, frontClock, func(l protocol.List) { lists <- l }, standin.Log(func(string) {}))
-	if got := standin.Await(t, "the list", lists); len(got.Hosts) != 1 || len(got.Invalid) != 0 {
+	go Watch(t.Context(), addr, FullList, nil, testsupport.Limits(), 1, frontClock, func(l protocol.List) { lists <- l }, testsupport.Log(func(string) {}))
+	if got := testsupport.Await(t, "the list", lists); len(got.Hosts) != 1 || len(got.Invalid) != 0 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/net/transport/evict_test.go
+++ b/internal/net/transport/evict_test.go
@@ -11,7 +11,7 @@
 
 	"otterturn/internal/limits"
 	"otterturn/internal/net/routing"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
@@ -44,7 +44,7 @@
 	s.trackState(c, http.StateActive)
 	io.WriteString(far, fmt.Sprintf(requestHead, "id")+"\r\n")
 	readUntilError(c)
-	standin.WaitFor(t, "the request to be complete", c.framing.isComplete)
+	testsupport.WaitFor(t, "the request to be complete", c.framing.isComplete)
 	evictLongestIdle(s)
 	if _, err := c.Write([]byte("answer")); err != nil {
 		t.Fatalf("write of the answer: %v", err)
@@ -60,10 +60,10 @@
 	s, c, far := acceptClient(t)
 	s.trackState(c, http.StateActive)
 	io.WriteString(far, fmt.Sprintf(requestHead, "id")+"\r\n")
-	standin.WaitFor(t, "the request to arrive", c.hasPendingInput)
+	testsupport.WaitFor(t, "the request to arrive", c.hasPendingInput)
 	evictLongestIdle(s)
 	readUntilError(c)
-	standin.WaitFor(t, "the request to be complete", c.framing.isComplete)
+	testsupport.WaitFor(t, "the request to be complete", c.framing.isComplete)
 	if _, err := c.Write([]byte("answer")); err != nil {
 		t.Errorf("write of the answer: %v", err)
 	}
@@ -75,9 +75,9 @@
 	s.trackState(c, http.StateActive)
 	io.WriteString(far, "GET /re")
 	ended := readUntilError(c)
-	standin.WaitFor(t, "half a request to arrive", c.hasInput.Load)
+	testsupport.WaitFor(t, "half a request to arrive", c.hasInput.Load)
 	evictLongestIdle(s)
-	if err := standin.Await(t, "the read to end", ended); err != io.EOF {
+	if err := testsupport.Await(t, "the read to end", ended); err != io.EOF {
 		t.Errorf("the read ended with %v, want io.EOF", err)
 	}
 }
@@ -88,7 +88,7 @@
 	s, c, far := acceptClient(t)
 	s.beginEnding(c)
 	io.WriteString(far, "GET /behind")
-	standin.WaitFor(t, "bytes after the request to arrive", c.hasPendingInput)
+	testsupport.WaitFor(t, "bytes after the request to arrive", c.hasPendingInput)
 	s.mu.Lock()
 	closed := s.closeOneEnding()
 	s.mu.Unlock()
@@ -129,7 +129,7 @@
 		t.Error("the client counts as gone while it is connected")
 	}
 	far.CloseWrite()
-	standin.WaitFor(t, "the client to be noticed as gone", c.hungUp)
+	testsupport.WaitFor(t, "the client to be noticed as gone", c.hungUp)
 	addr, count := startNode(t, func(_ int64, c net.Conn, _ *http.Request) { io.WriteString(c, served) })
 	s := newNodes(nil, addr)
 	r, _ := http.NewRequest(http.MethodGet, "http://backend.local/read/00000000000000aa/00000000000000bb", nil)
--- a/internal/net/transport/exchange_test.go
+++ b/internal/net/transport/exchange_test.go
@@ -15,7 +15,7 @@
 	"otterturn/internal/limits"
 	"otterturn/internal/net/protocol"
 	"otterturn/internal/net/routing"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
@@ -32,11 +32,11 @@
 	})
 	s := newNodes(func(l *limits.Limits) { l.Nodes.BodySilence = 50 * time.Millisecond }, addr)
 	startedAt := time.Now()
-	if got := sendAttempt(t, s, standin.WaitTimeout); got.Result != scheduler.Errored || time.Since(startedAt) > standin.WaitTimeout/2 {
+	if got := sendAttempt(t, s, testsupport.WaitTimeout); got.Result != scheduler.Errored || time.Since(startedAt) > testsupport.WaitTimeout/2 {
 		t.Errorf("incomplete answer: %+v", got)
 	}
 	for range 2 {
-		if got := sendAttempt(t, s, standin.WaitTimeout); got.Result != scheduler.OK {
+		if got := sendAttempt(t, s, testsupport.WaitTimeout); got.Result != scheduler.OK {
 			t.Errorf("complete answer: %+v", got)
 		}
 	}
@@ -49,19 +49,19 @@
 // whether it is alive. Without that check the scheduler would treat the node as restarted.
 func TestResetReportsWhetherNodeIsAlive(t *testing.T) {
 	conns := make(chan net.Conn, 4)
-	addr := standin.Peer(t, func(_ int, c net.Conn) {
+	addr := testsupport.Peer(t, func(_ int, c net.Conn) {
 		conns <- c
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 			c.Close()
 		}
 	})
 	s := newNodes(nil, addr)
-	if got := sendAttempt(t, s, standin.WaitTimeout); got.Result != scheduler.Reset || !got.Alive {
+	if got := sendAttempt(t, s, testsupport.WaitTimeout); got.Result != scheduler.Reset || !got.Alive {
 		t.Errorf("node that closes a connection: %+v", got)
 	}
-	standin.Await(t, "the first connection", conns)
-	standin.Await(t, "the connection that checks whether the node is alive", conns)
-	l := standin.Listen(t)
+	testsupport.Await(t, "the first connection", conns)
+	testsupport.Await(t, "the connection that checks whether the node is alive", conns)
+	l := testsupport.Listen(t)
 	go func() {
 		if c, err := l.Accept(); err == nil {
 			l.Close()
@@ -69,7 +69,7 @@
 			c.Close()
 		}
 	}()
-	if got := sendAttempt(t, newNodes(nil, l.Addr().String()), standin.WaitTimeout); got.Result != scheduler.Reset || got.Alive {
+	if got := sendAttempt(t, newNodes(nil, l.Addr().String()), testsupport.WaitTimeout); got.Result != scheduler.Reset || got.Alive {
 		t.Errorf("node that died: %+v", got)
 	}
 }
@@ -77,7 +77,7 @@
 // startNode starts a node that calls script for each complete request to answer it; n counts the requests from 1.
 func startNode(t *testing.T, script func(n int64, c net.Conn, r *http.Request)) (addr string, count *atomic.Int64) {
 	count = new(atomic.Int64)
-	return standin.Peer(t, func(_ int, c net.Conn) {
+	return testsupport.Peer(t, func(_ int, c net.Conn) {
 		for in := bufio.NewReader(c); ; {
 			r, err := http.ReadRequest(in)
 			if err != nil {
@@ -104,7 +104,7 @@
 }
 
 func newNodes(edit func(*limits.Limits), addrs ...string) *Nodes {
-	l := standin.Limits()
+	l := testsupport.Limits()
 	l.Nodes.ReuseDelay = 0 // connections are reused at once
 	if edit != nil {
 		edit(&l)
@@ -163,10 +163,10 @@
 			conn.Close()
 		})
 		s := newNodes(nil, addr)
-		if got := sendAttempt(t, s, standin.WaitTimeout); got.Result != scheduler.OK || got.ServedElsewhere != 3 {
+		if got := sendAttempt(t, s, testsupport.WaitTimeout); got.Result != scheduler.OK || got.ServedElsewhere != 3 {
 			t.Errorf("%s: first attempt %+v, want OK and ServedElsewhere 3", c.name, got)
 		}
-		if got := sendAttempt(t, s, standin.WaitTimeout); got.Result != c.want {
+		if got := sendAttempt(t, s, testsupport.WaitTimeout); got.Result != c.want {
 			t.Errorf("%s: result %v, want %v", c.name, got.Result, c.want)
 		}
 		if n := count.Load(); n != 2 {
--- a/internal/net/transport/front_test.go
+++ b/internal/net/transport/front_test.go
@@ -15,30 +15,30 @@
 	"otterturn/internal/limits"
 	"otterturn/internal/net/protocol"
 	"otterturn/internal/net/routing"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // startFront starts a front for the given nodes.
 func startFront(t *testing.T, edit func(*limits.Limits), addrs ...string) (f *Front, core *routing.Core, addr string) {
 	t.Helper()
-	l := standin.Limits()
+	l := testsupport.Limits()
 	if edit != nil {
 		edit(&l)
 	}
 	nodes := NewNodes(l)
-	core = standin.StartCore(t, standin.Settings(), nil)
+	core = testsupport.StartCore(t, testsupport.Settings(), nil)
 	core.Guard = lifecycle.New(l.Stop, slog.New(slog.DiscardHandler))
 	core.UpdateEndpoints(nodes.Apply(endpointList(addrs...)))
 	f = NewFront(protocol.Settings{
 		Classes: []string{"read", "write"}, Plans: []string{"gold"}, Shards: 2,
 		MaxDeadline: 5 * time.Second, MaxRetryAfter: time.Second,
 	}, l, NewRoundTripper(core, nodes))
-	listener := standin.Listen(t)
+	listener := testsupport.Listen(t)
 	done := make(chan error, 1)
 	go func() { done <- f.Serve(listener) }()
 	t.Cleanup(func() {
 		f.server.Close()
-		if err := standin.Await(t, "the front to end", done); err != nil {
+		if err := testsupport.Await(t, "the front to end", done); err != nil {
 			t.Error(err)
 		}
 		for _, c := range core.Guard.Counts() {
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(standin.WaitTimeout))
+	c.SetDeadline(time.Now().Add(testsupport.WaitTimeout))
 	return &testClient{c, bufio.NewReader(c)}
 }
 
@@ -99,7 +99,7 @@
 	if r.StatusCode != 200 || body != "data" || r.Header.Get("X-Served-Elsewhere") != "" {
 		t.Errorf("answer: status %d, body %q, header %v", r.StatusCode, body, r.Header)
 	}
-	got := standin.Await(t, "the request to reach the node", seen)
+	got := testsupport.Await(t, "the request to reach the node", seen)
 	if got.Method != "GET" || got.RequestURI != "/read/00000000000000aa/00000000000000bb?x=%zz" ||
 		got.Header.Get("X-Correlation-Id") != "id-1" || got.Header.Get("Idempotency-Key") != "k1" {
 		t.Errorf("the node received %s %s %v", got.Method, got.RequestURI, got.Header)
@@ -189,11 +189,11 @@
 	_, core, front := startFront(t, func(l *limits.Limits) { l.Nodes.ReuseDelay, l.Nodes.Conns = 0, 1 }, addr) // the next one waits
 	c := dialClient(t, front)
 	io.WriteString(c, fmt.Sprintf(requestHead, "id")+"\r\n")
-	standin.Await(t, "the attempt to begin", started)
+	testsupport.Await(t, "the attempt to begin", started)
 	c.Close()
-	standin.WaitFor(t, "the client to be noticed as gone", func() bool { return core.Tally().ClientsLeft == 1 })
+	testsupport.WaitFor(t, "the client to be noticed as gone", func() bool { return core.Tally().ClientsLeft == 1 })
 	close(proceed)
-	standin.WaitFor(t, "an attempt on the kept connection to succeed", func() bool {
+	testsupport.WaitFor(t, "an attempt on the kept connection to succeed", func() bool {
 		r, _ := dialClient(t, front).roundTrip(t, fmt.Sprintf(requestHead, "next")+"\r\n")
 		return r.StatusCode == 200
 	})
--- a/internal/net/transport/handshakes.go
+++ b/internal/net/transport/handshakes.go
@@ -11,7 +11,7 @@
 
 	"otterturn/internal/limits"
 	"otterturn/internal/net/accept"
-	"otterturn/internal/net/steady"
+	"otterturn/internal/net/retryconn"
 )
 
 // HandshakeListener is a listener that returns connections after their TLS handshake. It has limits of its own: each handshake has
@@ -69,7 +69,7 @@
 
 func (h *HandshakeListener) completeHandshake(raw net.Conn, element *queue.Element) {
 	timeoutCtx, cancel := context.WithTimeout(h.ctx, h.limits.Clients.HandshakeTimeout)
-	conn := tls.Server(steady.Conn{Conn: raw}, h.config)
+	conn := tls.Server(retryconn.Conn{Conn: raw}, h.config)
 	err := conn.HandshakeContext(timeoutCtx)
 	cancel()
 	h.mu.Lock()
--- a/internal/net/transport/handshakes_test.go
+++ b/internal/net/transport/handshakes_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"otterturn/internal/lab/authority"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // Clients that connect and never begin a handshake must not keep out other clients, nor stay longer than the timeout.
@@ -17,9 +17,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := standin.Limits()
-	l.Clients.Handshakes, l.Clients.HandshakeTimeout = 4, standin.WaitTimeout
-	h := NewHandshakeListener(standin.Listen(t), &tls.Config{Certificates: []tls.Certificate{cert}}, l)
+	l := testsupport.Limits()
+	l.Clients.Handshakes, l.Clients.HandshakeTimeout = 4, testsupport.WaitTimeout
+	h := NewHandshakeListener(testsupport.Listen(t), &tls.Config{Certificates: []tls.Certificate{cert}}, l)
 	served := make(chan error, 1)
 	go func() {
 		for {
@@ -56,7 +56,7 @@
 	}
 	ended := 0
 	for _, c := range silent[:16] { // the oldest ones
-		c.SetReadDeadline(time.Now().Add(standin.WaitTimeout))
+		c.SetReadDeadline(time.Now().Add(testsupport.WaitTimeout))
 		if _, err := c.Read(make([]byte, 1)); err != nil {
 			ended++
 		}
@@ -65,7 +65,7 @@
 		t.Errorf("%d of 20 silent connections were closed, want 16", ended)
 	}
 	h.Close()
-	if err := standin.Await(t, "the listener to close", served); err == nil {
+	if err := testsupport.Await(t, "the listener to close", served); err == nil {
 		t.Error("the closed listener still accepts")
 	}
 }
--- a/internal/net/transport/healthcheck_test.go
+++ b/internal/net/transport/healthcheck_test.go
@@ -12,7 +12,7 @@
 
 	"otterturn/internal/logs"
 	"otterturn/internal/net/protocol"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
@@ -67,11 +67,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	lists, logged := make(chan protocol.List, 1), make(chan string, 16)
-	go Watch(ctx, addr, 41, []string{"b", "a"}, standin.Limits(), 1, systemTime, func(l protocol.List) {
+	go Watch(ctx, addr, 41, []string{"b", "a"}, testsupport.Limits(), 1, systemTime, func(l protocol.List) {
 		lists <- l
 		<-ctx.Done()
-	}, standin.Log(func(line string) { logged <- line }))
-	got := standin.Await(t, "the list", lists)
+	}, testsupport.Log(func(line string) { logged <- line }))
+	got := testsupport.Await(t, "the list", lists)
 	want := protocol.Host{Dial: "127.0.0.1:1", Endpoint: scheduler.Endpoint{
 		Node: "x", Zone: 1, Shard: 3,
 		State: scheduler.Draining, StartedAt: 5000,
@@ -80,11 +80,11 @@
 		t.Errorf("list %+v, want one draining host x and version 42", got)
 	}
 	for range len(invalidTexts) + 1 {
-		if query := standin.Await(t, "a discovery call", calls); !strings.HasPrefix(query, "from=41&hold_ms=") {
+		if query := testsupport.Await(t, "a discovery call", calls); !strings.HasPrefix(query, "from=41&hold_ms=") {
 			t.Errorf("call with query %q, want it from version 41", query)
 		}
 	}
-	if pause := standin.Limits().Discovery.RetryMin; pause > 150*time.Millisecond {
+	if pause := testsupport.Limits().Discovery.RetryMin; pause > 150*time.Millisecond {
 		t.Errorf("pause of %v between two calls, want at most 150 ms", pause)
 	}
 	if len(logged) != len(invalidTexts) {
--- a/internal/net/transport/listener.go
+++ b/internal/net/transport/listener.go
@@ -10,7 +10,7 @@
 
 	"otterturn/internal/lifecycle"
 	"otterturn/internal/net/accept"
-	"otterturn/internal/net/steady"
+	"otterturn/internal/net/retryconn"
 )
 
 // listener passes connections to net/http, within the limit on open connections: those that it accepts, and those that
@@ -78,7 +78,7 @@
 		if raw != nil {
 			l.clients.addPending(1)
 			if delay := l.accepting.Delay(); delay > 0 {
-				next.delay = min(delay, timeSinceLastReceived(steady.Innermost(raw), delay))
+				next.delay = min(delay, timeSinceLastReceived(retryconn.Innermost(raw), delay))
 			}
 		}
 		select {
@@ -146,9 +146,9 @@
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
-	c := &clientConn{Conn: next.conn, raw: steady.Innermost(next.conn), clients: l.clients, acceptDelay: next.delay}
+	c := &clientConn{Conn: next.conn, raw: retryconn.Innermost(next.conn), clients: l.clients, acceptDelay: next.delay}
 	if _, isTLS := next.conn.(*tls.Conn); !isTLS { // a TLS connection has it on the connection below
-		c.Conn = steady.Conn{Conn: next.conn}
+		c.Conn = retryconn.Conn{Conn: next.conn}
 	}
 	l.clients.add(c)
 	return c, nil
--- a/internal/net/transport/nodes/dial_test.go
+++ b/internal/net/transport/nodes/dial_test.go
@@ -12,7 +12,7 @@
 
 	"otterturn/internal/limits"
 	"otterturn/internal/net/protocol"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
@@ -36,12 +36,12 @@
 // newPool returns a pool with a single node "a" that connects through d, and the number of connections that the node accepted.
 func newPool(t *testing.T, d *fakeNetwork, change func(*limits.Limits)) (*Pool[int], *atomic.Int64) {
 	accepted := new(atomic.Int64)
-	addr := standin.Peer(t, func(_ int, c net.Conn) {
+	addr := testsupport.Peer(t, func(_ int, c net.Conn) {
 		accepted.Add(1)
 		c.Read(make([]byte, 1)) // until the connection is closed
 	})
-	l := standin.Limits()
-	l.Nodes.ConnectTimeout, l.Nodes.HedgeDelay = standin.WaitTimeout, time.Millisecond
+	l := testsupport.Limits()
+	l.Nodes.ConnectTimeout, l.Nodes.HedgeDelay = testsupport.WaitTimeout, time.Millisecond
 	change(&l)
 	pool := New(l, Session[int]{Open: func(net.Conn) (int, error) { return 0, nil }, Alive: func(net.Conn, int) bool { return true }})
 	pool.dialer = d.dial
@@ -52,7 +52,7 @@
 // waitForOpen waits until the pool counts the given number of connections and attempts to open one.
 func waitForOpen(t *testing.T, pool *Pool[int], open int) {
 	t.Helper()
-	end := time.After(standin.WaitTimeout)
+	end := time.After(testsupport.WaitTimeout)
 	for {
 		pool.mu.Lock()
 		freed, counted := pool.placeFreed, pool.open
--- a/internal/net/transport/nodes/nodes_test.go
+++ b/internal/net/transport/nodes/nodes_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"otterturn/internal/net/protocol"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
@@ -16,11 +16,11 @@
 // reused for a short time. Opening a new connection in each such case caused a fifth of all handshakes of a fleet.
 func TestAcquireWaitsForReleasedConnection(t *testing.T) {
 	var opened atomic.Int64
-	addr := standin.Peer(t, func(_ int, c net.Conn) {
+	addr := testsupport.Peer(t, func(_ int, c net.Conn) {
 		opened.Add(1)
 		c.Read(make([]byte, 1)) // until the connection is closed
 	})
-	l := standin.Limits()
+	l := testsupport.Limits()
 	l.Nodes.ReuseDelay = 20 * time.Millisecond
 	pool := New(l, Session[int]{Open: func(net.Conn) (int, error) { return 0, nil }, Alive: func(net.Conn, int) bool { return true }})
 	pool.Apply(protocol.List{Full: true, Hosts: []protocol.Host{{Dial: addr, Endpoint: scheduler.Endpoint{Node: "a"}}}})
--- a/internal/net/transport/peers_test.go
+++ b/internal/net/transport/peers_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"otterturn/internal/net/protocol"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 	"otterturn/scheduler/slowstart"
 )
@@ -31,13 +31,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	lists := make(chan protocol.List, 1)
-	nodes := NewNodes(standin.Limits())
-	go Watch(ctx, addr, FullList, []string{"hall-a"}, standin.Limits(), 1, systemTime, func(l protocol.List) {
+	nodes := NewNodes(testsupport.Limits())
+	go Watch(ctx, addr, FullList, []string{"hall-a"}, testsupport.Limits(), 1, systemTime, func(l protocol.List) {
 		nodes.Apply(l)
 		lists <- l
 		<-ctx.Done()
-	}, standin.Log(func(line string) { t.Error(line) }))
-	if got := standin.Await(t, "the list to be applied", lists); len(got.Hosts) != nodeCount || len(nodes.States()) != nodeCount {
+	}, testsupport.Log(func(line string) { t.Error(line) }))
+	if got := testsupport.Await(t, "the list to be applied", lists); len(got.Hosts) != nodeCount || len(nodes.States()) != nodeCount {
 		t.Errorf("%d nodes read, %d kept", len(got.Hosts), len(nodes.States()))
 	}
 }
@@ -54,7 +54,7 @@
 		c.Close()
 	}
 	for _, a := range addrs {
-		p, err := ListenPeers(a, addrs, standin.Limits(), standin.Log(logLine))
+		p, err := ListenPeers(a, addrs, testsupport.Limits(), testsupport.Log(logLine))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -72,17 +72,17 @@
 	peers, received := startPeers(t, 2, func(line string) { logged <- line })
 	capacity := slowstart.CapacityRequest{Units: 2, MinUnits: 1, Report: slowstart.LoadReport{Served: 3.5, Units: 7.25, Time: 0.125}}
 	peers[0].Send(1, scheduler.RequestCapacity{To: 1, Node: "s-1", CapacityRequest: capacity})
-	if got, want := standin.Await(t, "a capacity request", received[1]), (scheduler.CapacityRequested{From: 0, Node: "s-1", CapacityRequest: capacity}); got != want {
+	if got, want := testsupport.Await(t, "a capacity request", received[1]), (scheduler.CapacityRequested{From: 0, Node: "s-1", CapacityRequest: capacity}); got != want {
 		t.Errorf("received %v, want %v", got, want)
 	}
 	peers[1].Send(0, scheduler.GrantCapacity{To: 0, Node: "s-1", Units: 2, ValidUntil: 17})
-	if got, want := standin.Await(t, "a grant", received[0]), (scheduler.CapacityGranted{From: 1, Node: "s-1", Units: 2, ValidUntil: 17}); got != want {
+	if got, want := testsupport.Await(t, "a grant", received[0]), (scheduler.CapacityGranted{From: 1, Node: "s-1", Units: 2, ValidUntil: 17}); got != want {
 		t.Errorf("received %v, want %v", got, want)
 	}
 	// Messages that can't be parsed, that come from other senders or that are too long do not stop the receiver.
 	peers[0].Send(7, scheduler.RequestCapacity{To: 7, Node: "s-1"})
 	peers[0].conn.WriteToUDPAddrPort([]byte("ask x 1 1 1 1 5 s-1"), peers[1].addrs[1])
-	if line := standin.Await(t, "a log line", logged); !strings.Contains(line, "units") {
+	if line := testsupport.Await(t, "a log line", logged); !strings.Contains(line, "units") {
 		t.Errorf("log line %q, want the name of the field", line)
 	}
 	stranger, err := net.Dial("udp4", peers[1].addrs[1].String())
@@ -93,7 +93,7 @@
 	stranger.Write([]byte("grant 2.000 17 s-1"))
 	peers[0].conn.WriteToUDPAddrPort(make([]byte, 400), peers[1].addrs[1])
 	peers[0].Send(1, scheduler.RequestCapacity{To: 1, Node: "s-2", CapacityRequest: capacity})
-	if got := standin.Await(t, "the next capacity request", received[1]); got.(scheduler.CapacityRequested).Node != "s-2" {
+	if got := testsupport.Await(t, "the next capacity request", received[1]); got.(scheduler.CapacityRequested).Node != "s-2" {
 		t.Errorf("received %v", got)
 	}
 }
@@ -112,7 +112,7 @@
 	}
 	var peers []*Peers
 	for _, a := range addrs {
-		p, err := ListenPeers(a, addrs, standin.Limits(), standin.Log(func(line string) { t.Error(line) }))
+		p, err := ListenPeers(a, addrs, testsupport.Limits(), testsupport.Log(func(line string) { t.Error(line) }))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -136,15 +136,15 @@
 	}
 	peers[0].SendBytes(7, []byte("!nobody"))
 	peers[0].SendBytes(1, []byte("!mine"))
-	if got := standin.Await(t, "the intercepted datagram", intercepted); got != (datagram{0, "!mine"}) {
+	if got := testsupport.Await(t, "the intercepted datagram", intercepted); got != (datagram{0, "!mine"}) {
 		t.Errorf("intercepted %+v", got)
 	}
 	peers[0].SendBytes(1, []byte("odd"))
-	if err := standin.Await(t, "a dropped datagram", drops); !strings.Contains(err.Error(), "no kind") {
+	if err := testsupport.Await(t, "a dropped datagram", drops); !strings.Contains(err.Error(), "no kind") {
 		t.Error(err)
 	}
 	peers[0].SendBytes(1, make([]byte, protocol.MaxPeerMessageBytes+40))
-	if err := standin.Await(t, "a dropped datagram", drops); err != ErrTooLong {
+	if err := testsupport.Await(t, "a dropped datagram", drops); err != ErrTooLong {
 		t.Error(err)
 	}
 	stranger, err := net.Dial("udp4", addrs[1].String())
@@ -153,11 +153,11 @@
 	}
 	defer stranger.Close()
 	stranger.Write([]byte("!mine"))
-	if err := standin.Await(t, "a dropped datagram", drops); err != ErrNoPeer {
+	if err := testsupport.Await(t, "a dropped datagram", drops); err != ErrNoPeer {
 		t.Error(err)
 	}
 	peers[0].Send(1, scheduler.GrantCapacity{To: 1, Node: "s-1", Units: 2, ValidUntil: 17})
-	if got := standin.Await(t, "a grant", received); got.(scheduler.CapacityGranted).Node != "s-1" {
+	if got := testsupport.Await(t, "a grant", received); got.(scheduler.CapacityGranted).Node != "s-1" {
 		t.Errorf("received %v", got)
 	}
 }
--- a/internal/net/transport/races_test.go
+++ b/internal/net/transport/races_test.go
@@ -15,7 +15,7 @@
 	"otterturn/internal/lifecycle"
 	"otterturn/internal/limits"
 	"otterturn/internal/net/routing"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
@@ -46,11 +46,11 @@
 			_, core, front := startFront(t, func(l *limits.Limits) { l.Nodes.ReuseDelay, l.Nodes.Conns = 0, 1 }, addr)
 			first, second := dialClient(t, front), dialClient(t, front)
 			io.WriteString(first, fmt.Sprintf(requestHead, "first")+"\r\n")
-			standin.Await(t, "the first attempt to begin", started)
+			testsupport.Await(t, "the first attempt to begin", started)
 			io.WriteString(second, fmt.Sprintf(requestHead, "second")+"\r\n")
-			standin.WaitFor(t, "the second request to be open", func() bool { return core.Tally().Open == 2 })
+			testsupport.WaitFor(t, "the second request to be open", func() bool { return core.Tally().Open == 2 })
 			leave(second)
-			standin.WaitFor(t, "its client to be noticed as gone", func() bool { return core.Tally().ClientsLeft >= 1 })
+			testsupport.WaitFor(t, "its client to be noticed as gone", func() bool { return core.Tally().ClientsLeft >= 1 })
 			close(proceed)
 			if r, _ := first.roundTrip(t, ""); r.StatusCode != 200 {
 				t.Errorf("first request: status %d", r.StatusCode)
@@ -100,7 +100,7 @@
 			t.Errorf("attempt %d received the answer %q", i, body)
 		}
 	}
-	standin.Await(t, "the late answer to be sent", late)
+	testsupport.Await(t, "the late answer to be sent", late)
 }
 
 // Pipelined requests are answered in order, also after a request with a body.
@@ -148,7 +148,7 @@
 // acceptClient returns a client's connection as the front has it, and its other end.
 func acceptClient(t *testing.T) (s *clientConns, c *clientConn, far *net.TCPConn) {
 	t.Helper()
-	l := standin.Listen(t)
+	l := testsupport.Listen(t)
 	t.Cleanup(func() { l.Close() })
 	other, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -159,7 +159,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { near.Close(); other.Close() })
-	bounds := standin.Limits()
+	bounds := testsupport.Limits()
 	s = newClientConns(bounds, lifecycle.New(bounds.Stop, slog.New(slog.DiscardHandler)))
 	c = &clientConn{Conn: near, raw: near, clients: s}
 	s.addPending(1)
@@ -180,18 +180,18 @@
 	if left := s.endIdle(time.Now().Add(time.Hour)); left != 1 {
 		t.Errorf("%d connections left, want 1", left)
 	}
-	if err := standin.Await(t, "the read to end", read); err != io.EOF {
+	if err := testsupport.Await(t, "the read to end", read); err != io.EOF {
 		t.Fatal(err)
 	}
 	io.WriteString(far, "GET /late HTTP/1.1\r\n\r\n") // a request while the connection is being closed
 	closed := make(chan error, 1)
 	go func() { closed <- c.Close() }()
-	far.SetReadDeadline(time.Now().Add(standin.WaitTimeout))
+	far.SetReadDeadline(time.Now().Add(testsupport.WaitTimeout))
 	if answer, err := io.ReadAll(far); err != nil || string(answer) != "x" { // not reset
 		t.Errorf("the client reads %q, %v", answer, err)
 	}
 	far.Close()
-	standin.Await(t, "the connection to close", closed)
+	testsupport.Await(t, "the connection to close", closed)
 	if s.count() != 0 || s.closingCount != 0 {
 		t.Errorf("%d connections, %d of them closing; want none", s.count(), s.closingCount)
 	}
@@ -201,7 +201,7 @@
 func TestRequestArrivingAtIdleCloseIsRead(t *testing.T) {
 	s, c, far := acceptClient(t)
 	io.WriteString(far, "GET ")
-	standin.WaitFor(t, "the request to arrive", c.hasPendingInput)
+	testsupport.WaitFor(t, "the request to arrive", c.hasPendingInput)
 	s.endIdle(time.Now().Add(time.Hour))
 	p := make([]byte, 16)
 	if n, err := c.Read(p); err != nil || string(p[:n]) != "GET " {
@@ -225,7 +225,7 @@
 	c := dialClient(t, front)
 	for i := range 200 {
 		io.WriteString(c, fmt.Sprintf(requestHead, fmt.Sprint("id-", i))+"\r\n")
-		standin.Await(t, "the attempt to begin", started)
+		testsupport.Await(t, "the attempt to begin", started)
 		wake := func() {
 			f.clients.mu.Lock()
 			defer f.clients.mu.Unlock()
--- a/internal/net/transport/sftp/disconnect.go
+++ b/internal/net/transport/sftp/disconnect.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"otterturn/internal/net/steady"
+	"otterturn/internal/net/retryconn"
 )
 
 // watchDisconnect cancels a client's commands when the client disconnects, until ended is closed. Packets that a client sends ahead
@@ -30,7 +30,7 @@
 
 // peerClosed reports whether the peer of a connection has closed its sending side or reset the connection.
 func peerClosed(c net.Conn) bool {
-	s, ok := steady.Innermost(c).(syscall.Conn)
+	s, ok := retryconn.Innermost(c).(syscall.Conn)
 	if !ok {
 		return false
 	}
--- a/internal/net/transport/sftp/front.go
+++ b/internal/net/transport/sftp/front.go
@@ -13,8 +13,8 @@
 	"otterturn/internal/limits"
 	"otterturn/internal/net/accept"
 	files "otterturn/internal/net/protocol/sftp"
+	"otterturn/internal/net/retryconn"
 	"otterturn/internal/net/routing"
-	"otterturn/internal/net/steady"
 	"otterturn/scheduler"
 )
 
@@ -97,7 +97,7 @@
 			return err
 		}
 		if _, secure := c.(*tls.Conn); !secure { // a TLS connection is already wrapped below TLS
-			c = steady.Conn{Conn: c}
+			c = retryconn.Conn{Conn: c}
 		}
 		if !f.admit(newClientConn(f, c)) {
 			c.Close() // SFTP has no status for "too many clients" before a session
--- a/internal/net/transport/sftp/front_test.go
+++ b/internal/net/transport/sftp/front_test.go
@@ -18,7 +18,7 @@
 	"otterturn/internal/net/protocol"
 	files "otterturn/internal/net/protocol/sftp"
 	"otterturn/internal/net/routing"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
@@ -34,14 +34,14 @@
 
 func newTestbed(t *testing.T, wait time.Duration, edit func(*limits.Limits), nodes ...string) *testbed {
 	t.Helper()
-	l := standin.Limits()
+	l := testsupport.Limits()
 	if edit != nil {
 		edit(&l)
 	}
 	b := &testbed{t: t, client: NewClient(l)}
-	set := standin.Settings()
+	set := testsupport.Settings()
 	set.HealthChecks = true
-	b.core = standin.StartCore(t, set, b.client.Probe(l))
+	b.core = testsupport.StartCore(t, set, b.client.Probe(l))
 	list := protocol.List{Full: true}
 	for i, addr := range nodes {
 		list.Hosts = append(list.Hosts, host(i, addr, scheduler.Running))
@@ -54,13 +54,13 @@
 		TimeLimits: [files.Roles]time.Duration{wait, wait, wait, wait},
 		RetryAfter: time.Second,
 	}, l, b.core, b.client.Attempt)
-	listener := standin.Listen(t)
+	listener := testsupport.Listen(t)
 	b.listen, b.addr = listener, listener.Addr().String()
 	served := make(chan error, 1)
 	go func() { served <- b.front.Serve(listener) }()
 	t.Cleanup(func() {
 		b.front.Stop(listener)
-		if err := standin.Await(t, "the return of Serve", served); err != nil {
+		if err := testsupport.Await(t, "the return of Serve", served); err != nil {
 			t.Error(err)
 		}
 	})
@@ -91,7 +91,7 @@
 }
 
 func TestFileCommands(t *testing.T) {
-	one, two := standin.NewFileServer(t), standin.NewFileServer(t)
+	one, two := testsupport.NewFileServer(t), testsupport.NewFileServer(t)
 	b := newTestbed(t, 5*time.Second, nil, one.Addr, two.Addr)
 	c := b.dial()
 	for _, root := range []string{"/a", "/b"} {
@@ -165,7 +165,7 @@
 // Guards against the retry of a command that is not idempotent. A node closes the connection after it has executed a command, so the
 // front can't know whether the command ran. It may retry only what the class allows, and the client gets one answer.
 func TestInterruptedCommandIsRetriedOnlyIfItsClassAllows(t *testing.T) {
-	node := standin.NewFileServer(t)
+	node := testsupport.NewFileServer(t)
 	var armed atomic.Value
 	armed.Store("")
 	node.After = func(op, _ string) bool { return armed.CompareAndSwap(op, "") }
@@ -210,7 +210,7 @@
 // Guards against a truncated write and a leaked request when a client's connection breaks inside a packet of an upload: the
 // incomplete packet must not reach a node, and the client's requests must end.
 func TestDisconnectDuringUploadCancelsRequests(t *testing.T) {
-	node := standin.NewFileServer(t)
+	node := testsupport.NewFileServer(t)
 	started, resume := make(chan struct{}, 1), make(chan struct{})
 	node.Before = func(op, _ string) bool {
 		if op == "Write" {
@@ -227,11 +227,11 @@
 	raw := b.raw()
 	handle := raw.create(t, "/a/cut")
 	raw.send(6, handle, uint64(0), "whole")
-	standin.Await(t, "the complete write at the node", started)
-	half := standin.Command(6, 9, handle, uint64(5), "cut off")
+	testsupport.Await(t, "the complete write at the node", started)
+	half := testsupport.Command(6, 9, handle, uint64(5), "cut off")
 	raw.Write(half[:len(half)-3])
 	raw.Close()
-	standin.WaitFor(t, "the end of the client's requests", func() bool { return b.core.Tally().Open == 0 })
+	testsupport.WaitFor(t, "the end of the client's requests", func() bool { return b.core.Tally().Open == 0 })
 	close(resume)
 	if n := node.Count("Write", "/a/cut"); n != 1 {
 		t.Errorf("%d writes reached the node, want only the complete one", n)
@@ -242,7 +242,7 @@
 }
 
 func TestListingWhileItsNodeDrains(t *testing.T) {
-	node := standin.NewFileServer(t)
+	node := testsupport.NewFileServer(t)
 	started, resume := make(chan struct{}, 1), make(chan struct{})
 	node.Before = func(op, _ string) bool {
 		if op == "List" {
@@ -262,7 +262,7 @@
 		_, err := b.dial().ReadDir("/a")
 		out <- err
 	}()
-	standin.Await(t, "the listing at the node", started)
+	testsupport.Await(t, "the listing at the node", started)
 	b.updateEndpoints(protocol.List{Hosts: []protocol.Host{host(0, node.Addr, scheduler.Draining)}})
 	began := time.Now()
 	_, err := c.ReadDir("/a")
@@ -272,7 +272,7 @@
 	if took := time.Since(began); took >= wait {
 		t.Errorf("answered after %v, want before the deadline", took)
 	}
-	successor := standin.NewFileServer(t)
+	successor := testsupport.NewFileServer(t)
 	next := host(0, successor.Addr, scheduler.Running)
 	next.Node = "node-a2" // holds the same shard
 	b.updateEndpoints(protocol.List{Hosts: []protocol.Host{next}})
@@ -280,7 +280,7 @@
 		t.Errorf("listing at the replacement node, which is empty: %v", err)
 	}
 	close(resume)
-	if err := standin.Await(t, "the listing in progress", out); err != nil {
+	if err := testsupport.Await(t, "the listing in progress", out); err != nil {
 		t.Errorf("listing in progress when the drain was announced: %v", err)
 	}
 	if n := node.Count("List", "/a"); n != 1 {
@@ -290,19 +290,19 @@
 
 // Checks that the front answers a command by its deadline when the node accepts it and never answers.
 func TestSilentNodeIsAnsweredByTheDeadline(t *testing.T) {
-	silent := standin.Peer(t, func(_ int, c net.Conn) { io.Copy(io.Discard, c) })
+	silent := testsupport.Peer(t, func(_ int, c net.Conn) { io.Copy(io.Discard, c) })
 	b := newTestbed(t, 300*time.Millisecond, func(l *limits.Limits) { l.Nodes.ConnectTimeout = 100 * time.Millisecond }, silent)
 	if _, err := b.dial().Stat("/a/x"); err == nil || errors.Is(err, os.ErrNotExist) {
 		t.Errorf("stat: %v", err)
 	}
-	standin.WaitFor(t, "the end of the request", func() bool { return b.core.Tally().Open == 0 })
+	testsupport.WaitFor(t, "the end of the request", func() bool { return b.core.Tally().Open == 0 })
 }
 
 // Guards against a panic of the front. A node that answers every command with the status OK makes the SFTP library return neither
 // the file nor the attributes. A node with truncated answers must not harm the front either.
 func TestNodeWithUnexpectedAnswers(t *testing.T) {
 	for name, status := range map[string][]byte{"ok": {0, 0, 0, 0}, "truncated": nil} {
-		broken := standin.Peer(t, func(_ int, c net.Conn) {
+		broken := testsupport.Peer(t, func(_ int, c net.Conn) {
 			for r := (&rawConn{c}); ; {
 				kind, body := r.reply()
 				if kind == 0 {
@@ -328,14 +328,14 @@
 
 // Checks that a malformed packet ends only its own connection.
 func TestMalformedPacketsEndOnlyTheirConnection(t *testing.T) {
-	node := standin.NewFileServer(t)
+	node := testsupport.NewFileServer(t)
 	b := newTestbed(t, 5*time.Second, nil, node.Addr)
 	for name, bad := range map[string][]byte{
 		"unknown kind":    {0, 0, 0, 5, 99, 0, 0, 0, 1},
 		"empty":           {0, 0, 0, 0},
 		"far too long":    {0x7f, 0xff, 0xff, 0xff, 3},
 		"string too long": {0, 0, 0, 9, 17, 0, 0, 0, 1, 0xff, 0xff, 0xff, 0xff},
-		"short setstat":   standin.Command(9, 1, "/a", uint32(0xf)),
+		"short setstat":   testsupport.Command(9, 1, "/a", uint32(0xf)),
 	} {
 		raw := b.raw()
 		raw.Write(bad)
@@ -356,7 +356,7 @@
 // Checks that each command gets exactly one answer, with commands of many kinds in progress and a node that breaks the connection
 // at every third operation.
 func TestEveryAcceptedCommandHasOneAnswer(t *testing.T) {
-	node := standin.NewFileServer(t)
+	node := testsupport.NewFileServer(t)
 	var ops atomic.Int64
 	cut := func(_, _ string) bool { return ops.Add(1)%3 == 0 }
 	b := newTestbed(t, 2*time.Second, nil, node.Addr)
@@ -372,15 +372,15 @@
 			kind, path := kinds[int(i)%len(kinds)], "/a/"+string(rune('a'+i%7))
 			switch kind {
 			case 3:
-				raw.Write(standin.Command(kind, i, path, uint32(0x0a), uint32(0)))
+				raw.Write(testsupport.Command(kind, i, path, uint32(0x0a), uint32(0)))
 			case 14, 9:
-				raw.Write(standin.Command(kind, i, path, uint32(0)))
+				raw.Write(testsupport.Command(kind, i, path, uint32(0)))
 			case 18:
-				raw.Write(standin.Command(kind, i, path, path+"x"))
+				raw.Write(testsupport.Command(kind, i, path, path+"x"))
 			case 200:
-				raw.Write(standin.Command(kind, i, "unknown@otterturn", uint32(0)))
+				raw.Write(testsupport.Command(kind, i, "unknown@otterturn", uint32(0)))
 			default:
-				raw.Write(standin.Command(kind, i, path))
+				raw.Write(testsupport.Command(kind, i, path))
 			}
 		}
 	}()
@@ -400,7 +400,7 @@
 
 // Checks a stop while commands are in progress: each accepted command is answered, no other is accepted, and the connection ends.
 func TestStopAnswersAcceptedCommands(t *testing.T) {
-	node := standin.NewFileServer(t)
+	node := testsupport.NewFileServer(t)
 	const n = 6
 	started, resume := make(chan struct{}, n), make(chan struct{})
 	node.Before = func(op, _ string) bool {
@@ -415,18 +415,18 @@
 	handle := raw.create(t, "/a")
 	var all []byte
 	for i := range uint32(n) {
-		all = append(all, standin.Command(6, i, handle, uint64(i), "x")...)
+		all = append(all, testsupport.Command(6, i, handle, uint64(i), "x")...)
 	}
-	raw.Write(append(all, standin.Command(6, n, handle, uint64(n), "x")[:9]...)) // and one that stays incomplete
+	raw.Write(append(all, testsupport.Command(6, n, handle, uint64(n), "x")[:9]...)) // and one that stays incomplete
 	for range n {
-		standin.Await(t, "a write at the node", started)
+		testsupport.Await(t, "a write at the node", started)
 	}
 	stopped := make(chan struct{})
 	go func() {
 		b.front.Stop(b.listen)
 		close(stopped)
 	}()
-	standin.WaitFor(t, "the start of the stop", func() bool {
+	testsupport.WaitFor(t, "the start of the stop", func() bool {
 		b.front.mu.Lock()
 		defer b.front.mu.Unlock()
 		return b.front.closing
@@ -444,11 +444,11 @@
 		t.Errorf("%d writes answered, then a packet of kind %d", len(seen), kind)
 	}
 	raw.Close()
-	standin.Await(t, "the return of Stop", stopped)
+	testsupport.Await(t, "the return of Stop", stopped)
 }
 
 func TestClientLimits(t *testing.T) {
-	node := standin.NewFileServer(t)
+	node := testsupport.NewFileServer(t)
 	b := newTestbed(t, 2*time.Second, func(l *limits.Limits) { l.Files.Handles, l.Files.Conns = 2, 2 }, node.Addr)
 	c := b.dial()
 	if err := c.Mkdir("/a"); err != nil {
@@ -490,7 +490,7 @@
 		b.t.Fatal(err)
 	}
 	b.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(standin.WaitTimeout))
+	c.SetDeadline(time.Now().Add(testsupport.WaitTimeout))
 	c.Write([]byte{0, 0, 0, 5, 1, 0, 0, 0, 3})
 	r := &rawConn{c}
 	if kind, _ := r.reply(); kind != 2 {
@@ -510,7 +510,7 @@
 	return string(reply[8:])
 }
 
-func (r *rawConn) send(kind byte, fields ...any) { r.Write(standin.Command(kind, 0, fields...)) }
+func (r *rawConn) send(kind byte, fields ...any) { r.Write(testsupport.Command(kind, 0, fields...)) }
 
 // reply reads a packet. The kind is 0 if the connection has ended.
 func (r *rawConn) reply() (kind byte, body []byte) {
--- a/internal/net/transport/sftp/upload_test.go
+++ b/internal/net/transport/sftp/upload_test.go
@@ -16,7 +16,7 @@
 
 	"otterturn/internal/limits"
 	"otterturn/internal/net/protocol"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
@@ -30,7 +30,7 @@
 	for answered < chunks {
 		for sent < chunks && sent-answered < uint32(ahead) {
 			from := int(sent) * chunk
-			r.Write(standin.Command(6, sent, handle, uint64(from), string(content[from:min(from+chunk, len(content))])))
+			r.Write(testsupport.Command(6, sent, handle, uint64(from), string(content[from:min(from+chunk, len(content))])))
 			sent++
 		}
 		kind, body := r.reply()
@@ -40,14 +40,14 @@
 		last = binary.BigEndian.Uint32(body[4:])
 		answered++
 	}
-	return r.status(standin.Command(4, chunks, handle)) == 0 && last == 0
+	return r.status(testsupport.Command(4, chunks, handle)) == 0 && last == 0
 }
 
 // rawWithFolder creates the folder /a and returns the client that did so.
 func (b *testbed) rawWithFolder() *rawConn {
 	b.t.Helper()
 	raw := b.raw()
-	if code := raw.status(standin.Command(14, 0, "/a", uint32(0))); code != 0 {
+	if code := raw.status(testsupport.Command(14, 0, "/a", uint32(0))); code != 0 {
 		b.t.Fatalf("mkdir: code %d", code)
 	}
 	return raw
@@ -61,7 +61,7 @@
 }
 
 // delayWrites makes a node execute one write at a time, each with the given delay.
-func delayWrites(node *standin.FileServer, delay time.Duration) {
+func delayWrites(node *testsupport.FileServer, delay time.Duration) {
 	var busy sync.Mutex
 	node.Before = func(op, _ string) bool {
 		if op == "Write" {
@@ -105,9 +105,9 @@
 func TestUploadsToASlowNode(t *testing.T) {
 	for _, clients := range []int{1, 4} {
 		t.Run(fmt.Sprint(clients, " clients"), func(t *testing.T) {
-			node := standin.NewFileServer(t)
+			node := testsupport.NewFileServer(t)
 			delayWrites(node, 20*time.Millisecond)
-			b := newTestbed(t, time.Second, func(l *limits.Limits) { l.Files.AdmitTimeout = standin.WaitTimeout }, node.Addr)
+			b := newTestbed(t, time.Second, func(l *limits.Limits) { l.Files.AdmitTimeout = testsupport.WaitTimeout }, node.Addr)
 			data := randomContent(2 << 20 / clients)
 			b.rawWithFolder()
 			var all sync.WaitGroup
@@ -131,7 +131,7 @@
 
 // Checks that every command on a handle fails after one of its writes has failed, even if a later write had succeeded before that.
 func TestFailedWriteFailsItsHandle(t *testing.T) {
-	node := standin.NewFileServer(t)
+	node := testsupport.NewFileServer(t)
 	first, resume := make(chan struct{}, 1), make(chan struct{})
 	first <- struct{}{}
 	node.Before = func(op, _ string) bool {
@@ -148,7 +148,7 @@
 	b := newTestbed(t, 500*time.Millisecond, nil, node.Addr)
 	raw := b.rawWithFolder()
 	handle, other := raw.create(t, "/a/f"), raw.create(t, "/a/g")
-	raw.Write(slices.Concat(standin.Command(6, 1, handle, uint64(0), "a"), standin.Command(6, 2, handle, uint64(1), "b")))
+	raw.Write(slices.Concat(testsupport.Command(6, 1, handle, uint64(0), "a"), testsupport.Command(6, 2, handle, uint64(1), "b")))
 	codes := map[uint32]uint32{}
 	for range 2 {
 		_, body := raw.reply()
@@ -158,19 +158,19 @@
 		t.Fatalf("codes %v, want exactly one failed write", codes)
 	}
 	for name, command := range map[string][]byte{
-		"later write": standin.Command(6, 3, handle, uint64(2), "c"),
-		"setstat":     standin.Command(10, 4, handle, uint32(8), uint32(1), uint32(1)),
-		"fsync":       standin.Command(200, 5, "fsync@openssh.com", handle),
-		"close":       standin.Command(4, 6, handle),
+		"later write": testsupport.Command(6, 3, handle, uint64(2), "c"),
+		"setstat":     testsupport.Command(10, 4, handle, uint32(8), uint32(1), uint32(1)),
+		"fsync":       testsupport.Command(200, 5, "fsync@openssh.com", handle),
+		"close":       testsupport.Command(4, 6, handle),
 	} {
 		if name != "close" && raw.status(command) == 0 {
 			t.Errorf("%s succeeded", name)
 		}
 	}
-	if raw.status(standin.Command(4, 6, handle)) == 0 {
+	if raw.status(testsupport.Command(4, 6, handle)) == 0 {
 		t.Error("the close succeeded")
 	}
-	if raw.status(standin.Command(6, 7, other, uint64(0), "d")) != 0 || raw.status(standin.Command(4, 8, other)) != 0 {
+	if raw.status(testsupport.Command(6, 7, other, uint64(0), "d")) != 0 || raw.status(testsupport.Command(4, 8, other)) != 0 {
 		t.Error("a write or the close of the client's other file failed")
 	}
 }
@@ -178,29 +178,29 @@
 // Guards against a damaged upload that its client treats as successful: a write is rejected while the node drains, and the next one
 // would succeed. The client keeps only the last status, so all later commands on the handle must fail.
 func TestUploadWhileItsNodeDrains(t *testing.T) {
-	node := standin.NewFileServer(t)
+	node := testsupport.NewFileServer(t)
 	b := newTestbed(t, 200*time.Millisecond, nil, node.Addr)
 	raw := b.rawWithFolder()
 	handle := raw.create(t, "/a/f")
-	if raw.status(standin.Command(6, 1, handle, uint64(0), "a")) != 0 {
+	if raw.status(testsupport.Command(6, 1, handle, uint64(0), "a")) != 0 {
 		t.Fatal("the first write failed")
 	}
 	b.updateEndpoints(protocol.List{Hosts: []protocol.Host{host(0, node.Addr, scheduler.Draining)}})
-	if raw.status(standin.Command(6, 2, handle, uint64(1), "b")) == 0 {
+	if raw.status(testsupport.Command(6, 2, handle, uint64(1), "b")) == 0 {
 		t.Error("a write to a draining node succeeded")
 	}
 	b.updateEndpoints(protocol.List{Hosts: []protocol.Host{host(0, node.Addr, scheduler.Running)}})
-	if raw.status(standin.Command(6, 3, handle, uint64(2), "c")) == 0 {
+	if raw.status(testsupport.Command(6, 3, handle, uint64(2), "c")) == 0 {
 		t.Error("a write after the failed one succeeded")
 	}
-	if raw.status(standin.Command(4, 4, handle)) == 0 {
+	if raw.status(testsupport.Command(4, 4, handle)) == 0 {
 		t.Error("the close succeeded")
 	}
 }
 
 // Checks that overlapping writes take effect in the order in which they were sent, although many are in progress at once.
 func TestOverlappingWritesKeepTheirOrder(t *testing.T) {
-	node := standin.NewFileServer(t)
+	node := testsupport.NewFileServer(t)
 	var n int
 	var mu sync.Mutex
 	node.Before = func(op, _ string) bool {
@@ -220,7 +220,7 @@
 	handle := raw.create(t, "/a/f")
 	const times = 20
 	for i := range uint32(times) {
-		raw.Write(standin.Command(6, i, handle, uint64(0), fmt.Sprintf("%04d", i)))
+		raw.Write(testsupport.Command(6, i, handle, uint64(0), fmt.Sprintf("%04d", i)))
 	}
 	for range times {
 		if kind, _ := raw.reply(); kind != 101 {
--- a/internal/net/transport/streaming_test.go
+++ b/internal/net/transport/streaming_test.go
@@ -17,7 +17,7 @@
 
 	"otterturn/internal/limits"
 	"otterturn/internal/net/routing"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // putHead returns the head of a long request with a body of the given length, or of a chunked one if length is negative.
@@ -34,7 +34,7 @@
 func TestStreamedRequestBodies(t *testing.T) {
 	bodies := make(chan []byte, 1)
 	var count atomic.Int64
-	addr := standin.Peer(t, func(_ int, c net.Conn) {
+	addr := testsupport.Peer(t, func(_ int, c net.Conn) {
 		for in := bufio.NewReader(c); ; {
 			r, err := http.ReadRequest(in)
 			if err != nil {
@@ -78,11 +78,11 @@
 		if r, _ := c.roundTrip(t, end); r.StatusCode != 200 {
 			t.Errorf("length %d: status %d", length, r.StatusCode)
 		}
-		if got := standin.Await(t, "the body to reach the node", bodies); !bytes.Equal(got, want) {
+		if got := testsupport.Await(t, "the body to reach the node", bodies); !bytes.Equal(got, want) {
 			t.Errorf("length %d: the node received %d bytes that differ from the body", length, len(got))
 		}
 	}
-	brokenFront, brokenCore, brokenAddr := startFront(t, nil, standin.Peer(t, func(_ int, c net.Conn) { c.Read(make([]byte, 1)) }))
+	brokenFront, brokenCore, brokenAddr := startFront(t, nil, testsupport.Peer(t, func(_ int, c net.Conn) { c.Read(make([]byte, 1)) }))
 	if r, _ := dialClient(t, brokenAddr).roundTrip(t, putHead("broken", len(want))+string(want)); r.StatusCode != 503 {
 		t.Errorf("node that closes the connection within a body: status %d", r.StatusCode)
 	}
@@ -124,13 +124,13 @@
 		if _, err := io.CopyN(io.Discard, r.Body, size/2); err != nil {
 			t.Fatalf("sent part of the answer was not passed on: %v", err)
 		}
-		standin.WaitFor(t, "the request to be open during its answer", func() bool { return core.Tally().Open == 1 })
+		testsupport.WaitFor(t, "the request to be open during its answer", func() bool { return core.Tally().Open == 1 })
 		close(proceed)
 		n, err := io.Copy(io.Discard, r.Body)
 		if whole := err == nil && n == size/2; whole != c.whole || err != nil && !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("%.20q, %d bytes: received %d bytes in the second half, error %v", c.head, c.sent, n, err)
 		}
-		standin.WaitFor(t, "the request to end", func() bool { return core.Tally().Open == 0 })
+		testsupport.WaitFor(t, "the request to end", func() bool { return core.Tally().Open == 0 })
 	}
 }
 
@@ -175,7 +175,7 @@
 		}
 	}
 	writers.Wait()
-	standin.WaitFor(t, "the answers to be in transfer", func() bool { return core.Tally().Open == slow/2 })
+	testsupport.WaitFor(t, "the answers to be in transfer", func() bool { return core.Tally().Open == slow/2 })
 	if r, _ := dialClient(t, front).roundTrip(t, fmt.Sprintf(requestHead, "quick")+"\r\n"); r.StatusCode != 200 {
 		t.Errorf("short request during slow transfers: status %d", r.StatusCode)
 	}
@@ -204,10 +204,10 @@
 	_, core, front := startFront(t, func(l *limits.Limits) { l.Nodes.ReuseDelay, l.Nodes.Conns = 0, 1 }, free, busy)
 	first, second := dialClient(t, front), dialClient(t, front)
 	io.WriteString(first, strings.Replace(fmt.Sprintf(requestHead, "first"), "shard=0", "shard=1", 1)+"\r\n")
-	standin.Await(t, "the first attempt to begin", started)
+	testsupport.Await(t, "the first attempt to begin", started)
 	io.WriteString(second, strings.Replace(putHead("second", length), "4000m", "300m", 1)+strings.Repeat("x", length))
 	sentAt := time.Now()
-	standin.WaitFor(t, "the time of the second request to be over", func() bool { return time.Since(sentAt) > wait+200*time.Millisecond })
+	testsupport.WaitFor(t, "the time of the second request to be over", func() bool { return time.Since(sentAt) > wait+200*time.Millisecond })
 	close(proceed)
 	if r, _ := second.roundTrip(t, ""); r.StatusCode != 503 {
 		t.Errorf("request whose time is over: status %d", r.StatusCode)
--- a/internal/net/transport/timeleft_test.go
+++ b/internal/net/transport/timeleft_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"otterturn/internal/limits"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // parseTimeLeft parses the header that tells a node how long the front will wait.
@@ -46,17 +46,17 @@
 	_, core, front := startFront(t, edit, addr)
 	first, second := dialClient(t, front), dialClient(t, front)
 	io.WriteString(first, firstText)
-	standin.Await(t, "the first attempt to begin", started)
+	testsupport.Await(t, "the first attempt to begin", started)
 	io.WriteString(second, secondText)
-	standin.WaitFor(t, "the second request to be open", func() bool { return core.Tally().Open == 2 })
+	testsupport.WaitFor(t, "the second request to be open", func() bool { return core.Tally().Open == 2 })
 	openedAt := time.Now()
-	standin.WaitFor(t, "the wait of the second request to be over", func() bool { return time.Since(openedAt) > secondWait })
+	testsupport.WaitFor(t, "the wait of the second request to be over", func() bool { return time.Since(openedAt) > secondWait })
 	close(proceed)
 	if r, _ := second.roundTrip(t, ""); r.StatusCode != 200 {
 		t.Errorf("second request: status %d", r.StatusCode)
 	}
-	standin.Await(t, "the first request's time", headers)
-	return standin.Await(t, "the second request's time", headers)
+	testsupport.Await(t, "the first request's time", headers)
+	return testsupport.Await(t, "the second request's time", headers)
 }
 
 // The only connection to the node is in use, so the second attempt waits for it as for one that takes long to open. The node
--- a/internal/program/certificates.go
+++ b/internal/program/certificates.go
@@ -12,10 +12,10 @@
 	"strings"
 	"time"
 
+	"otterturn/internal/certs/certstore"
 	"otterturn/internal/certs/manager"
 	"otterturn/internal/certs/order"
 	"otterturn/internal/certs/plan"
-	"otterturn/internal/certs/vault"
 	"otterturn/internal/net/accept"
 	"otterturn/internal/net/transport"
 )
@@ -46,14 +46,14 @@
 			Name: authority.Name, Tries: authority.Tries, Window: authority.Window,
 		})
 	}
-	var v *vault.Vault
+	var store *certstore.Store
 	if len(settings.Certificates) > 0 {
 		var err error
-		if v, err = vault.Open(config.ACME.Folder); err != nil {
+		if store, err = certstore.Open(config.ACME.Folder); err != nil {
 			return fmt.Errorf("acme.folder: %w", err)
 		}
 	}
-	a.certs = manager.New(settings, v)
+	a.certs = manager.New(settings, store)
 	if err := a.certs.LoadFiles(providedFiles(config)); err != nil {
 		return fmt.Errorf("certificates: %w", err)
 	}
--- a/internal/state/saver/cost_test.go
+++ b/internal/state/saver/cost_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"otterturn/internal/standin"
 	"otterturn/internal/state/snapshot"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 	"otterturn/scheduler/curve"
 	"otterturn/scheduler/tokenbucket"
@@ -15,7 +15,7 @@
 
 // loadedScheduler returns a scheduler with learned state of the given number of nodes and ten volumes per node, all with a limit.
 func loadedScheduler(tb testing.TB, nodes int) (*scheduler.Scheduler, scheduler.Micros) {
-	settings := standin.Settings()
+	settings := testsupport.Settings()
 	settings.Plans = []scheduler.Plan{{Weight: 1, Limit: 12, Burst: 36}}
 	settings.Lease, settings.RecordLifetime = 500_000, 30_000_000
 	s, err := scheduler.New(settings, 1)
--- a/internal/state/saver/limit_test.go
+++ b/internal/state/saver/limit_test.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"testing"
 
-	"otterturn/internal/standin"
 	"otterturn/internal/state/decay"
 	"otterturn/internal/state/snapshot"
+	"otterturn/internal/testsupport"
 	"otterturn/scheduler"
 )
 
@@ -32,7 +32,7 @@
 const volume = "limited"
 
 func newFront(t *testing.T, seed uint64) *simulatedFront {
-	settings := standin.Settings()
+	settings := testsupport.Settings()
 	settings.Plans = []scheduler.Plan{{Weight: 1, Limit: 12, Burst: 36}}
 	settings.Lease, settings.RecordLifetime = 500_000, 6_000_000
 	f := &simulatedFront{t: t, rng: rand.New(rand.NewPCG(seed, 1)), settings: settings, now: 1_800_000_000_000_000}
--- a/internal/standin/packet.go
+++ b/internal/testsupport/packet.go
@@ -1,4 +1,4 @@
-package standin
+package testsupport
 
 import "encoding/binary"
 
@@ -18,7 +18,7 @@
 		case uint64:
 			body = binary.BigEndian.AppendUint64(body, f)
 		default:
-			panic("standin.Command: field type has no SFTP encoding")
+			panic("testsupport.Command: field type has no SFTP encoding")
 		}
 	}
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
--- a/internal/standin/relay.go
+++ b/internal/testsupport/relay.go
@@ -1,4 +1,4 @@
-package standin
+package testsupport
 
 import (
 	"bytes"
--- a/internal/standin/standin.go
+++ b/internal/testsupport/testsupport.go
@@ -1,6 +1,6 @@
-// Package standin provides test doubles and helpers that tests share: scripted peers on loopback sockets, an in-memory
+// Package testsupport provides test doubles and helpers that tests share: scripted peers on loopback sockets, an in-memory
 // SFTP file server, a relay that injects network faults, and functions that wait for a result.
-package standin
+package testsupport
 
 import (
 	"context"
