--- a/internal/lab/processes/processes_test.go
+++ b/internal/lab/processes/processes_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"otterturn/internal/program"
-	"otterturn/internal/standin"
+	"otterturn/internal/testsupport"
 )
 
 // asFront is the environment variable that makes the test binary run as a front, like the built program.
@@ -78,7 +78,7 @@
 	}
 }
 
-// After a change discovery sends each front the changed entries; after SIGHUP it sends each front the whole list.
+// After a change discovery sends each front the changed entries; after SIGHUP it sends each front the full list.
 func TestEntriesSentForChangeAndReload(t *testing.T) {
 	for _, onRequest := range []bool{false, true} {
 		const fronts, listed = 2, 30
@@ -105,7 +105,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetReadDeadline(time.Now().Add(standin.WaitTimeout))
+		c.SetReadDeadline(time.Now().Add(testsupport.WaitTimeout))
 		return c
 	}
 	first, last := listen(0), listen(2)
