--- a/internal/testsupport/testsupport.go
+++ b/internal/testsupport/testsupport.go
@@ -63,18 +63,35 @@
 	return core
 }
 
-// Listen opens a port on a loopback address that only this process uses. On a shared address the tests of another package
-// took a port that a test had closed, in order to have connections refused there or to let a program open it.
+// Listen opens a port on a loopback address that only this process uses, one that it has not returned before in a running test.
+// Tests close a port in order to have connections refused there or to let a program open it; a later listener of the same
+// process or of another package's tests must not take that port.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
 	pid := os.Getpid()
-	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>16&0x3f, pid>>8&0xff, pid&0xff))
-	if err != nil {
-		t.Fatal(err)
+	host := fmt.Sprintf("127.%d.%d.%d", 1+pid>>16&0x3f, pid>>8&0xff, pid&0xff)
+	for range maxPortAttempts {
+		l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		addr := l.Addr().String()
+		if _, inUse := portsInUse.LoadOrStore(addr, true); !inUse {
+			t.Cleanup(func() { portsInUse.Delete(addr) })
+			return l
+		}
+		l.Close()
 	}
-	return l
+	t.Fatalf("no unused port on %s in %d attempts", host, maxPortAttempts)
+	return nil
 }
 
+// maxPortAttempts limits how often Listen asks the kernel for a port.
+const maxPortAttempts = 100
+
+// portsInUse holds the addresses that Listen has returned to tests that have not ended, whether or not the port is open.
+var portsInUse sync.Map
+
 // Peer listens on loopback and calls script for each connection, numbered from 0. The listener and the connections are
 // closed when the test ends.
 func Peer(t *testing.T, script func(n int, c net.Conn)) (addr string) {
