--- a/cmd/otterturn/accept_test.go
+++ b/cmd/otterturn/accept_test.go
@@ -87,7 +87,7 @@
 	const deadline = time.Second
 	s := newShutdownSite(t, deadline, 0)
 	p, injector := s.startUnderFaults(t, unix.SYS_ACCEPT4)
-	stop := limits.Stop(deadline)
+	stop := limits.NewStopLimits(deadline)
 	began := time.Now()
 	p.Process.Signal(syscall.SIGTERM)
 	injector.Inject(faults.Rule{Call: unix.SYS_ACCEPT4, Err: unix.ENFILE, Until: began.Add((stop.Serve + stop.Answer) / 2)})
--- a/internal/lab/hollow/settings.go
+++ b/internal/lab/hollow/settings.go
@@ -116,7 +116,7 @@
 
 // limits returns the limits of a front on a platform where all fronts call the same discovery.
 func (s *Settings) limits() limits.Limits {
-	return limits.For(limits.Site{
+	return limits.New(limits.Site{
 		MemoryMB: 256, Sockets: 8192, NodeIdleTimeout: 15 * time.Second, Connect: 250 * time.Millisecond,
 		MaxDeadline: 2500 * time.Millisecond, DiscoveryFronts: s.Fronts,
 	})
--- a/internal/lab/processes/change_rows.go
+++ b/internal/lab/processes/change_rows.go
@@ -21,7 +21,7 @@
 		return out
 	}
 	pushedFit, reloadedFit := fit(toFloats(l.Plan.Fronts), slowestMs(pushed)), fit(toFloats(l.Plan.Fronts), slowestMs(reloaded))
-	spread := float64(limits.For(limits.Site{
+	spread := float64(limits.New(limits.Site{
 		MemoryMB: ampleMemoryMB, Sockets: ampleSockets, DiscoveryFronts: askers,
 	}).Discovery.StartSpread.Milliseconds())
 	note := "what the most fronts took; seen by requests that come at random, 5 ms apart on the mean up to 8 fronts and 20 ms at 32, of which " +
--- a/internal/lab/processes/memory.go
+++ b/internal/lab/processes/memory.go
@@ -74,7 +74,7 @@
 		{
 			Measure: "memory of a client connection: " + state.name, Sizes: sizeText, Fit: memoryFit, SlopeUnit: "bytes",
 			Value: megabytes(int64(memoryFit.At(sizeConnections))), ValueUnit: "MB", Budget: budgetMemory,
-			Note: fmt.Sprintf("at 3,667; limits.For reckons %d bytes each", bytesPerConnection),
+			Note: fmt.Sprintf("at 3,667; limits.New reckons %d bytes each", bytesPerConnection),
 		},
 		{
 			Measure: "descriptors of a client connection: " + state.name, Sizes: sizeText, Fit: descriptorFit, SlopeUnit: "descriptors",
@@ -134,13 +134,13 @@
 	return u, err
 }
 
-// bytesPerConnection is the memory that limits.For assumes per client connection, in bytes, a body included.
+// bytesPerConnection is the memory that limits.New assumes per client connection, in bytes, a body included.
 const bytesPerConnection = 96 << 10
 
-// computedRows returns the rows that limits.For computes, without a measurement.
+// computedRows returns the rows that limits.New computes, without a measurement.
 func computedRows() []Row {
 	allowed := func(memoryMB, sockets int) limits.Limits {
-		return limits.For(limits.Site{MemoryMB: memoryMB, Sockets: sockets, Open: 1 << 20})
+		return limits.New(limits.Site{MemoryMB: memoryMB, Sockets: sockets, Open: 1 << 20})
 	}
 	today, wide := allowed(todayMemoryMB, todaySockets), allowed(int(budgetMemory), ampleSockets)
 	minMemoryMB := int(budgetMemory)
@@ -153,12 +153,12 @@
 	}
 	return []Row{
 		{
-			Measure: "memory that limits.For wants for 3,667 client connections", Sizes: "reckoned", Value: float64(minMemoryMB), ValueUnit: "MB",
+			Measure: "memory that limits.New wants for 3,667 client connections", Sizes: "reckoned", Value: float64(minMemoryMB), ValueUnit: "MB",
 			Budget: budgetMemory,
 			Note:   fmt.Sprintf("256 MB allow %d clients and %d to nodes", wide.Clients.Conns, wide.Nodes.Conns),
 		},
 		{
-			Measure: "sockets that limits.For wants to keep 3,667 idle clients", Sizes: "reckoned", Value: float64(minSockets),
+			Measure: "sockets that limits.New wants to keep 3,667 idle clients", Sizes: "reckoned", Value: float64(minSockets),
 			ValueUnit: "descriptors",
 			Note: fmt.Sprintf("192 MB and 1,024 sockets allow %d clients, %d of them kept idle, %d to nodes",
 				today.Clients.Conns, today.Clients.KeptConns, today.Nodes.Conns),
--- a/internal/lab/sockets/site.go
+++ b/internal/lab/sockets/site.go
@@ -113,7 +113,7 @@
 }
 
 func (s *Site) front(i int) (*front, error) {
-	l := limits.For(limits.Site{MemoryMB: 192, Sockets: 1024, Connect: 250 * time.Millisecond, NodeIdleTimeout: 15 * time.Second, MaxDeadline: time.Minute})
+	l := limits.New(limits.Site{MemoryMB: 192, Sockets: 1024, Connect: 250 * time.Millisecond, NodeIdleTimeout: 15 * time.Second, MaxDeadline: time.Minute})
 	l.Stop.Accept, l.Stop.Serve, l.Stop.Exit = 0, 0, time.Millisecond // no client is left to wait for when it stops
 	f := &front{site: s, nodes: transport.NewNodes(l), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}}
 	set := s.set
--- a/internal/lifecycle/guard_test.go
+++ b/internal/lifecycle/guard_test.go
@@ -16,7 +16,7 @@
 
 func newGuard(maxDeadline time.Duration) (*Guard, *fakeClock) {
 	clock := &fakeClock{now: time.Now()}
-	g := New(limits.Stop(maxDeadline), slog.New(slog.DiscardHandler))
+	g := New(limits.NewStopLimits(maxDeadline), slog.New(slog.DiscardHandler))
 	g.clock = clock.read
 	return g, clock
 }
@@ -75,7 +75,7 @@
 // Guards against a shutdown by the settings of the process's start. A reload before SIGTERM always applies, one after it only if
 // it ends the process earlier.
 func TestReloadChangesTheShutdownLimits(t *testing.T) {
-	short, long := limits.Stop(500*time.Millisecond), limits.Stop(3*time.Second)
+	short, long := limits.NewStopLimits(500*time.Millisecond), limits.NewStopLimits(3*time.Second)
 	g, clock := newGuard(time.Second)
 	g.Reconfigure(long)
 	g.BeginShutdown(clock.now)
@@ -93,7 +93,7 @@
 }
 
 func TestEndingIsAnnounced(t *testing.T) {
-	l := limits.Stop(time.Second)
+	l := limits.NewStopLimits(time.Second)
 	l.Answer = 20 * time.Millisecond
 	g := New(l, slog.New(slog.DiscardHandler))
 	select {
--- a/internal/limits/operation.go
+++ b/internal/limits/operation.go
@@ -65,8 +65,8 @@
 	handoverTimeout     = 2 * time.Second
 )
 
-// Stop computes the limits of a graceful shutdown for the longest deadline of any class.
-func Stop(maxDeadline time.Duration) StopLimits {
+// NewStopLimits computes the limits of a graceful shutdown. maxDeadline is the longest deadline of any class.
+func NewStopLimits(maxDeadline time.Duration) StopLimits {
 	kill := min(maxDeadline, stopMaxDeadline) + stopExtra
 	return StopLimits{
 		Accept:          min(stopAccept, kill-stopServeMargin),
--- a/internal/limits/site.go
+++ b/internal/limits/site.go
@@ -14,15 +14,15 @@
 	DiscoveryFronts int           // fronts that watch one shared discovery, 0 if each front has its own agent
 }
 
-// For computes the limits of a deployment.
-func For(site Site) Limits {
+// New computes the limits of a deployment.
+func New(site Site) Limits {
 	available := divideResources(site)
 	return Limits{
 		Requests:    requestLimits(site, available),
 		Clients:     clientLimits(site, available),
 		Nodes:       nodeLimits(site, available),
 		Discovery:   discoveryLimits(site, available),
-		Stop:        Stop(site.MaxDeadline),
+		Stop:        NewStopLimits(site.MaxDeadline),
 		Control:     controlLimits(),
 		Files:       fileLimits(available),
 		Memory:      available.memory,
--- a/internal/net/routing/core_test.go
+++ b/internal/net/routing/core_test.go
@@ -214,7 +214,7 @@
 // Later requests are rejected at once and never sent.
 func TestShutdownAnswersOpenRequests(t *testing.T) {
 	core, started, proceed := newCore(t), make(chan struct{}), make(chan struct{})
-	stop := limits.Stop(time.Second)
+	stop := limits.NewStopLimits(time.Second)
 	stop.Answer = 100 * time.Millisecond
 	core.Guard = lifecycle.New(stop, slog.New(slog.DiscardHandler))
 	defer close(proceed)
--- a/internal/program/operator_settings.go
+++ b/internal/program/operator_settings.go
@@ -26,7 +26,7 @@
 	for _, c := range o.Classes {
 		maxWait = max(maxWait, c.Wait)
 	}
-	return limits.For(limits.Site{
+	return limits.New(limits.Site{
 		MemoryMB: o.Limits.MemoryMB, Sockets: o.Limits.Sockets, Open: o.Limits.Open,
 		NodeIdleTimeout: o.Limits.NodeIdle, Connect: o.Limits.Connect, MaxDeadline: maxWait,
 	})
--- a/internal/program/platform.go
+++ b/internal/program/platform.go
@@ -148,7 +148,7 @@
 // limitsOf computes the limits of a configuration.
 func limitsOf(config protocol.Config) limits.Limits {
 	settings := config.Settings
-	return limits.For(limits.Site{
+	return limits.New(limits.Site{
 		MemoryMB: config.MemoryMB, Sockets: config.Sockets, Open: settings.MaxOpen,
 		NodeIdleTimeout: settings.NodeIdleTimeout, Connect: settings.Connect, MaxDeadline: settings.MaxDeadline, DrainGrace: settings.DrainGrace,
 		DiscoveryFronts: settings.DiscoveryFronts,
--- a/internal/testsupport/testsupport.go
+++ b/internal/testsupport/testsupport.go
@@ -22,7 +22,7 @@
 
 // Limits returns limits that are high enough for any test machine.
 func Limits() limits.Limits {
-	return limits.For(limits.Site{
+	return limits.New(limits.Site{
 		MemoryMB: 192, Sockets: 1024, Connect: 2 * time.Second, NodeIdleTimeout: time.Minute,
 		MaxDeadline: 5 * time.Second,
 	})
