--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -22,7 +22,7 @@
 }
 
 func newNode(s sender, name string, shard int) *node {
-	return &node{sender: s, Node: model.New(s.world.settings.nodeFigures()), name: name, shard: shard}
+	return &node{sender: s, Node: model.New(s.world.settings.nodeParameters()), name: name, shard: shard}
 }
 
 func (n *node) handle(end scheduler.Micros, in []message) {
--- a/internal/lab/hollow/settings.go
+++ b/internal/lab/hollow/settings.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// nodeFigures returns the settings of the model of a node.
-func (s *Settings) nodeFigures() model.Parameters {
+// nodeParameters returns the parameters of the model of a node.
+func (s *Settings) nodeParameters() model.Parameters {
 	set := s.schedulerSettings(0)
 	return model.Parameters{
 		Cores: 8, Speed: 1, Room: 200, ColdFrom: set.InitialCapacity, Ramp: int64(set.SlowStart),
--- a/internal/net/control/control.go
+++ b/internal/net/control/control.go
@@ -19,7 +19,7 @@
 // Front is the front that operators query and control.
 type Front interface {
 	Ready() bool                        // reports whether this process can serve requests
-	Figures() (protocol.Metrics, error) // must return within a bounded time
+	Metrics() (protocol.Metrics, error) // must return within a bounded time
 	Ban(node, by string) bool           // bans a node before it returns; false if the node is unknown
 	EndBan(node, by string) bool        // ends the ban of a node; false if the node is unknown
 }
@@ -67,7 +67,7 @@
 }
 
 func (s *Server) stats(w http.ResponseWriter, _ *http.Request) {
-	f, err := s.front.Figures()
+	f, err := s.front.Metrics()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
--- a/internal/program/control.go
+++ b/internal/program/control.go
@@ -41,8 +41,8 @@
 	return known
 }
 
-// Figures returns the metrics of this process.
-func (p *platform) Figures() (protocol.Metrics, error) {
+// Metrics returns the metrics of this process.
+func (p *platform) Metrics() (protocol.Metrics, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.limits.Control.ReportTimeout)
 	defer cancel()
 	avoided, err := p.core.AvoidedNodes(ctx)
