--- a/internal/lab/hollow/events.go
+++ b/internal/lab/hollow/events.go
@@ -111,14 +111,14 @@
 
 func silenceNode(w *World) {
 	w.Watch(firstNode)
-	w.nodes[firstNode].Mute = true
+	w.nodes[firstNode].Unresponsive = true
 }
 
 func silenceRack(w *World) {
 	rack := w.zoneNodes(w.settings.Zones - 1)[:max(1, w.settings.Nodes/100)]
 	w.Watch(rack...)
 	for _, n := range rack {
-		w.nodes[n].Mute = true
+		w.nodes[n].Unresponsive = true
 	}
 }
 
--- a/internal/lab/hollow/node.go
+++ b/internal/lab/hollow/node.go
@@ -63,14 +63,14 @@
 	switch {
 	case n.Dead:
 		n.reply(m.at, m.from, m.number, m.attempt, scheduler.Unreachable)
-	case n.Mute:
+	case n.Unresponsive:
 	case !n.Arrive(int64(m.at), model.Job{Tag: &attemptRef{m.from, m.number, m.attempt}, Work: m.value * workPerUnit}):
 		n.reply(m.at, m.from, m.number, m.attempt, scheduler.QueueFull)
 	}
 }
 
 func (n *node) reply(at scheduler.Micros, to int32, number uint64, attempt int32, result scheduler.Result) {
-	if n.Mute {
+	if n.Unresponsive {
 		return
 	}
 	n.send(at, message{to: to, kind: kindReply, number: number, attempt: attempt, result: result})
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -49,7 +49,7 @@
 	StartedAt     int64  // time of the last start, 0 for a node that has always been warm
 	Failed        bool   // failed by overload while cold; it is silent until it restarts
 	Dead          bool   // its process has ended
-	Mute          bool   // it accepts jobs and never answers
+	Unresponsive  bool   // it accepts jobs and never answers
 	running       []Done // running jobs, with their end times
 	queue         []Job
 	received      []Done  // work received within the last OverloadSpan while cold
@@ -91,7 +91,7 @@
 }
 
 // Silent reports whether the node answers nothing.
-func (n *Node) Silent() bool { return n.Failed || n.Dead || n.Mute }
+func (n *Node) Silent() bool { return n.Failed || n.Dead || n.Unresponsive }
 
 // speedShare returns the share of its speed that the node has.
 func (n *Node) speedShare(now int64) float64 {
--- a/internal/lab/scenario/play.go
+++ b/internal/lab/scenario/play.go
@@ -177,8 +177,8 @@
 			case "pause":
 				n.Pause(int64(w.Now), int64(w.Now+micros(e.For)))
 			case "silence", "cut":
-				n.Mute = true
-				w.At(end, func() { n.Mute = false })
+				n.Unresponsive = true
+				w.At(end, func() { n.Unresponsive = false })
 			case "break":
 				n.BreakShare = e.Share
 				w.At(end, func() { n.BreakShare = 0 })
--- a/internal/lab/world/node.go
+++ b/internal/lab/world/node.go
@@ -23,9 +23,9 @@
 	reply func(Reply)
 }
 
-// sendReply sends the reply, unless one was sent or the node is mute.
+// sendReply sends the reply, unless one was sent or the node is unresponsive.
 func (t *nodeAttempt) sendReply(r Reply) {
-	if reply := t.reply; reply != nil && !t.node.Mute {
+	if reply := t.reply; reply != nil && !t.node.Unresponsive {
 		t.reply = nil
 		reply(r)
 	}
@@ -38,7 +38,7 @@
 	case n.Dead:
 		t.sendReply(Unreachable)
 		return
-	case n.Mute:
+	case n.Unresponsive:
 		return
 	case n.BreakShare > 0 && w.Rand.Float64() < n.BreakShare:
 		t.sendReply(ConnectionBroken)
