--- a/internal/certs/plan/plan.go
+++ b/internal/certs/plan/plan.go
@@ -29,7 +29,7 @@
 	Rejected             // rejectedIdentifier, caa, unauthorized, userActionRequired and similar: an operator has to act
 	NoAccount            // accountDoesNotExist: the account has to be registered again
 	BadChain             // the certificate chain does not match the key, the names or the current time
-	MalformedAnswer      // malformed answer
+	MalformedAnswer      // an answer of the authority ended early or was not valid JSON
 	Local                // local fault, such as a full disk or a port in use
 	Busy                 // another process holds the folder's lock
 )
