--- a/cmd/otterlab/emulate.go
+++ b/cmd/otterlab/emulate.go
@@ -44,7 +44,10 @@
 		nodes = append(nodes, sockets.Emulated{Name: n.Name, HTTP: n.HTTP, SFTP: n.SFTP, Folders: projectFolders(o)})
 		fmt.Fprintf(out, "%s: sftp %q, http %q\n", n.Name, n.SFTP, n.HTTP)
 	}
-	f := model.Parameters{Cores: c.Cores, Speed: c.Speed, Room: c.Room, ColdFrom: 1, Near: 0.5, NearSpan: int64(time.Second / time.Microsecond), MaxRemembered: 10_000}
+	f := model.Parameters{
+		Cores: c.Cores, Speed: c.Speed, Room: c.Room, ColdFrom: 1, Near: 0.5, NearSpan: int64(time.Second / time.Microsecond),
+		MaxRemembered: 10_000,
+	}
 	work := func(m protocol.Request) model.Job { return model.Job{Work: 20_000 * m.Units, Object: m.Key} }
 	return sockets.Emulate(ctx, nodes, f, o.Settings(), work)
 }
--- a/cmd/otterturn/reload_test.go
+++ b/cmd/otterturn/reload_test.go
@@ -51,7 +51,9 @@
 	}
 	served("old")
 	reload(`{"listen"`)
-	testsupport.WaitFor(t, "the log line for the invalid file", func() bool { return strings.Contains(p.output.String(), "reload failed, configuration unchanged") })
+	testsupport.WaitFor(t, "the log line for the invalid file", func() bool {
+		return strings.Contains(p.output.String(), "reload failed, configuration unchanged")
+	})
 	served("old")
 	reload(fmt.Sprintf(platformConfig, addr, second))
 	if query := testsupport.Await(t, "a call to the new discovery", calls); query != "" {
--- a/cmd/otterturn/resources_test.go
+++ b/cmd/otterturn/resources_test.go
@@ -22,10 +22,13 @@
 		hosts = append(hosts, fmt.Sprintf(`{"host":"s-%08x","dial":"127.0.0.1:1","site":"a","block":%d,"health":"up","born_ms":%d}`, i, i, time.Now().UnixMilli()))
 		peers = append(peers, fmt.Sprintf(`"127.9.%d.%d:1"`, i/250, i%250+1))
 	}
-	return strings.NewReplacer(`"peers":[]`, fmt.Sprintf(`"peer_listen":%q,"peers":[%s]`, peerListen, strings.Join(peers, ",")),
+	return strings.NewReplacer(
+		`"peers":[]`, fmt.Sprintf(`"peer_listen":%q,"peers":[%s]`, peerListen, strings.Join(peers, ",")),
 		`"hosts":[]`, fmt.Sprintf(`"hosts":[%s]`, strings.Join(hosts, ",")), `"balancers":1`, fmt.Sprintf(`"balancers":%d`, size),
-		`"memory_mb":192,"sockets":1024`, `"memory_mb":72,"sockets":512`, `"probing":true`, `"probing":true,"peers":true`, `"shards":1`, fmt.Sprintf(`"shards":%d,"coldUnits":1`, size),
-		`"report"`, `"safety":{"coldFrom":0.2,"fallMultiple":2.5,"fallUs":1000000,"rampTimeUs":17000000},"report"`).Replace(fmt.Sprintf(platformConfig, listen, discovery))
+		`"memory_mb":192,"sockets":1024`, `"memory_mb":72,"sockets":512`, `"probing":true`, `"probing":true,"peers":true`,
+		`"shards":1`, fmt.Sprintf(`"shards":%d,"coldUnits":1`, size),
+		`"report"`, `"safety":{"coldFrom":0.2,"fallMultiple":2.5,"fallUs":1000000,"rampTimeUs":17000000},"report"`,
+	).Replace(fmt.Sprintf(platformConfig, listen, discovery))
 }
 
 // freePeerAddr returns a free address for messages between fronts.
--- a/internal/certs/manager/manager.go
+++ b/internal/certs/manager/manager.go
@@ -177,14 +177,16 @@
 	k.mu.Unlock()
 	authority := m.settings.Authorities[next.Authority].Name
 	if err != nil {
-		m.settings.Log.Warn("a certificate was not renewed", "certificate", k.Name, "authority", authority, "kind", o.Kind.String(), "error", err, "next_try", formatTime(following.At))
+		m.settings.Log.Warn("a certificate was not renewed", "certificate", k.Name, "authority", authority,
+			"kind", o.Kind.String(), "error", err, "next_try", formatTime(following.At))
 	}
 	if cert != nil && m.adopt(k, cert) {
 		k.mu.Lock()
 		k.renewals++
 		k.infoRequestedAt = time.Time{}
 		k.mu.Unlock()
-		m.settings.Log.Info("a certificate was renewed", "certificate", k.Name, "authority", authority, "serial", fmt.Sprintf("%x", cert.Leaf.SerialNumber), "until", formatTime(cert.Leaf.NotAfter))
+		m.settings.Log.Info("a certificate was renewed", "certificate", k.Name, "authority", authority,
+			"serial", fmt.Sprintf("%x", cert.Leaf.SerialNumber), "until", formatTime(cert.Leaf.NotAfter))
 	}
 }
 
@@ -222,7 +224,11 @@
 	if level <= previous || expiry.IsZero() {
 		return
 	}
-	message := map[plan.Level]string{plan.Late: "a certificate's renewal is late", plan.Close: "a certificate is about to run out", plan.Expired: "a certificate has run out, and clients are turned away"}[level]
+	message := map[plan.Level]string{
+		plan.Late:    "a certificate's renewal is late",
+		plan.Close:   "a certificate is about to run out",
+		plan.Expired: "a certificate has run out, and clients are turned away",
+	}[level]
 	m.settings.Log.Error(message, "certificate", k.Name, "until", formatTime(expiry), "last_try", last)
 }
 
--- a/internal/lab/world/fleet_test.go
+++ b/internal/lab/world/fleet_test.go
@@ -31,14 +31,21 @@
 	f := &fleet{seed: int64(seed), counts: map[string]int{}, set: scheduler.Settings{
 		Fronts: fronts, PeerMessages: peers, Tick: 1000, MeanUnits: 2, MaxUnits: 6, MaxAttempts: 4, HealthChecks: true,
 		RetryAfter: true, MaxRetryAfter: second / 2, InitialCapacity: 0.2, SlowStart: 17 * second, OverloadMultiple: 2.5, OverloadSpan: second, SlowStartUnits: 1,
-		Classes: []scheduler.Class{{LatencyObjective: 700_000, Priority: 2}, {LatencyObjective: 900_000, Idempotency: scheduler.IdempotentByKey, DedupScope: scheduler.SameShard, DedupWindow: 7 * second, Priority: 2}},
-		Plans:   []scheduler.Plan{{Reservation: 3, Weight: 1}, {Weight: 1, Limit: 3, Burst: 36}},
+		Classes: []scheduler.Class{
+			{LatencyObjective: 700_000, Priority: 2},
+			{
+				LatencyObjective: 900_000, Idempotency: scheduler.IdempotentByKey, DedupScope: scheduler.SameShard,
+				DedupWindow: 7 * second, Priority: 2,
+			},
+		},
+		Plans: []scheduler.Plan{{Reservation: 3, Weight: 1}, {Weight: 1, Limit: 3, Burst: 36}},
 	}}
 	var models []*model.Node
 	for range nodes {
 		models = append(models, model.New(model.Parameters{
 			Cores: 2, Speed: 0.5, Room: 60, ColdFrom: f.set.InitialCapacity, Ramp: int64(f.set.SlowStart),
-			OverloadMultiple: f.set.OverloadMultiple, OverloadSpan: int64(f.set.OverloadSpan), OverloadFreeWork: f.set.SlowStartUnits * unitWork, KeyWindow: int64(7 * second), MaxRemembered: 10_000,
+			OverloadMultiple: f.set.OverloadMultiple, OverloadSpan: int64(f.set.OverloadSpan),
+			OverloadFreeWork: f.set.SlowStartUnits * unitWork, KeyWindow: int64(7 * second), MaxRemembered: 10_000,
 		}))
 	}
 	f.World = world.New(f.set, models, 1, 5_000, seed)
--- a/internal/net/protocol/fleet_test.go
+++ b/internal/net/protocol/fleet_test.go
@@ -36,7 +36,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if set := got.Settings.Scheduler; len(got.Peers) != count || len(got.Known.Hosts) != count || set.Fronts != count || set.FrontIndex != count-1 || !set.PeerMessages {
+	if set := got.Settings.Scheduler; len(got.Peers) != count || len(got.Known.Hosts) != count ||
+		set.Fronts != count || set.FrontIndex != count-1 || !set.PeerMessages {
 		t.Errorf("%d peers, %d nodes, %d fronts, index %d, peer messages %v", len(got.Peers), len(got.Known.Hosts), set.Fronts, set.FrontIndex, set.PeerMessages)
 	}
 }
--- a/internal/net/protocol/golden_test.go
+++ b/internal/net/protocol/golden_test.go
@@ -18,9 +18,15 @@
 		event  scheduler.Event
 	}{
 		"request for capacity": {
-			scheduler.RequestCapacity{To: 3, Node: "node-1", StartedAt: 1_800_000_000_000_001, CapacityRequest: slowstart.CapacityRequest{Units: 4, MinUnits: 0.125, Report: report}},
+			scheduler.RequestCapacity{
+				To: 3, Node: "node-1", StartedAt: 1_800_000_000_000_001,
+				CapacityRequest: slowstart.CapacityRequest{Units: 4, MinUnits: 0.125, Report: report},
+			},
 			"ask 4 0.125 1.5 30.25 2 1800000000000001 node-1",
-			scheduler.CapacityRequested{From: 2, Node: "node-1", StartedAt: 1_800_000_000_000_001, CapacityRequest: slowstart.CapacityRequest{Units: 4, MinUnits: 0.125, Report: report}},
+			scheduler.CapacityRequested{
+				From: 2, Node: "node-1", StartedAt: 1_800_000_000_000_001,
+				CapacityRequest: slowstart.CapacityRequest{Units: 4, MinUnits: 0.125, Report: report},
+			},
 		},
 		"load report alone": {
 			scheduler.RequestCapacity{To: 3, Node: "node-1", CapacityRequest: slowstart.CapacityRequest{Report: report}},
--- a/internal/net/protocol/settings.go
+++ b/internal/net/protocol/settings.go
@@ -177,7 +177,8 @@
 	out.Balancers, out.SlotNo, out.TickUs = set.Fronts, set.FrontIndex, int64(set.Tick)
 	c := &out.Ceilings
 	c.Peers = set.PeerMessages
-	c.TryLimit, c.Probing, c.Cancel, c.RetryAfter, c.MaxRetryAfterUs = set.MaxAttempts, set.HealthChecks, set.CancelAttempts, set.RetryAfter, int64(set.MaxRetryAfter)
+	c.TryLimit, c.Probing, c.Cancel, c.RetryAfter, c.MaxRetryAfterUs = set.MaxAttempts, set.HealthChecks, set.CancelAttempts,
+		set.RetryAfter, int64(set.MaxRetryAfter)
 	f := &out.FamilyInfo
 	f.ColdUnits, f.MeanUnits, f.MostUnits, f.SaysOthers = set.SlowStartUnits, set.MeanUnits, set.MaxUnits, set.ServedElsewhereReported
 	s := &out.Safety
--- a/internal/net/transport/admission_test.go
+++ b/internal/net/transport/admission_test.go
@@ -66,7 +66,10 @@
 		out := make(chan answer, 1)
 		go func() {
 			r, _ := http.NewRequest(http.MethodGet, "http://"+addr+"/read/00000000000000aa/00000000000000bb", nil)
-			for k, v := range map[string]string{"X-Correlation-Id": id, "X-Service-Class": "read", "X-Plan": "gold", "X-Time-Left": "40000m", "X-IO": "units=2,shard=0,hosts=1"} {
+			for k, v := range map[string]string{
+				"X-Correlation-Id": id, "X-Service-Class": "read", "X-Plan": "gold", "X-Time-Left": "40000m",
+				"X-IO": "units=2,shard=0,hosts=1",
+			} {
 				r.Header.Set(k, v)
 			}
 			resp, err := http.DefaultClient.Do(r)
--- a/internal/net/transport/answer.go
+++ b/internal/net/transport/answer.go
@@ -157,7 +157,10 @@
 
 func newStreamedResponse(resp *http.Response, c *nodes.Conn[*stream], l limits.Limits, received []byte) *streamedResponse {
 	original := *resp
-	return &streamedResponse{buffered: received, source: &original, conn: c, limits: l, bytesLeft: l.Requests.StreamedBytes, closeAfter: resp.Close, onClose: func() {}}
+	return &streamedResponse{
+		buffered: received, source: &original, conn: c, limits: l, bytesLeft: l.Requests.StreamedBytes, closeAfter: resp.Close,
+		onClose: func() {},
+	}
 }
 
 func (a *streamedResponse) Read(p []byte) (n int, err error) {
--- a/internal/net/transport/discovery_test.go
+++ b/internal/net/transport/discovery_test.go
@@ -19,7 +19,9 @@
 
 // startWatch runs a watch on a discovery server whose answers come from answer, where "" means no answer. It returns the
 // queries of the calls, the lists and the log lines.
-func startWatch(t *testing.T, edit func(*limits.Limits), answer func(n int64, query string) string) (calls chan string, lists chan protocol.List, logged chan string) {
+func startWatch(
+	t *testing.T, edit func(*limits.Limits), answer func(n int64, query string) string,
+) (calls chan string, lists chan protocol.List, logged chan string) {
 	t.Helper()
 	l := testsupport.Limits()
 	edit(&l)
--- a/internal/net/transport/exchange.go
+++ b/internal/net/transport/exchange.go
@@ -148,7 +148,9 @@
 }
 
 // completeAttempt writes the last bytes of a request and returns the result of the attempt.
-func (s *Nodes) completeAttempt(ctx context.Context, a routing.Attempt, c *nodes.Conn[*stream], r *http.Request, message []byte) (resp *http.Response, result scheduler.AttemptEnded, written bool) {
+func (s *Nodes) completeAttempt(
+	ctx context.Context, a routing.Attempt, c *nodes.Conn[*stream], r *http.Request, message []byte,
+) (resp *http.Response, result scheduler.AttemptEnded, written bool) {
 	startedAt := time.Now()
 	resp, firstByte, written, err := s.exchange(ctx, c, r, message, a.MarkWritten)
 	if written {
@@ -175,7 +177,9 @@
 // exchange writes a request and reads the answer to its last byte, since only then is it known to be complete. written
 // reports whether the request's last byte was sent. The connection is released, or closed if ctx ended or anything was
 // unexpected. onWritten is called when the last byte is sent.
-func (s *Nodes) exchange(ctx context.Context, c *nodes.Conn[*stream], r *http.Request, message []byte, onWritten func()) (resp *http.Response, firstByte time.Time, written bool, err error) {
+func (s *Nodes) exchange(
+	ctx context.Context, c *nodes.Conn[*stream], r *http.Request, message []byte, onWritten func(),
+) (resp *http.Response, firstByte time.Time, written bool, err error) {
 	reusable, streamed := false, false
 	stopInterrupt := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer func() {
--- a/internal/net/transport/peers_test.go
+++ b/internal/net/transport/peers_test.go
@@ -21,8 +21,10 @@
 	const nodeCount = 2000
 	var hosts []string
 	for i := range nodeCount {
-		hosts = append(hosts, fmt.Sprintf(`{"host":"s-%08x","dial":"127.11.%d.%d:5000","site":"hall-a","class":"std-node","block":%d,"health":"up","share":1.25,"born_ms":1796159830723}`,
-			i, i/250, i%250+1, i))
+		hosts = append(hosts, fmt.Sprintf(
+			`{"host":"s-%08x","dial":"127.11.%d.%d:5000","site":"hall-a","class":"std-node","block":%d,"health":"up","share":1.25,"born_ms":1796159830723}`,
+			i, i/250, i%250+1, i,
+		))
 	}
 	text := fmt.Sprintf(`{"seq":42,"whole":true,"hosts":[%s]}`, strings.Join(hosts, ","))
 	addr, _ := startNode(t, func(_ int64, c net.Conn, _ *http.Request) {
@@ -72,7 +74,8 @@
 	peers, received := startPeers(t, 2, func(line string) { logged <- line })
 	capacity := slowstart.CapacityRequest{Units: 2, MinUnits: 1, Report: slowstart.LoadReport{Served: 3.5, Units: 7.25, Time: 0.125}}
 	peers[0].Send(1, scheduler.RequestCapacity{To: 1, Node: "s-1", CapacityRequest: capacity})
-	if got, want := testsupport.Await(t, "a capacity request", received[1]), (scheduler.CapacityRequested{From: 0, Node: "s-1", CapacityRequest: capacity}); got != want {
+	if got, want := testsupport.Await(t, "a capacity request", received[1]),
+		(scheduler.CapacityRequested{From: 0, Node: "s-1", CapacityRequest: capacity}); got != want {
 		t.Errorf("received %v, want %v", got, want)
 	}
 	peers[1].Send(0, scheduler.GrantCapacity{To: 0, Node: "s-1", Units: 2, ValidUntil: 17})
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -65,7 +65,10 @@
 // applianceConfig returns the configuration file of an appliance.
 func (s Scenario) applianceConfig(http, sftp, folder, console string, nodes []*peers.Node, files *peers.FileServer) []byte {
 	var out strings.Builder
-	fmt.Fprintf(&out, "[limits]\nmemory_mb = 192\nsockets = 1024\nopen = 256\ntries = 4\nconnect = %q\nnode_idle = %q\nretry_after = \"500ms\"\n", s.Connect, s.ConnIdle)
+	fmt.Fprintf(
+		&out, "[limits]\nmemory_mb = 192\nsockets = 1024\nopen = 256\ntries = 4\nconnect = %q\nnode_idle = %q\nretry_after = \"500ms\"\n",
+		s.Connect, s.ConnIdle,
+	)
 	fmt.Fprintf(&out, "[sftp]\nlisten = %q\nunit_bytes = 16384\nbulk_bytes = 32768\n[http]\nlisten = %q\n[console]\nsocket = %q\n", sftp, http, console)
 	fmt.Fprintf(&out, "[learned]\nfolder = %q\nfront = \"files-1\"\ninterval = \"500ms\"\nlease = \"500ms\"\n", folder)
 	within := min(s.Longest/2, 300*time.Millisecond)
--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -74,7 +74,10 @@
 		"capacity requested": func(t *rapid.T) {
 			env.step(CapacityRequested{
 				From: rapid.IntRange(-1, 9).Draw(t, "from"), Node: fmt.Sprint("n", rapid.IntRange(0, 6).Draw(t, "node")),
-				CapacityRequest: slowstart.CapacityRequest{Units: float64(rapid.IntRange(0, 9).Draw(t, "units")), MinUnits: 1, Report: slowstart.LoadReport{Units: 5, Time: 1}},
+				CapacityRequest: slowstart.CapacityRequest{
+					Units: float64(rapid.IntRange(0, 9).Draw(t, "units")), MinUnits: 1,
+					Report: slowstart.LoadReport{Units: 5, Time: 1},
+				},
 			})
 		},
 		"capacity granted": func(t *rapid.T) {
--- a/scheduler/learned_test.go
+++ b/scheduler/learned_test.go
@@ -90,7 +90,10 @@
 
 func TestForgetKeepsSlowStartAndEmptiesBucket(t *testing.T) {
 	now := Micros(1_000_000_000)
-	l := Learned{At: now, Nodes: []LearnedNode{{Endpoint{Node: "a"}, NodeStats{Budget: 2, Target: 90e3, SmoothedLatency: 9e3, ErrorRate: 0.9, SuspectedRestart: now}}}}
+	l := Learned{At: now, Nodes: []LearnedNode{{
+		Endpoint{Node: "a"},
+		NodeStats{Budget: 2, Target: 90e3, SmoothedLatency: 9e3, ErrorRate: 0.9, SuspectedRestart: now},
+	}}}
 	h := newHarnessWithLearned(t, l, Endpoint{Node: "a"})
 	v := h.s.volumeFor(Request{Volume: "v", Plan: 3, Fronts: 1})
 	v.bucket.Level, v.reservationTag = 15, 1
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -101,7 +101,10 @@
 		requests = append(requests, slices.DeleteFunc(a, func(a Action) bool { _, is := a.(RequestCapacity); return !is })...)
 	}
 	granter, _ := h.s.slowStart.Granter("a", h.now)
-	if want := []Action{RequestCapacity{To: granter, Node: "a", StartedAt: h.s.nodesByName["a"].StartedAt, CapacityRequest: slowstart.CapacityRequest{Units: 2, MinUnits: 2}}}; !reflect.DeepEqual(requests, want) {
+	if want := []Action{RequestCapacity{
+		To: granter, Node: "a", StartedAt: h.s.nodesByName["a"].StartedAt,
+		CapacityRequest: slowstart.CapacityRequest{Units: 2, MinUnits: 2},
+	}}; !reflect.DeepEqual(requests, want) {
 		t.Errorf("capacity requests %v in half a second, want %v", requests, want)
 	}
 	until := h.now + 100*ms
@@ -127,14 +130,21 @@
 	h.wantStarted(h.step(CapacityGranted{From: granter, Node: "a", Units: 2, ValidUntil: h.now + 100*ms}), "x")
 	reports := slices.DeleteFunc(h.after(50*ms, AttemptEnded{ID: "x", Result: OK, Latency: 50 * ms, Final: true}),
 		func(a Action) bool { _, is := a.(RequestCapacity); return !is })
-	if len(reports) != 1 || reports[0].(RequestCapacity).To != granter || reports[0].(RequestCapacity).StartedAt != startedAt || reports[0].(RequestCapacity).Units != 0 || reports[0].(RequestCapacity).Report.Units != 2 {
+	if len(reports) != 1 || reports[0].(RequestCapacity).To != granter || reports[0].(RequestCapacity).StartedAt != startedAt ||
+		reports[0].(RequestCapacity).Units != 0 || reports[0].(RequestCapacity).Report.Units != 2 {
 		t.Errorf("capacity requests %+v, want one report to the granter", reports)
 	}
-	h.s.capacityRequested(CapacityRequested{From: 1, Node: "a", StartedAt: startedAt - 1, CapacityRequest: slowstart.CapacityRequest{Report: slowstart.LoadReport{Units: 9, Time: 0.1}}})
+	h.s.capacityRequested(CapacityRequested{
+		From: 1, Node: "a", StartedAt: startedAt - 1,
+		CapacityRequest: slowstart.CapacityRequest{Report: slowstart.LoadReport{Units: 9, Time: 0.1}},
+	})
 	if !h.s.allocators[0].Idle(h.now) {
 		t.Error("a report on an earlier start is not ignored")
 	}
-	h.s.capacityRequested(CapacityRequested{From: 1, Node: "a", StartedAt: startedAt, CapacityRequest: slowstart.CapacityRequest{Report: slowstart.LoadReport{Units: 9, Time: 0.1}}})
+	h.s.capacityRequested(CapacityRequested{
+		From: 1, Node: "a", StartedAt: startedAt,
+		CapacityRequest: slowstart.CapacityRequest{Report: slowstart.LoadReport{Units: 9, Time: 0.1}},
+	})
 	if h.s.allocators[0].Idle(h.now) {
 		t.Error("a report on the present start is lost")
 	}
