--- a/internal/lab/hollow/settings.go
+++ b/internal/lab/hollow/settings.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// nodeFigures returns the settings of the model of a node.
-func (s *Settings) nodeFigures() model.Parameters {
+// nodeParameters returns the parameters of the model of a node.
+func (s *Settings) nodeParameters() model.Parameters {
 	set := s.schedulerSettings(0)
 	return model.Parameters{
 		Cores: 8, Speed: 1, Room: 200, ColdFrom: set.InitialCapacity, Ramp: int64(set.SlowStart),
@@ -116,7 +116,7 @@
 
 // limits returns the limits of a front on a platform where all fronts call the same discovery.
 func (s *Settings) limits() limits.Limits {
-	return limits.For(limits.Site{
+	return limits.New(limits.Site{
 		MemoryMB: 256, Sockets: 8192, NodeIdleTimeout: 15 * time.Second, Connect: 250 * time.Millisecond,
 		MaxDeadline: 2500 * time.Millisecond, DiscoveryFronts: s.Fronts,
 	})
