--- a/internal/lab/hollow/events.go
+++ b/internal/lab/hollow/events.go
@@ -10,7 +10,7 @@
 	Name          string
 	Phases        []Phase
 	AllSizes      bool // run at each size; other events run at small sizes, and their values at the largest are extrapolated
-	IgnoresHealth bool // does not depend on health of nodes: run once if both variants are requested
+	IgnoresHealth bool // does not depend on shared node health: run once if both variants are requested
 	spareNodes    int  // nodes that the script adds to the endpoint list
 }
 
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -58,7 +58,7 @@
 	return f.Exponent
 }
 
-// With health of nodes, the cost of a silent node hardly grows with the size of the fleet: the exponents of messages, bytes
+// With shared node health, the cost of a silent node hardly grows with the size of the fleet: the exponents of messages, bytes
 // and probes per front are at most 0.3, and that of the probes at the node is at most 0.2. Without it the probes at the node
 // grow with the number of fronts.
 func TestCostOfSilentNodePerFrontDoesNotGrowWithFleet(t *testing.T) {
@@ -96,7 +96,7 @@
 	}
 }
 
-// A zone becomes silent, with and without health of nodes. With it, the probes of the whole fleet at a silent node are
+// A zone becomes silent, with and without shared node health. With it, the probes of the whole fleet at a silent node are
 // bounded, failed requests are at most a sixth of those without it (a tenth at full size, where a zone has 120 fronts
 // instead of 40), and all running fronts avoid all silent nodes.
 func TestSilentZoneIsAvoidedWithBoundedProbes(t *testing.T) {
--- a/internal/lab/hollow/report.go
+++ b/internal/lab/hollow/report.go
@@ -14,7 +14,7 @@
 	Sizes        []int    // numbers of fronts, in ascending order
 	MaxSmallSize int      // maximum size for events without AllSizes
 	Events       []string // names, empty for all events
-	Health       []bool   // variants: health of nodes switched off, on
+	Health       []bool   // variants: shared node health switched off, on
 	Seed         uint64
 	Workers      int
 
@@ -70,7 +70,7 @@
 
 func makeLines(p Plan, results map[string][]*Result) (out []Line) {
 	for _, row := range allRows() {
-		without := 0.0 // value without health of nodes
+		without := 0.0 // value without shared node health
 		for _, health := range p.Health {
 			rs := results[resultKey(row.phase, health)]
 			if len(rs) == 0 {
--- a/internal/lab/hollow/rows.go
+++ b/internal/lab/hollow/rows.go
@@ -11,17 +11,17 @@
 	avoidBudget     = 2.0       // seconds until all fronts that a message can reach avoid a silent node
 	changeBudget    = 4.0       // seconds until all fronts have a change of the endpoint list
 	primaryBudget   = 19.0      // seconds that a change of a shard's primary node may take
-	unansweredShare = 0.1       // of the failed requests per silent node without health of nodes
+	unansweredShare = 0.1       // of the failed requests per silent node without shared node health
 )
 
 // row defines a line of the table: a figure of a phase, measured for each number of fronts.
 type row struct {
 	phase, role, what, unit        string
 	formula                        string
-	formulaWithHealth              string  // with health of nodes, empty if it is the same
+	formulaWithHealth              string  // with shared node health, empty if it is the same
 	budget                         float64 // 0 for none
-	budgetIsShare                  bool    // the budget is a share of the value without health of nodes
-	mechanism, mechanismWithHealth string  // package responsible for the figure, without and with health of nodes
+	budgetIsShare                  bool    // the budget is a share of the value without shared node health
+	mechanism, mechanismWithHealth string  // package responsible for the figure, without and with shared node health
 	figure                         func(*Result) float64
 }
 
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -25,7 +25,7 @@
 
 	CPU          float64       // processor seconds per front and second of virtual time
 	SchedulerCPU float64       // part of CPU in the scheduler's steps
-	HealthCPU    float64       // part of CPU in the health of nodes
+	HealthCPU    float64       // part of CPU in shared node health
 	StepTime     time.Duration // processor time of a scheduler's step
 	HeapAtStart  int64         // heap bytes per front right after the start
 	HeapAtEnd    int64         // heap bytes per front at the end of the event
--- a/internal/lab/hollow/settings.go
+++ b/internal/lab/hollow/settings.go
@@ -1,5 +1,5 @@
 // Package hollow simulates large fleets: a thousand fronts and more in one process, each with the real scheduler, message
-// codec, discovery backoff and, if switched on, health of nodes. There are no sockets, nodes and discovery are models, and
+// codec, discovery backoff and, if switched on, shared node health. There are no sockets, nodes and discovery are models, and
 // time is virtual.
 //
 // It is a conservative parallel simulation. Time advances in windows of one tick, which is no longer than the minimum
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -58,7 +58,7 @@
 // SendFunc sends the request with number n and returns its outcome.
 type SendFunc func(ctx context.Context, n int, rng *rand.Rand) Verdict
 
-// Run generates load. It reports its progress to tell every second and at the end, and returns the last progress.
+// Run generates load. It calls report with its progress every second and at the end, and returns the last progress.
 func Run(ctx context.Context, settings Settings, ask SendFunc, report func(Progress)) Progress {
 	rng := rand.New(rand.NewPCG(settings.Seed, 3))
 	var mu sync.Mutex
--- a/internal/lifecycle/decision.go
+++ b/internal/lifecycle/decision.go
@@ -145,8 +145,8 @@
 	return Allowed
 }
 
-// deadline returns the deadline of a request whose client waits for the time left: its end, or the time by which a shutdown
-// requires all answers if that is earlier.
+// deadline returns the deadline of a request whose client waits for the time left: the end of that time, or the time by which a
+// shutdown requires all answers if that is earlier.
 func (s state) deadline(now time.Time, left time.Duration) time.Time {
 	clientDeadline := now.Add(left)
 	if by := s.answerBy(); s.stopping() && by.Before(clientDeadline) {
--- a/internal/lifecycle/guard.go
+++ b/internal/lifecycle/guard.go
@@ -115,8 +115,8 @@
 // Limits returns the limits in force.
 func (g *Guard) Limits() limits.StopLimits { return g.state.Load().limits }
 
-// Deadline returns the deadline of a request whose client waits for the time left: its end, or the time by which a shutdown
-// requires all answers if that is earlier.
+// Deadline returns the deadline of a request whose client waits for the time left: the end of that time, or the time by which a
+// shutdown requires all answers if that is earlier.
 func (g *Guard) Deadline(left time.Duration) time.Time {
 	return g.state.Load().deadline(g.clock(), left)
 }
--- a/internal/limits/operation.go
+++ b/internal/limits/operation.go
@@ -4,8 +4,8 @@
 
 // A front counts as knowing what its own discovery agent knows. The agent answers at once and at no cost, or not at all while
 // discovery is down. So an unanswered watch has to be given up, and the next one begun, within the drain grace less one stall
-// of the front. WatchHold, AnswerTimeout and the longest pause take three and a half of the 4 parts of that time, which leaves
-// an eighth of it.
+// of the front. That time has agentParts equal parts: WatchHold and AnswerTimeout take one each, and the longest pause, which is
+// one and a half times RetryMax, takes one and a half. The remaining half of a part is a margin.
 const (
 	agentParts    = 4
 	minDrainGrace = 250 * time.Millisecond // the drain grace counts as at least this, and at most maxDrainGrace
--- a/internal/limits/traffic.go
+++ b/internal/limits/traffic.go
@@ -5,7 +5,7 @@
 const (
 	inboxPerClient = 4                      // events that may be queued for each client connection
 	minPastIDs     = 1024                   // minimum number of remembered ids
-	answerGrace    = 350 * time.Millisecond // with maxStall 500 ms, within which a late answer is not lost
+	answerGrace    = 350 * time.Millisecond // plus maxStall is 500 ms: an answer that is late by no more is not lost
 )
 
 func requestLimits(site Site, available resources) RequestLimits {
--- a/internal/net/protocol/metrics.go
+++ b/internal/net/protocol/metrics.go
@@ -24,7 +24,7 @@
 	ReloadsOK     int64
 	ReloadsFailed int64
 	Rules         RuleMetrics
-	Health        *HealthMetrics // nil if fronts don't share the health of nodes; its lines are omitted then
+	Health        *HealthMetrics // nil if fronts don't share node health; its lines are omitted then
 }
 
 // RuleMetrics are the metrics of the rules of package lifecycle, which decide whether an operation is allowed at a time.
@@ -42,7 +42,7 @@
 	Denied, Violations int64
 }
 
-// HealthMetrics are the metrics of the health of nodes that the fronts of a zone share.
+// HealthMetrics are the metrics of the node health that the fronts of a zone share.
 type HealthMetrics struct {
 	Probes           int64 // sent to nodes
 	MessagesSent     int64 // to other fronts
--- a/internal/net/protocol/metrics_test.go
+++ b/internal/net/protocol/metrics_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against lines of health metrics if fronts don't share the health of nodes: a reader of the other metrics may reject names
+// Guards against lines of health metrics if fronts don't share node health: a reader of the other metrics may reject names
 // that it does not know.
 func TestHealthMetricsOnlyIfShared(t *testing.T) {
 	off := FormatMetrics(Metrics{Attempts: 5})
--- a/internal/net/transport/exchange.go
+++ b/internal/net/transport/exchange.go
@@ -185,7 +185,7 @@
 	defer func() {
 		if interrupted := !stopInterrupt(); !streamed {
 			s.Release(c, reusable && !interrupted)
-		} else if interrupted { // ctx ended before the body could be passed on, and must not be read past the request's time
+		} else if interrupted { // ctx ended before the body could be passed on; after that the body must not be read
 			resp.Body.Close()
 			resp, err = nil, ctx.Err()
 		}
--- a/internal/net/transport/shutdown.go
+++ b/internal/net/transport/shutdown.go
@@ -13,7 +13,7 @@
 // that are still open when all must be answered are answered by the core, and requests that arrive completely after that are
 // answered at once. The guard sets these times.
 //
-// Clients get no further connections during that time, and a client that found all of its connections in use once sent
+// Clients get no further connections during that time. A client that found all of its connections in use has been seen to send
 // nothing more until the next start. So setMaxOpen, unless nil, is called with the number of requests that may be open: a
 // fraction of the open connections. If another process serves in place of this one, Stop returns as soon as nothing is left.
 func (f *Front) Stop(setMaxOpen func(openRequests int)) error {
