--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -25,7 +25,7 @@
 	latencySamples           = 8                // answers over which the latency is smoothed
 	outlierErrorRate         = 0.5              // a node with a higher error rate is an outlier
 	staleNodePenalty         = 1.5              // score factor for a node without a recent answer
-	placementSample          = 64               // maximum number of nodes, drawn at random, compared for a new object
+	placementSample          = 64               // nodes drawn at random and compared for a new object
 	placementNoise           = 0.01             // relative noise that spreads objects over equal nodes
 	timerTicks               = 5                // ticks until the next step while requests are queued
 	minWeight                = 1e-9             // minimum weight of a plan, prevents a division by 0
