--- a/Makefile
+++ b/Makefile
@@ -1,22 +1,22 @@
-# Targets for people and for .ci/run. Everything needs the Go tool chain alone.
+# Targets for developers and for .ci/run. They need the Go toolchain; test also needs a C compiler, for the race detector.
 .PHONY: build sites test lint run demo soak door crash restart cost step-cost renewals histories rehearse compare agree speed processes capacity
 
 build:
 	mkdir -p bin
 	go build -o bin/ ./cmd/...
 
-# Tests that are known to fail for a real fault stand in KNOWN-RED.txt, or there is no such file; these alone are passed over, and
-# printed.
+# KNOWN-RED.txt lists the tests that are known to fail because of a real fault. Only their failures are tolerated, and they are
+# printed. Without the file, no failure is tolerated.
 test:
 	@if [ -f KNOWN-RED.txt ]; then go test -race -count=1 -json ./... | go run ./cmd/knownred KNOWN-RED.txt; else go test -race -count=1 ./...; fi
 
-# The sites in deploy/sites are played by the operators' bench. What has to be theirs to the byte is laid beside them, and
-# ignored by git; KIT is a folder of theirs with a site.
+# The operators' test bench runs the sites in deploy/sites. Files that must be byte-identical to the operators' are copied to
+# each site's folder and ignored by git. KIT is a folder of the operators that contains a site.
 KIT ?= ../given/kit/more/mass/other
 sites:
 	@for s in deploy/sites/*/; do install -m 644 $(KIT)/real.json $(KIT)/wire.json $(KIT)/unlock.txt $$s; done
 
-# The packages that revive passes, by revive.toml. The list only grows; docs/ROADMAP.md says which packages are whole.
+# Packages that pass revive with the rules in revive.toml. The list only grows; docs/ROADMAP.md says which packages are finished.
 REVIEWED = ./scheduler/... ./internal/net/routing/... ./internal/net/transport/nodes/... ./internal/fleet/... ./internal/roster/... \
 	./internal/handover/... ./internal/state/... ./internal/net/transport ./internal/net/control ./internal/net/backoff ./internal/admission/... \
 	./internal/limits ./internal/lifecycle ./internal/net/accept ./internal/net/retryconn ./internal/soak/...
@@ -26,52 +26,53 @@
 	go tool staticcheck ./...
 	go tool revive -config revive.toml $(REVIEWED)
 
-# The appliance by the operator's file in deploy/; CONFIG names another one.
+# Runs the appliance with the operator's file in deploy/. CONFIG names another file.
 CONFIG ?= deploy/appliance.toml
 run: build
 	bin/otterturn serve --config $(CONFIG)
 
-# Long measurements. Their short forms are among the tests.
+# Long measurements. Some of them, such as crash and renewals, also run in a short form as part of the tests.
 
-# An appliance is killed 200 times while clients upload, about a minute; the last line has the figures.
+# Kills an appliance 200 times (KILLS) while clients upload; about a minute. The last line has the figures.
 KILLS ?= 200
 crash:
 	@out=$$(OTTERTURN_KILLS=$(KILLS) go test -v -count=1 -timeout 10m -run '^TestCrash$$' ./cmd/otterturn 2>&1); \
 	code=$$?; echo "$$out" | grep -v '^crash:'; echo "$$out" | grep '^crash:'; exit $$code
 
-# The door on sockets: 100 projects that heed Retry-After beside one that floods with 300 clients, behind the door and
-# before it, FLOOD_S seconds a run and four runs; the last line has the figures.
+# Measures the admission gate on sockets: 100 projects that honor Retry-After, with and without another project that floods with
+# 300 clients, each with and without the gate. Four runs of FLOOD_S seconds each; the last line has the figures.
 FLOOD_S ?= 20
 door:
 	@out=$$(OTTERTURN_FLOOD_S=$(FLOOD_S) go test -v -count=1 -timeout 10m -run '^TestDoorHoldsAFlood$$' ./internal/net/transport 2>&1); \
 	code=$$?; echo "$$out" | grep -v '^door:'; echo "$$out" | grep '^door:'; exit $$code
 
-# What a restart costs in the first 10 s, with and without what the front had learned; the last line has the medians.
+# Cost of a restart during the first 10 s, with and without the front's learned state. The last line has the medians.
 SEEDS ?= 20
 restart:
 	go run ./cmd/otterlab restart --seeds $(SEEDS)
 
-# What a save of what is learned costs, for 10 to 10,000 nodes and ten times as many projects.
+# Cost of saving the learned state, for 10 to 10,000 nodes and ten times as many projects.
 cost:
 	go test -run '^$$' -bench Save ./internal/state/saver
 
-# What a step of the decisions costs, by nodes and volumes, and what is kept of each, in bytes; half a minute.
+# Cost of a scheduler step by number of nodes and volumes, and the memory kept for each of them in bytes; half a minute.
 step-cost:
 	go test -run '^$$' -bench 'Step|Bytes|Replaced' -benchtime 2000x ./scheduler
 
-# Certificates of 10 s are renewed 22 times under 50 long transfers, about three minutes; the last line has the figures.
+# Renews certificates with a lifetime of 10 s 22 times (RENEWALS) during 50 long transfers; about three minutes. The last line
+# has the figures.
 RENEWALS ?= 22
 renewals:
 	@out=$$(OTTERTURN_RENEWALS=$(RENEWALS) go test -v -count=1 -timeout 10m -run '^TestRenewals$$' ./cmd/otterturn 2>&1); \
 	code=$$?; echo "$$out" | grep -v '^renewals:'; echo "$$out" | grep '^renewals:'; exit $$code
 
-# Certificates' years against authorities that fail at random, in virtual time: expiries that could have been avoided.
+# Simulates years of certificate renewals against authorities that fail at random, in virtual time, and counts avoidable expiries.
 histories:
 	go run ./cmd/otterlab histories
 
-# Real processes under faults that overlap, judged by an auditor that shares no code with the program; some 15 s a seed. SEED is the
-# first of SEEDS, BESIDE of them run at a time; every tenth has a crowd of fronts. BINARY names another build. It fails where a rule
-# is broken, and says with which seed.
+# Runs real processes under overlapping faults; an auditor that shares no code with the program checks the results. Takes about
+# 15 s per seed. SEED is the first seed, SEEDS their number, and BESIDE the number of concurrent runs. Every tenth seed runs a
+# crowd of 36 fronts. BINARY names another build. Fails if a rule is broken, and names the seed.
 SEEDS ?= 50
 SEED ?= 1
 BESIDE ?= 2
@@ -79,33 +80,35 @@
 soak: build
 	bin/ottersoak -seed $(SEED) -seeds $(SEEDS) -beside $(BESIDE) -binary $(BINARY)
 
-# Everything at once, to look at: emulated nodes, an appliance, a little load, console screens and a report; 20 s.
+# Demonstrates all parts together: emulated nodes, an appliance, a light load, console output and a report; 20 s.
 demo: build
 	bin/otterlab demo
 
-# Two incidents, each played twice in virtual time; it fails unless both runs have the same digest, and where a rule is
-# broken or a cold node pushed over. The last line has digests and figures.
+# Simulates two incidents in virtual time, each of them twice. Fails if the digests of the two runs differ, a rule is broken or a
+# node is overloaded. The last line has the digests and figures.
 rehearse:
 	go run ./cmd/otterlab repeat deploy/rehearsals/deploy.toml deploy/rehearsals/costly.toml
 
-# What a fleet costs by its size and event: hollow fronts up to 1,200 before 1,800 nodes, without and with health of nodes.
-# The processes' slopes come first; the last line has the worst ratio to a budget, and its row.
+# Cost of a fleet by size and event: up to 1,200 hollow fronts in front of 1,800 nodes, without and with shared node health. The
+# slopes of 'make processes' are measured first. The last line has the worst ratio to a budget, and its row.
 capacity: processes
 	bin/otterlab capacity
 
-# All incidents over five seeds, against the baselines; BUILD=NAME=PATH adds the benchlink of another build.
+# Simulates all incidents with five seeds each, and compares with the baselines. BUILD=NAME=PATH adds the benchlink of another build.
 BUILD ?=
 compare:
 	go run ./cmd/otterlab rehearse deploy/rehearsals/*.toml --report bin/rehearsals $(if $(BUILD),--build $(BUILD))
 
-# The same days on sockets and in virtual time, two minutes; then how fast virtual time goes.
+# Compares the same runs on sockets and in virtual time; two minutes.
 agree:
 	go run ./cmd/otterlab agree
+
+# Measures the speed of virtual time.
 speed:
 	go run ./cmd/otterlab speed
 
-# What fronts take that run as processes of their own: the slopes of docs/capacity/processes.md, under four minutes. ONLY names
-# some of the measures, by commas; MARKDOWN a file for the table.
+# Measures fronts that run as separate processes: the slopes in docs/capacity/processes.md; under four minutes. ONLY selects
+# measurements, separated by commas. MARKDOWN names a file for the table.
 ONLY ?=
 MARKDOWN ?=
 processes: build
